--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -247,7 +247,7 @@
         const auto id = in.number<uint64_t>();
         const auto outcome = outcome_of(in.number<uint16_t>());
         const bool done = in.number<uint8_t>() != 0;
-        balancer().shot_ended(now_, id, in.number<uint16_t>(), outcome, done);
+        balancer().attempt_ended(now_, id, in.number<uint16_t>(), outcome, done);
     }
 
     Time now_;
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -711,7 +711,7 @@
     // goes elsewhere, where allowed and of use. Copies dry up where they seldom come first, as in a queue.
     void later(Call& c) {
         if (c.ended || c.shots.size() != 1 || !c.out() || !idempotent(c) || c.streaming) return;
-        if (!fleet_.cuts(c) || !desk_.set.duplicates || desk_.set.max_shots < 2) return;
+        if (!fleet_.cuts(c) || !desk_.set.duplicates || desk_.set.max_attempts < 2) return;
         const bool overdue = desk_.now - c.shots[0].sent + hair >= fleet_.overdue(c);
         if (!overdue || desk_.now + Span{c.product->quick} >= useful_until(c)) return;
         const double n = recent_.total(desk_.now, copies);
@@ -734,9 +734,9 @@
         const auto reached = [](const Shot& s) {
             return s.outcome != Outcome::connect_failed && s.outcome != Outcome::never_sent;
         };
-        const int most = c.product->attempts ? c.product->attempts : desk_.set.max_shots;
+        const int most = c.product->attempts ? c.product->attempts : desk_.set.max_attempts;
         if (std::count_if(c.shots.begin(), c.shots.end(), reached) >= most) return false;
-        const bool limited = static_cast<int>(c.shots.size()) >= desk_.set.max_shots;
+        const bool limited = static_cast<int>(c.shots.size()) >= desk_.set.max_attempts;
         if (limited || !desk_.out.may_repeat(c.id)) return false;
         // Guards against calls that bring down whatever takes them: what broke off at two servers is not sent
         // to a third, nor what broke off at all while the list shows servers starting anew.
@@ -826,7 +826,7 @@
         c.give_up = now + patience;
         c.arrived = again ? fleet_.first_came(*c.product, c.give_up) : now;
         if (!again) c.product->patience = std::max(c.product->patience, patience);
-        c.shots.reserve(desk_.set.max_shots);
+        c.shots.reserve(desk_.set.max_attempts);
         fleet_.weigh(c);
         if (patience <= Span{} || chain_.there(c) == Step::end) answer(c);
         forget_if_over(c);
@@ -848,7 +848,7 @@
         if (desk_.set.known_slots) c->weight = std::min(c->weight, begun_weight);
         call_off(*c, shot);   // a stream belongs to the client: its twin is of no use
     }
-    void shot_ended(Time now, CallId id, int number, Outcome outcome, bool call_done) override {
+    void attempt_ended(Time now, CallId id, int number, Outcome outcome, bool call_done) override {
         auto* c = find(now, id);
         if (!c || !c->out(number)) return;
         Shot& shot = *c->out(number);
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -53,7 +53,7 @@
     // What does not go out ends as never sent.
     virtual bool may_begin(Time now, CallId id, int shot) = 0;
     virtual void stream_began(Time now, CallId id, int shot) = 0;
-    virtual void shot_ended(Time now, CallId id, int shot, Outcome outcome, bool call_done) = 0;
+    virtual void attempt_ended(Time now, CallId id, int shot, Outcome outcome, bool call_done) = 0;
     virtual void probed(Time now, ServerId id, bool answered) = 0;
     virtual void woke(Time now, uint64_t cookie) = 0;
     // What changes while it runs: this balancer's place among all of them; products, told again under the same
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -312,7 +312,7 @@
     watch_attempt(*request, number, outcome);
     const bool answered = !request->client;
     if (auto* pool = services_.find(request->service))
-        pool->balancer().shot_ended(context_.now(), call, number, outcome, answered);
+        pool->balancer().attempt_ended(context_.now(), call, number, outcome, answered);
     if (auto* held = requests_.find(call)) requests_.forget_if_over(*held);
 }
 
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -24,7 +24,7 @@
     settings.balancers = static_cast<int>(context.proxies);
     settings.known_slots = settings.drain_binds_alone = true;
     settings.probing = settings.cancel = settings.retry_after = true;
-    settings.max_shots = most_attempts;
+    settings.max_attempts = most_attempts;
     settings.max_retry_after = come_back;
     settings.ask_within = Span{10};
     settings.warm_after = Span{1};
--- a/src/run/servers.cpp
+++ b/src/run/servers.cpp
@@ -227,7 +227,7 @@
     if (!call) return;
     s_.counters.add(counter(outcome));
     --call->out;
-    s_.balancer->shot_ended(s_.loop.now(), id, shot, outcome, !call->client);
+    s_.balancer->attempt_ended(s_.loop.now(), id, shot, outcome, !call->client);
     s_.calls.forget_if_over(*call);
 }
 
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -27,7 +27,7 @@
     bool drain_binds_alone = false;   // a server listed as gone, or left out, may still be sent to
     bool pushed = true, probing = false, cancel = false, retry_after = false;
     bool duplicates = false;          // a second copy may be out while the first is
-    int max_shots = 1;
+    int max_attempts = 1;
     Span max_retry_after, ask_within, warm_after;
     double start_capacity = 1, tip_multiple = 1;
     double cross_price = 0;
@@ -73,7 +73,7 @@
         s.cancel = yes("Limits.Cancel");
         s.retry_after = yes("Limits.RetryAfter");
         s.duplicates = found_.count("Limits.MayDuplicate") && yes("Limits.MayDuplicate");
-        s.max_shots = std::max(1, count("Limits.MaxShots", number("Limits.MaxShots")));
+        s.max_attempts = std::max(1, count("Limits.MaxShots", number("Limits.MaxShots")));
         s.max_retry_after = {number("Limits.MaxRetryAfterS", 0)};
         // A pushed list need not have it; what brings the list may fail all the same, and is asked again.
         s.ask_within = {s.pushed ? positive("Guarantees.AskWithinS", 10) : positive("Guarantees.AskWithinS")};
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -852,7 +852,7 @@
     play.balancer->stream_began(play.now, 1, 0);
     play.balancer->probed(play.now, server, false);    // quarantined
     CHECK(play.count("cancel") == 0);
-    play.balancer->shot_ended(play.now, 1, 0, Outcome::reset, true);
+    play.balancer->attempt_ended(play.now, 1, 0, Outcome::reset, true);
     play.pass(5);
     CHECK(play.count("send") == 1);
     CHECK(play.count("rate_limit") + play.count("error") == 0);
--- a/tests/play.hpp
+++ b/tests/play.hpp
@@ -78,7 +78,7 @@
         return 0;
     }
     void end(CallId id, Outcome outcome, int shot = 0) {
-        balancer->shot_ended(now, id, shot, outcome, outcome == Outcome::fulfilled);
+        balancer->attempt_ended(now, id, shot, outcome, outcome == Outcome::fulfilled);
     }
     // `n` calls one after another, each answered after `took` seconds, or never; the servers they went to.
     std::multiset<ServerId> answer_some(int n, double took = 0.05, uint32_t product = 0, uint32_t tenant = 0) {
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -636,7 +636,7 @@
     CHECK(c.sockets == 64);
     CHECK(c.settings.products.at(1).name == "book");
     CHECK(c.settings.zones == std::vector<std::string>{"north_hall", "yard"});
-    CHECK(c.settings.max_shots == 3);
+    CHECK(c.settings.max_attempts == 3);
     CHECK(c.settings.connect_timeout.s == 0.25);
     CHECK(c.log_level == myrtleroute::run::Level::info);
 }
--- a/tests/system/pool_test.cpp
+++ b/tests/system/pool_test.cpp
@@ -134,10 +134,10 @@
     Pool pool;
     for (const ServerId server : {11, 12, 13}) pool.tell(std::to_string(server), server, HostState::ready);
     const auto call = pool.request();
-    pool.pool.balancer().shot_ended(pool.context.now(), call, 0, Outcome::reset, false);
+    pool.pool.balancer().attempt_ended(pool.context.now(), call, 0, Outcome::reset, false);
     REQUIRE(pool.sent.size() == 2);
     CHECK(pool.sent[0] != pool.sent[1]);
-    pool.pool.balancer().shot_ended(pool.context.now(), call, 1, Outcome::reset, false);
+    pool.pool.balancer().attempt_ended(pool.context.now(), call, 1, Outcome::reset, false);
     CHECK(pool.sent.size() == 2);
 }
 
@@ -148,7 +148,7 @@
     for (int n = 0; n < routes; ++n) {
         pool.route.timeout = Span{10 + n * 0.01};
         const auto call = pool.request();
-        pool.pool.balancer().shot_ended(pool.context.now(), call, 0, Outcome::fulfilled, true);
+        pool.pool.balancer().attempt_ended(pool.context.now(), call, 0, Outcome::fulfilled, true);
     }
 }
 
@@ -164,7 +164,7 @@
     const auto before = pool.sent.size();
     const auto call = pool.request();
     REQUIRE(pool.sent.size() == before + 1);
-    pool.pool.balancer().shot_ended(pool.context.now(), call, 0, Outcome::reset, false);
+    pool.pool.balancer().attempt_ended(pool.context.now(), call, 0, Outcome::reset, false);
     CHECK(pool.sent.size() == before + 1);
 }
 
