--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -207,7 +207,7 @@
         if (number >= sheets_.size() || !sheets_[number])
             throw BadInput("unknown list number " + std::to_string(number));
         Reader entries(sheets_[number]->data(), sheets_[number]->size());
-        balancer().list_starts(now_, kind != 0, kind == 2);
+        balancer().list_began(now_, kind != 0, kind == 2);
         while (!entries.empty()) {
             const auto id = entries.server();
             const auto zone = entries.number<uint16_t>();
@@ -218,10 +218,10 @@
             const auto size = entries.number<float>();
             const auto launched = entries.seconds();
             if (!std::isfinite(size)) throw BadInput("a capacity hint is no finite number");
-            balancer().lists(id, zone, cell, static_cast<State>(condition), size,
+            balancer().server_listed(id, zone, cell, static_cast<State>(condition), size,
                              launched == 0 ? long_ago : Time{launched});
         }
-        balancer().list_ends();
+        balancer().list_ended();
     }
     void accept(Reader in) {
         const auto id = in.number<uint64_t>();
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -113,13 +113,13 @@
     }
 
     // The list.
-    void list_starts(bool whole, bool cached) {
+    void list_began(bool whole, bool cached) {
         if (!cached) asked_again_ = 0;
         if (whole)
             for (auto* s : listed_)
                 if (std::exchange(s->state, State::gone) != State::gone) s->vouched = desk_.now;
     }
-    void lists(ServerId id, uint16_t zone, uint16_t cell, State state, double size, Time launched) {
+    void server_listed(ServerId id, uint16_t zone, uint16_t cell, State state, double size, Time launched) {
         auto& slot = known_[id];
         if (slot && launched > slot->launched && !slot->drained) restarted_ = desk_.now;
         if (!slot) {
@@ -141,7 +141,7 @@
         slot->launched = launched;
         slot->credit = desk_.chance.share();   // so that balancers' turns at it are spread
     }
-    void list_ends() {
+    void list_ended() {
         std::sort(listed_.begin(), listed_.end(), [](auto* a, auto* b) { return a->id < b->id; });
         arrange();
         refill();
@@ -802,11 +802,11 @@
         if (!desk_.set.pushed) out.watch_list();
     }
 
-    void list_starts(Time now, bool whole, bool cached) override { at(now).list_starts(whole, cached); }
-    void lists(ServerId id, uint16_t zone, uint16_t cell, State state, double size, Time launched) override {
-        fleet_.lists(id, zone, cell, state, size, launched);
+    void list_began(Time now, bool whole, bool cached) override { at(now).list_began(whole, cached); }
+    void server_listed(ServerId id, uint16_t zone, uint16_t cell, State state, double size, Time launched) override {
+        fleet_.server_listed(id, zone, cell, state, size, launched);
     }
-    void list_ends() override { fleet_.list_ends(); }
+    void list_ended() override { fleet_.list_ended(); }
     void list_failed(Time now) override { at(now).list_failed(); }
 
     void call_arrived(Time now, CallId id, uint32_t product, uint32_t tenant, Span patience,
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -38,10 +38,10 @@
 public:
     virtual ~Balancer() = default;
     // The list of servers comes as a start, its entries and an end; `whole` lists leave out what is gone.
-    virtual void list_starts(Time now, bool whole, bool cached) = 0;
-    virtual void lists(ServerId id, uint16_t zone, uint16_t cell, State state, double size,
+    virtual void list_began(Time now, bool whole, bool cached) = 0;
+    virtual void server_listed(ServerId id, uint16_t zone, uint16_t cell, State state, double size,
                        Time launched) = 0;
-    virtual void list_ends() = 0;
+    virtual void list_ended() = 0;
     virtual void list_failed(Time now) = 0;
     // `work`: what the call is told to cost a server, `key`: what it concerns; 0 if that is not told. `again`:
     // it is told to be a further try of the client. `pull`: calls that a server which has what the call needs may
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -84,15 +84,15 @@
     if (away) returns_.erase(id);
     const auto returns = returns_.find(id);
     const Time launched = long_before + Span{returns == returns_.end() ? 0.0 : returns->second};
-    balancer_->list_starts(context_.now(), false, false);
+    balancer_->list_began(context_.now(), false, false);
     // One that drains or has left is never sent to again; one that is lost may be, until a connect fails as well.
     const auto list = [&](State state) {
-        balancer_->lists(id, 0, 0, state, host.capacity, launched);
+        balancer_->server_listed(id, 0, 0, state, host.capacity, launched);
     };
     if (host.state == HostState::ready) list(State::ready);
     if (host.state == HostState::draining || host.state == HostState::gone) list(State::draining);
     if (away) list(State::gone);
-    balancer_->list_ends();
+    balancer_->list_ended();
 }
 
 void ServicePool::excluded(const registry::Host& host, ServerId id) {
--- a/src/run/watcher.cpp
+++ b/src/run/watcher.cpp
@@ -150,7 +150,7 @@
     ++lists_;
     entries_ = 0;
     whole_ = whole;
-    s_.balancer->list_starts(s_.loop.now(), whole, cached_);
+    s_.balancer->list_began(s_.loop.now(), whole, cached_);
 }
 
 void Watcher::server(std::string_view uid, std::string_view endpoint, std::string_view zone, uint16_t cell,
@@ -166,7 +166,7 @@
     if (is == State::gone) leaves(server);
     else server.gone = false;
     const Time launched = boot_ms > 0 ? Time{boot_ms / 1000 - clocks_apart_} : long_ago;
-    s_.balancer->lists(server.id, zone_number(zone), cell, is, size, launched);
+    s_.balancer->server_listed(server.id, zone_number(zone), cell, is, size, launched);
     has_list_ = true;
     ++entries_;
 }
@@ -181,7 +181,7 @@
     s_.servers.forget_gone(s_.loop.now() - (s_.settings().drain_binds_alone ? most_memory : Span{}));
     if (!cached_) s_.counters.add(Count::lists_told);
     if (entries_) s_.log.info() << (whole_ ? "whole list, servers: " : "list changes, servers: ") << entries_;
-    s_.balancer->list_ends();
+    s_.balancer->list_ended();
 }
 
 // Where only draining binds, one that is called gone may serve on, and its connections with it.
--- a/tests/play.hpp
+++ b/tests/play.hpp
@@ -48,9 +48,9 @@
         double size = 1;
     };
     void list(const std::vector<Listed>& entries, bool whole = false) {
-        balancer->list_starts(now, whole, false);
-        for (const auto& e : entries) balancer->lists(e.id, e.zone, e.cell, e.state, e.size, e.launched);
-        balancer->list_ends();
+        balancer->list_began(now, whole, false);
+        for (const auto& e : entries) balancer->server_listed(e.id, e.zone, e.cell, e.state, e.size, e.launched);
+        balancer->list_ended();
     }
     // Lets time pass and wakes what asked for it, in order.
     void pass(double seconds) {
