--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -100,7 +100,7 @@
     void probe(ServerId server) override { record(1100, Address(server)); }
     void close_idle(ServerId server) override { record(1040, Address(server)); }
     void watch_list() override { record(1090, uint8_t{1}); }
-    void wake(Span after, uint64_t cookie) override { record(1060, after.s, cookie); }
+    void set_timer(Span after, uint64_t cookie) override { record(1060, after.s, cookie); }
     void log(std::string_view what, ServerId server) override {
         std::string line(what);
         if (server) {
@@ -168,7 +168,7 @@
             case 1100: return balancer().client_left(now_, in.number<uint64_t>());
             case 1030: return health(in);
             case 1000: balancer(); instance_->balancer.reset(); return;
-            case 1040: return balancer().woke(now_, in.number<uint64_t>());
+            case 1040: return balancer().timer_fired(now_, in.number<uint64_t>());
             case 1070: return first_byte(in);
             case 1090: return response(in);
             default: return;   // records of later versions; mail is not used
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -151,7 +151,7 @@
         const Span most = std::min(desk_.set.ask_within, most_untold);
         const Span wait = most * (std::min(16, 1 << asked_again_) / 40.0);
         asked_again_ = std::min(4, asked_again_ + 1);
-        desk_.out.wake(wait * (0.5 + desk_.chance.share() / 2), list_cookie);
+        desk_.out.set_timer(wait * (0.5 + desk_.chance.share() / 2), list_cookie);
     }
 
     // The pool: members_ are the first of order_, so that each balancer has a stable part of its own.
@@ -766,10 +766,10 @@
         shot.number = static_cast<int>(c.shots.size());
         c.shots.push_back(shot);
         desk_.out.send(c.id, server->id, c.give_up - desk_.now);
-        desk_.out.wake(fleet_.silence(c), c.id);
+        desk_.out.set_timer(fleet_.silence(c), c.id);
         const Span left = c.arrived + fleet_.last_use(c) - desk_.now;   // a repeat has less
-        if (shot.number == 0 && desk_.set.tail && left > Span{}) desk_.out.wake(left, c.id);
-        if (desk_.set.duplicates && shot.number == 0) desk_.out.wake(fleet_.overdue(c), c.id);
+        if (shot.number == 0 && desk_.set.tail && left > Span{}) desk_.out.set_timer(left, c.id);
+        if (desk_.set.duplicates && shot.number == 0) desk_.out.set_timer(fleet_.overdue(c), c.id);
         ++server->named;
         fleet_.sent(c.shots.back());
         return Step::keep;
@@ -798,7 +798,7 @@
         chain_.add(shares_);
         chain_.add(further_);
         chain_.add(send_);
-        out.wake(tick, tick_cookie);
+        out.set_timer(tick, tick_cookie);
         if (!desk_.set.pushed) out.watch_list();
     }
 
@@ -862,7 +862,7 @@
     void probed(Time now, ServerId id, bool reply) override {
         if (auto* s = at(now).find(id)) fleet_.probed(*s, reply);
     }
-    void woke(Time now, uint64_t cookie) override {
+    void timer_fired(Time now, uint64_t cookie) override {
         desk_.now = now;
         if (cookie == list_cookie) return desk_.out.watch_list();
         if (auto* c = find(now, cookie))
@@ -873,7 +873,7 @@
             next_resize_ = now + interval;
             fleet_.resize();
         }
-        desk_.out.wake(tick, tick_cookie);
+        desk_.out.set_timer(tick, tick_cookie);
     }
 
     void placed(int me, int balancers) override {
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -29,7 +29,7 @@
     virtual void probe(ServerId server) = 0;
     virtual void close_idle(ServerId server) = 0;
     virtual void watch_list() = 0;
-    virtual void wake(Span after, uint64_t cookie) = 0;
+    virtual void set_timer(Span after, uint64_t cookie) = 0;
     virtual void log(std::string_view line, ServerId about = 0) = 0;   // 0: no one server
     virtual bool may_repeat(CallId) { return true; }   // whether a further shot of the call is allowed now
 };
@@ -55,7 +55,7 @@
     virtual void stream_began(Time now, CallId id, int shot) = 0;
     virtual void attempt_ended(Time now, CallId id, int shot, Outcome outcome, bool call_done) = 0;
     virtual void probed(Time now, ServerId id, bool answered) = 0;
-    virtual void woke(Time now, uint64_t cookie) = 0;
+    virtual void timer_fired(Time now, uint64_t cookie) = 0;
     // What changes while it runs: this balancer's place among all of them; products, told again under the same
     // number; bytes of an answer that goes on; and what a server says of the calls that it holds, of all balancers.
     virtual void placed(int me, int balancers) = 0;
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -102,13 +102,13 @@
     excluded_.insert(id);
 }
 
-void ServicePool::wake(Span after, uint64_t cookie) {
+void ServicePool::set_timer(Span after, uint64_t cookie) {
     context_.loop.wake(context_.now() + after, cookie | static_cast<uint64_t>(number_) << pool_shift);
 }
 
 size_t ServicePool::pool_of(uint64_t cookie) { return (cookie >> pool_shift) & pool_mask; }
 
-void ServicePool::woke(uint64_t cookie) { balancer_->woke(context_.now(), cookie & ~(pool_mask << pool_shift)); }
+void ServicePool::woke(uint64_t cookie) { balancer_->timer_fired(context_.now(), cookie & ~(pool_mask << pool_shift)); }
 
 void ServicePool::log(std::string_view line, ServerId) { log_debug() << key_.service << ": " << line; }
 
--- a/src/roles/proxy/service_pool.hpp
+++ b/src/roles/proxy/service_pool.hpp
@@ -62,7 +62,7 @@
     void probe(ServerId server) override { events_.probe(server); }
     void close_idle(ServerId server) override { events_.close_idle(server); }
     void watch_list() override {}
-    void wake(Span after, uint64_t cookie) override;
+    void set_timer(Span after, uint64_t cookie) override;
     void log(std::string_view line, ServerId about) override;
     bool may_repeat(CallId call) override;
 
--- a/src/run/proxy.cpp
+++ b/src/run/proxy.cpp
@@ -50,7 +50,7 @@
 
 bool Proxy::round() {
     if (watcher_.has_list()) clients_.ready();
-    s_.loop.round([this](uint64_t cookie) { s_.balancer->woke(s_.loop.now(), cookie); }, [this] { settle(); });
+    s_.loop.round([this](uint64_t cookie) { s_.balancer->timer_fired(s_.loop.now(), cookie); }, [this] { settle(); });
     if (phase_ < closed || (phase_ < over && !clients_.over())) return true;
     s_.loop.end_all(memory::Why::stopping);
     s_.log.info() << s_.config.name << " ends: " << counts();
@@ -175,7 +175,7 @@
 
 void Proxy::watch_list() { watcher_.watch(); }
 
-void Proxy::wake(Span after, uint64_t cookie) { s_.loop.wake(s_.loop.now() + after, cookie); }
+void Proxy::set_timer(Span after, uint64_t cookie) { s_.loop.wake(s_.loop.now() + after, cookie); }
 
 void Proxy::log(std::string_view line, ServerId about) {
     const auto* server = about ? s_.servers.find(about) : nullptr;
--- a/src/run/proxy.hpp
+++ b/src/run/proxy.hpp
@@ -22,7 +22,7 @@
     void probe(ServerId server) override;
     void close_idle(ServerId server) override;
     void watch_list() override;
-    void wake(Span after, uint64_t cookie) override;
+    void set_timer(Span after, uint64_t cookie) override;
     void log(std::string_view line, ServerId about) override;
 
 private:
--- a/tests/play.hpp
+++ b/tests/play.hpp
@@ -64,7 +64,7 @@
             const auto wake = wakes[next];
             wakes.erase(wakes.begin() + static_cast<long>(next));
             now = std::max(now, wake.first);
-            balancer->woke(now, wake.second);
+            balancer->timer_fired(now, wake.second);
         }
         now = until;
     }
@@ -112,7 +112,7 @@
     void probe(ServerId server) override { done.push_back({"probe", 0, server, 0}); }
     void close_idle(ServerId) override {}
     void watch_list() override { done.push_back({"watch", 0, 0, 0}); }
-    void wake(Span after, uint64_t cookie) override { wakes.push_back({now + after, cookie}); }
+    void set_timer(Span after, uint64_t cookie) override { wakes.push_back({now + after, cookie}); }
     void log(std::string_view, ServerId) override {}
 
     Time now{100};
