--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -236,7 +236,7 @@
     }
     void health(Reader in) {
         const auto id = in.server();
-        balancer().probed(now_, id, outcome_of(in.number<uint16_t>()) == Outcome::fulfilled);
+        balancer().probe_ended(now_, id, outcome_of(in.number<uint16_t>()) == Outcome::fulfilled);
     }
     void first_byte(Reader in) {
         const auto id = in.number<uint64_t>();
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -84,7 +84,7 @@
         tenants_.assign(desk.set.allowances.size() + 1, Kind(penalty));
         least_slo_ = table_.least_slo(interval);
     }
-    uint32_t product(const Product& told) {
+    uint32_t define_product(const Product& told) {
         const auto [number, fresh] = table_.tell(told);
         if (!fresh) return static_cast<uint32_t>(number);
         tail_.resize(table_.size(), Ring<2>(penalty));
@@ -98,10 +98,10 @@
         least_slo_ = table_.least_slo(interval);
         return static_cast<uint32_t>(number);
     }
-    void heard(ServerId id) {
+    void data_received(ServerId id) {
         if (auto* s = find(id)) s->last_heard = last_heard_ = desk_.now;
     }
-    void reported(ServerId id, double held) {
+    void load_reported(ServerId id, double held) {
         auto* s = find(id);
         if (!s) return;
         s->others = std::max(0.0, held - s->load());
@@ -342,7 +342,7 @@
     }
 
     // Guards against a drain or the end of a window that came while the shot's connection was coming up.
-    bool may_begin(const Shot& shot) const {
+    bool may_start(const Shot& shot) const {
         return serves(*shot.server) && may_send(*shot.call, *shot.server, desk_.now, &shot);
     }
     bool restarting() const { return desk_.now < restarted_ + interval * 2; }
@@ -371,7 +371,7 @@
         s.probing = true;
         desk_.out.probe(s.id);
     }
-    void probed(Server& s, bool reply) {
+    void probe_ended(Server& s, bool reply) {
         s.probing = false;
         if (reply) {
             if (s.quarantined) desk_.out.log("probe answered, back in the pool:", s.id);
@@ -837,9 +837,9 @@
         over(*c);
         forget_if_over(*c);
     }
-    bool may_begin(Time now, CallId id, int shot) override {
+    bool may_start(Time now, CallId id, int shot) override {
         auto* c = find(now, id);
-        return c && c->out(shot) && !c->ended && fleet_.may_begin(*c->out(shot));
+        return c && c->out(shot) && !c->ended && fleet_.may_start(*c->out(shot));
     }
     void stream_began(Time now, CallId id, int shot) override {
         auto* c = find(now, id);
@@ -859,8 +859,8 @@
         if (call_done) over(*c);
         forget_if_over(*c);
     }
-    void probed(Time now, ServerId id, bool reply) override {
-        if (auto* s = at(now).find(id)) fleet_.probed(*s, reply);
+    void probe_ended(Time now, ServerId id, bool reply) override {
+        if (auto* s = at(now).find(id)) fleet_.probe_ended(*s, reply);
     }
     void timer_fired(Time now, uint64_t cookie) override {
         desk_.now = now;
@@ -876,17 +876,17 @@
         desk_.out.set_timer(tick, tick_cookie);
     }
 
-    void placed(int me, int balancers) override {
+    void position_changed(int me, int balancers) override {
         desk_.set.me = me;
         desk_.set.balancers = std::max(1, balancers);
     }
-    uint32_t product(const Product& product) override { return fleet_.product(product); }
+    uint32_t define_product(const Product& product) override { return fleet_.define_product(product); }
     const Product* product_of(CallId id) const override {
         const auto it = calls_.find(id);
         return it == calls_.end() ? nullptr : it->second.product;
     }
-    void heard(Time now, ServerId id) override { at(now).heard(id); }
-    void reported(Time now, ServerId id, double held) override { at(now).reported(id, held); }
+    void data_received(Time now, ServerId id) override { at(now).data_received(id); }
+    void load_reported(Time now, ServerId id, double held) override { at(now).load_reported(id, held); }
 
 private:
     Fleet& at(Time now) { return desk_.now = now, fleet_; }
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -51,18 +51,18 @@
     virtual void client_left(Time now, CallId id) = 0;
     // Asked when the connection that a shot had to wait for has come up: whether its first byte may still go out.
     // What does not go out ends as never sent.
-    virtual bool may_begin(Time now, CallId id, int shot) = 0;
+    virtual bool may_start(Time now, CallId id, int shot) = 0;
     virtual void stream_began(Time now, CallId id, int shot) = 0;
     virtual void attempt_ended(Time now, CallId id, int shot, Outcome outcome, bool call_done) = 0;
-    virtual void probed(Time now, ServerId id, bool answered) = 0;
+    virtual void probe_ended(Time now, ServerId id, bool answered) = 0;
     virtual void timer_fired(Time now, uint64_t cookie) = 0;
     // What changes while it runs: this balancer's place among all of them; products, told again under the same
     // number; bytes of an answer that goes on; and what a server says of the calls that it holds, of all balancers.
-    virtual void placed(int me, int balancers) = 0;
-    virtual uint32_t product(const Product& product) = 0;
+    virtual void position_changed(int me, int balancers) = 0;
+    virtual uint32_t define_product(const Product& product) = 0;
     virtual const Product* product_of(CallId id) const = 0;   // as which a call is decided; null: it is over
-    virtual void heard(Time now, ServerId id) = 0;
-    virtual void reported(Time now, ServerId id, double held) = 0;
+    virtual void data_received(Time now, ServerId id) = 0;
+    virtual void load_reported(Time now, ServerId id, double held) = 0;
 };
 
 std::unique_ptr<Balancer> start_balancer(Time now, Settings settings, uint64_t seed, Actions& actions);
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -69,10 +69,10 @@
             [this](Request& request, const Reply& reply, bool streamed) { answered(request, reply, streamed); },
             [](Request& request, Reply reply) { request.last_failure = std::move(reply); },
             [this](size_t service, ServerId id) {
-                if (auto* pool = services_.find(service)) pool->balancer().heard(context_.now(), id);
+                if (auto* pool = services_.find(service)) pool->balancer().data_received(context_.now(), id);
             },
             [this](size_t service, ServerId id, double held) {
-                if (auto* pool = services_.find(service)) pool->balancer().reported(context_.now(), id, held);
+                if (auto* pool = services_.find(service)) pool->balancer().load_reported(context_.now(), id, held);
             },
             [this](HostRecord& host) {
                 auto gone = host.host;
@@ -82,11 +82,11 @@
             },
             [this](CallId call, int number, Outcome outcome) { attempt_ended(call, number, outcome); },
             [this](size_t service, ServerId id, bool answered) {
-                if (auto* pool = services_.find(service)) pool->balancer().probed(context_.now(), id, answered);
+                if (auto* pool = services_.find(service)) pool->balancer().probe_ended(context_.now(), id, answered);
             },
             [this](Request& request, int number) {
                 auto* pool = services_.find(request.service);
-                return pool && pool->balancer().may_begin(context_.now(), request.id, number);
+                return pool && pool->balancer().may_start(context_.now(), request.id, number);
             }};
 }
 
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -61,7 +61,7 @@
                    std::to_string(product.slo.s) + "/" + std::to_string(product.client_timeout.s) + "/" +
                    std::to_string(product.attempts);
     budget_->request(context_.now());
-    const auto number = balancer_->product(product);
+    const auto number = balancer_->define_product(product);
     const double unread = std::max(0.0, request.prompt.tokens_in - read_part * request.prompt.shared_tokens);
     const Span work{is_engine ? (unread + least_tokens) / tokens_a_second : 0};
     const double pull = std::min(most_pull, request.prompt.shared_tokens / tokens_a_call);
--- a/src/roles/proxy/service_pools.cpp
+++ b/src/roles/proxy/service_pools.cpp
@@ -35,7 +35,7 @@
     const auto seed = static_cast<uint64_t>(context_.chance.next()) << 32 | context_.chance.next();
     auto pool = std::make_unique<ServicePool>(context_, key, number, seed, budget_of(key.service), events_);
     numbers_[key] = number;
-    pool->balancer().placed(place_, proxies_);
+    pool->balancer().position_changed(place_, proxies_);
     return pools_.emplace(number, Entry{std::move(pool), now}).first->second.pool.get();
 }
 
@@ -80,7 +80,7 @@
 void ServicePools::placed(int place, int proxies) {
     place_ = place;
     proxies_ = proxies;
-    for (auto& [number, entry] : pools_) entry.pool->balancer().placed(place, proxies);
+    for (auto& [number, entry] : pools_) entry.pool->balancer().position_changed(place, proxies);
 }
 
 }   // namespace myrtleroute::proxy
--- a/src/run/servers.cpp
+++ b/src/run/servers.cpp
@@ -107,7 +107,7 @@
 void Servers::up(Connection& connection) {
     auto& line = static_cast<Line&>(connection);
     if (s_.loop.now() >= line.until) return timed_out(line, Outcome::connect_failed, Why::connect_timed_out);
-    if (line.call && !s_.balancer->may_begin(s_.loop.now(), line.call->id, line.shot))
+    if (line.call && !s_.balancer->may_start(s_.loop.now(), line.call->id, line.shot))
         return ends(line, Outcome::never_sent, Why::server_left);
     s_.loop.set(line, line.until);
     write(line);
@@ -233,7 +233,7 @@
 
 void Servers::probed(ServerId server, bool answered) {
     if (answered) s_.counters.add(Count::probes_answered);
-    s_.balancer->probed(s_.loop.now(), server, answered);
+    s_.balancer->probe_ended(s_.loop.now(), server, answered);
 }
 
 void Servers::settle() {
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -69,7 +69,7 @@
                             Case{"a first shot has no window", 2, 3, State::ready, true});
     INFO(c.what);
     Play play;
-    CHECK_FALSE(play.balancer->may_begin(play.now, 1, 0));   // nobody knows of it
+    CHECK_FALSE(play.balancer->may_start(play.now, 1, 0));   // nobody knows of it
     play.call(1, c.product);
     int shot = 0;
     if (c.product == 1) {
@@ -79,10 +79,10 @@
     const auto server = play.last_send(1);
     play.now = play.now + Span{c.waits};
     play.list({{server, c.state}});
-    CHECK(play.balancer->may_begin(play.now, 1, shot) == c.may);
-    CHECK_FALSE(play.balancer->may_begin(play.now, 1, shot + 1));   // not out
+    CHECK(play.balancer->may_start(play.now, 1, shot) == c.may);
+    CHECK_FALSE(play.balancer->may_start(play.now, 1, shot + 1));   // not out
     play.balancer->client_left(play.now, 1);
-    CHECK_FALSE(play.balancer->may_begin(play.now, 1, shot));
+    CHECK_FALSE(play.balancer->may_start(play.now, 1, shot));
 }
 
 TEST_CASE("a deduplicated call that may have run stays in its group and its window") {
@@ -687,13 +687,13 @@
     const auto silent = play.call(1, product);
     play.answer_some(50, 0.03);
     REQUIRE(play.count("probe") == 1);
-    play.balancer->probed(play.now, silent, false);
+    play.balancer->probe_ended(play.now, silent, false);
     CHECK(play.count("cancel", 1) == (product == 0 ? 1 : 0));   // what must not run twice runs on
     CHECK(play.answer_some(40, 0).count(silent) == 0);
     CHECK(play.count("send", 1) == 1);                          // resent only after the cancel's outcome
     play.pass(1.1);
     REQUIRE(play.count("probe") == 2);
-    play.balancer->probed(play.now, silent, true);
+    play.balancer->probe_ended(play.now, silent, true);
     play.end(1, Outcome::cancelled);
     CHECK(play.count("send", 1) == (product == 0 ? 2 : 1));
     if (product == 0) CHECK(play.last_send(1) != silent);
@@ -718,7 +718,7 @@
     for (CallId id = 1; id <= 5; ++id) open[play.call(id, 2)] = id;
     play.answer_some(50, 0.03);
     CHECK(play.count("probe") == 5);
-    for (const auto& [server, id] : open) play.balancer->probed(play.now, server, false);
+    for (const auto& [server, id] : open) play.balancer->probe_ended(play.now, server, false);
     const auto used = play.leave_open(20);
     CHECK(std::set<ServerId>(used.begin(), used.end()).size() == 3);
 }
@@ -850,7 +850,7 @@
     Play play({}, 6);
     const auto server = play.call(1);
     play.balancer->stream_began(play.now, 1, 0);
-    play.balancer->probed(play.now, server, false);    // quarantined
+    play.balancer->probe_ended(play.now, server, false);    // quarantined
     CHECK(play.count("cancel") == 0);
     play.balancer->attempt_ended(play.now, 1, 0, Outcome::reset, true);
     play.pass(5);
@@ -887,7 +887,7 @@
         refused += play.call(id, 0, 3) == 0;
         for (; seen < play.done.size(); ++seen) {
             auto d = play.done[seen];
-            if (d.what == "probe") play.balancer->probed(play.now, d.server, true);
+            if (d.what == "probe") play.balancer->probe_ended(play.now, d.server, true);
             if (d.what != "send") continue;
             d.shot = shots[d.call]++;
             ends.emplace(play.now.s + (d.server <= c.hang ? 2.95 : 0.15), d);
@@ -914,8 +914,8 @@
     REQUIRE(pool.size() == 6);
     const auto bad = *pool.begin();
     for (int i = 0; i < 3; ++i) {
-        play.balancer->probed(play.now, bad, false);
-        if (i < 2) play.balancer->probed(play.now, bad, true);
+        play.balancer->probe_ended(play.now, bad, false);
+        if (i < 2) play.balancer->probe_ended(play.now, bad, true);
     }
     const size_t before = play.done.size();
     play.pass(0.3);
@@ -924,8 +924,8 @@
         if (play.done[i].what == "probe" && play.done[i].server != bad) candidate = play.done[i].server;
     REQUIRE(candidate != 0);
     CHECK(pool.count(candidate) == 0);
-    play.balancer->probed(play.now, candidate, true);
-    play.balancer->probed(play.now, bad, true);        // restored too late: it has left the pool
+    play.balancer->probe_ended(play.now, candidate, true);
+    play.balancer->probe_ended(play.now, bad, true);        // restored too late: it has left the pool
     play.pass(6);
     const auto used = play.leave_open(6);
     CHECK(used.count(candidate) == 1);
--- a/tests/system/pool_test.cpp
+++ b/tests/system/pool_test.cpp
@@ -117,7 +117,7 @@
 TEST_CASE("a host that tells of others' requests gets fewer") {
     Pool pool;
     for (const ServerId server : {11, 12}) pool.tell(std::to_string(server), server, HostState::ready);
-    pool.pool.balancer().reported(pool.context.now(), 11, 3);
+    pool.pool.balancer().load_reported(pool.context.now(), 11, 3);
     for (int i = 0; i < 4; ++i) pool.request();
     CHECK(pool.sent_to(12) > pool.sent_to(11));
 }
