--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -52,7 +52,7 @@
 
 // Until when an answer is worth anything; later ones are not worth a further shot.
 Time useful_until(const Call& c) {
-    return c.product->tardy_value > 0 ? c.give_up : std::min(c.give_up, c.arrived + c.product->slo);
+    return c.product->late_value > 0 ? c.give_up : std::min(c.give_up, c.arrived + c.product->slo);
 }
 
 bool same_group(const Product& p, const Server& a, const Server& b) {
@@ -358,7 +358,7 @@
     }
     // Guards against late answers that cost more than a refusal: given up and told so just before the SLO.
     bool cuts(const Call& c) const { return cutting_ && may_rate_limit(c); }
-    bool gives_up(const Call& c) { return cuts(c) && !(c.product->tardy_value > 0 && borne(c)); }
+    bool gives_up(const Call& c) { return cuts(c) && !(c.product->late_value > 0 && borne(c)); }
     Span last_use(const Call& c) const { return c.product->slo * 0.95; }
     Span overdue(const Call& c) const { return {3 * c.product->quick * std::max(1.0, c.weight)}; }
     void heard_nothing(const Shot& shot) {
@@ -425,13 +425,13 @@
     bool serves(const Server& s) const {
         if (!desk_.set.drain_binds_alone) return s.state == State::ready;
         if (s.drained || s.state == State::ready) return !s.drained;
-        return desk_.now >= s.absent_until && desk_.now < s.vouched + most_memory;
+        return desk_.now >= s.absent_until && desk_.now < s.vouched + gone_server_retention;
     }
     // Guards against growth where new machines come under new ids all day.
     void forget() {
         const auto forgotten = std::erase_if(listed_, [this](auto* s) {
             const bool used = s->named || s->probing || (replacement_ && s == replaced_);
-            const bool kept = desk_.set.drain_binds_alone && desk_.now < s->vouched + most_memory;
+            const bool kept = desk_.set.drain_binds_alone && desk_.now < s->vouched + gone_server_retention;
             if (s->state != State::gone || used || kept) return false;
             lay_ghosts(*s, desk_.now);
             if (s->member) leave(*s);   // time alone has put it out of use, no list
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -14,7 +14,7 @@
 using ServerId = uint64_t;
 
 // How long a server that is gone is remembered after it was last listed as running, or last answered a call.
-constexpr Span most_memory{60};
+constexpr Span gone_server_retention{60};
 
 // What the list service has had to tell for so long counts as told, whatever call to it failed.
 constexpr Span most_untold{6};
--- a/src/model.hpp
+++ b/src/model.hpp
@@ -22,7 +22,7 @@
     Span patience;             // of the most patient first tries
     Repeat repeat = Repeat::idempotent;
     Group group = Group::all;
-    double tardy_value = 0;    // share of the value still earned after the SLO
+    double late_value = 0;    // share of the value still earned after the SLO
     int attempts = 0;          // servers that a call may be sent to, 0 = as the settings say
     double quick = 0;          // seconds that the quickest fifth of the answers stay under, 0 = none seen yet
     double took = 0;           // seconds an answer lately took on an unhurried server, 0 = none seen yet
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -55,7 +55,7 @@
     product.slo = route.target_latency;
     product.client_timeout = route.timeout;
     product.repeat = route.repeatable() ? Repeat::idempotent : Repeat::non_idempotent;
-    product.tardy_value = late_worth;
+    product.late_value = late_worth;
     product.attempts = std::min(route.max_attempts, most_attempts);
     product.name = std::to_string(static_cast<int>(route.kind)) + "/" + std::to_string(route.resumable) + "/" +
                    std::to_string(product.slo.s) + "/" + std::to_string(product.client_timeout.s) + "/" +
--- a/src/run/clients.cpp
+++ b/src/run/clients.cpp
@@ -136,7 +136,7 @@
     s_.counters.add(Count::calls_taken);
     // Our answer has to be with the client before it gives up, so a little of its patience is kept back.
     const Span patience = call.ask.patience;
-    const Span theirs = patience - std::min(s_.settings().grace_to_answer, patience * 0.1);
+    const Span theirs = patience - std::min(s_.settings().answer_margin, patience * 0.1);
     const Span ours = std::min(theirs, answer_by_ - s_.loop.now());
     const auto id = call.id;
     s_.balancer->call_arrived(s_.loop.now(), id, static_cast<uint32_t>(call.ask.product), call.ask.tenant, ours,
--- a/src/run/config.cpp
+++ b/src/run/config.cpp
@@ -140,7 +140,7 @@
     try {
         const SettingsReader reader(pairs);
         c.settings = reader.decode();
-        reader.check_shape();
+        reader.check_topology();
     } catch (const std::runtime_error& fault) {
         throw BadConfig(std::string("configuration: ") + fault.what());
     }
--- a/src/run/shared.hpp
+++ b/src/run/shared.hpp
@@ -45,7 +45,7 @@
     // The application holds a third of the descriptors at most; half of that may stand idle.
     size_t most_idle_clients() const { return config.sockets / 6; }
     size_t most_calls() const {
-        return std::min<size_t>(settings().max_open, most_connections() / 2);
+        return std::min<size_t>(settings().max_open_calls, most_connections() / 2);
     }
 };
 
--- a/src/run/watcher.cpp
+++ b/src/run/watcher.cpp
@@ -178,7 +178,7 @@
             leaves(server);
         });
     // The decisions may go on using one that is called gone, for as long as they remember it.
-    s_.servers.forget_gone(s_.loop.now() - (s_.settings().drain_binds_alone ? most_memory : Span{}));
+    s_.servers.forget_gone(s_.loop.now() - (s_.settings().drain_binds_alone ? gone_server_retention : Span{}));
     if (!cached_) s_.counters.add(Count::lists_told);
     if (entries_) s_.log.info() << (whole_ ? "whole list, servers: " : "list changes, servers: ") << entries_;
     s_.balancer->list_ended();
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -33,8 +33,8 @@
     double cross_price = 0;
     double surplus_value = 1;         // share of the value beyond a tenant's allowance
     // The proxy's own: how connections and answers are kept, and the zones' names.
-    Span connect_timeout, idle_close, grace_to_answer;
-    int max_open = 1;
+    Span connect_timeout, idle_close, answer_margin;
+    int max_open_calls = 1;
     std::vector<std::string> zones;
 };
 
@@ -84,8 +84,8 @@
         s.surplus_value = number("SurplusBilledValue", 1);
         s.connect_timeout = {positive("Limits.ConnectTimeoutS", 1)};
         s.idle_close = {positive("Limits.IdleCloseS", 60)};
-        s.grace_to_answer = {number("Guarantees.GraceToAnswerS", 0)};
-        s.max_open = std::max(1, count("Limits.MaxOpen", number("Limits.MaxOpen", 1e6)));
+        s.answer_margin = {number("Guarantees.GraceToAnswerS", 0)};
+        s.max_open_calls = std::max(1, count("Limits.MaxOpen", number("Limits.MaxOpen", 1e6)));
         s.zones = list("Zones");
         return s;
     }
@@ -93,7 +93,7 @@
     // A deployment has one of two shapes: a proxy beside each application, which asks for its list, or a pool
     // of proxies behind a front, which is sent its list, with live weights and load reports in answers.
     // Guards against settings taken from both: the first key that belongs to the other shape is named.
-    void check_shape() const {
+    void check_topology() const {
         const bool pool = text("Discovery") == "pushed";
         struct Mark { const char *key, *value; bool of_pool; };
         for (const auto& mark : {Mark{"Family", "mesh", false}, {"Family", "proxy", true}, {"Weights", "live", true},
@@ -119,7 +119,7 @@
             one_of(at + "Idempotency", {"read_like", "idempotency_key", "non_idempotent"}));
         if (p.repeat == Repeat::deduplicated)
             p.group = static_cast<Group>(one_of(at + "KeyScope", {"all", "zone", "cell"}));
-        p.tardy_value = number(at + "TardyBilledValue", 0);
+        p.late_value = number(at + "TardyBilledValue", 0);
         return p;
     }
     const std::string& text(const std::string& path) const {
