--- a/src/lab/application.cpp
+++ b/src/lab/application.cpp
@@ -93,7 +93,7 @@
     conn->written = 0;
     conn->call = number;
     conn->product = product;
-    const bool get = kind.repeat == Repeat::idempotent;
+    const bool get = kind.repeat == Idempotency::idempotent;
     auto& text = conn->bytes;
     text = std::string(get ? "GET" : "POST") + " /api/" + kind.name + "?n=" + std::to_string(number) +
            " HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: " + std::to_string(number) + "\r\nX-Priority-Class: " +
--- a/src/lab/oracle.cpp
+++ b/src/lab/oracle.cpp
@@ -163,7 +163,7 @@
 
 bool Oracle::executed(uint64_t number, int server) {
     auto& c = *call(number);
-    if (c.kind().repeat == Repeat::deduplicated) {
+    if (c.kind().repeat == Idempotency::deduplicated) {
         // A group remembers for longer than the window, so a shot sent within it never has a second effect.
         const auto [effect, first] = c.effects.try_emplace(server % zones, queue_.now());
         if (!first) return false;
@@ -171,7 +171,7 @@
     ++c.executions;
     ++summary.executed;
     note(Event::shot_executed, number, server, static_cast<uint64_t>(c.executions));
-    if (c.executions > 1 && c.kind().repeat != Repeat::idempotent)
+    if (c.executions > 1 && c.kind().repeat != Idempotency::idempotent)
         breaks(Rule::no_effect_twice, {number}, "it has had its effect " + std::to_string(c.executions) + " times");
     return true;
 }
@@ -316,7 +316,7 @@
         if (!may_have_run(earlier)) continue;
         if (earlier.fate == Fate::runs || earlier.fate == Fate::waits) summary.met(Hard::resent_while_first_runs);
         const bool grouped = earlier.server % zones == c.server % zones && c.begun - earlier.begun < Span{kind.window};
-        if (kind.repeat == Repeat::non_idempotent || (kind.repeat == Repeat::deduplicated && !grouped))
+        if (kind.repeat == Idempotency::non_idempotent || (kind.repeat == Idempotency::deduplicated && !grouped))
             return breaks(Rule::no_effect_twice, {call.number}, "sent to server " + std::to_string(c.server) +
                           " though it may have run at server " + std::to_string(earlier.server));
     }
@@ -367,9 +367,9 @@
     const Time latest = due(call.proxy, call.arrived, Span{call.kind().timeout} + answer_grace + slack);
     if (queue_.now() > latest)
         return breaks(Rule::in_time, {call.number}, std::to_string((queue_.now() - latest).s) + " s late");
-    if (status == 200 && call.executions == 0 && call.kind().repeat != Repeat::deduplicated)
+    if (status == 200 && call.executions == 0 && call.kind().repeat != Idempotency::deduplicated)
         return breaks(Rule::right_answer, {call.number}, "fulfilled, but it never ran");
-    if ((status == 429 || status == 503) && call.kind().repeat != Repeat::idempotent)
+    if ((status == 429 || status == 503) && call.kind().repeat != Idempotency::idempotent)
         for (const auto& shot : call.shots)
             if (may_have_run(shot))
                 return breaks(Rule::no_false_promise, {call.number}, "it may have run at server " + std::to_string(shot.server));
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -137,7 +137,7 @@
 
 void Server::drops(Job& job) {
     auto* call = site_.oracle.call(job.call);
-    if (call->kind().repeat == Repeat::non_idempotent) site_.oracle.summary.met(Hard::dies_after_last_byte);
+    if (call->kind().repeat == Idempotency::non_idempotent) site_.oracle.summary.met(Hard::dies_after_last_byte);
     site_.oracle.fate(job.call, shot(job), Fate::unproved);
 }
 
@@ -268,7 +268,7 @@
     const bool fresh = site_.oracle.executed(job.call, slot_);
     site_.oracle.fate(job.call, shot(job), Fate::executed);
     if (on(FaultKind::dies_after_effect) && chance_.yes(0.2)) {
-        if (site_.oracle.call(job.call)->kind().repeat == Repeat::non_idempotent)
+        if (site_.oracle.call(job.call)->kind().repeat == Idempotency::non_idempotent)
             site_.oracle.summary.met(Hard::dies_after_last_byte);
         dies();
         return comes_back({chance_.between(0.2, 3)}, false);
--- a/src/lab/site.cpp
+++ b/src/lab/site.cpp
@@ -22,7 +22,7 @@
         out << (&p == &products[0] ? "" : ",") << "{\"Name\":\"" << p.name << "\",\"BilledValue\":" << p.value
             << ",\"LatencySloS\":" << p.slo << ",\"ClientTimeoutS\":" << p.timeout << ",\"Idempotency\":\""
             << repeats[static_cast<int>(p.repeat)] << '"';
-        if (p.repeat == Repeat::deduplicated) out << ",\"KeyScope\":\"zone\",\"DedupWindowS\":" << p.window;
+        if (p.repeat == Idempotency::deduplicated) out << ",\"KeyScope\":\"zone\",\"DedupWindowS\":" << p.window;
         out << '}';
     }
     out << "],\"Limits\":{\"MaxShots\":" << most_shots << ",\"Cancel\":true,\"Probing\":true,\"RetryAfter\":true,"
--- a/src/lab/site.hpp
+++ b/src/lab/site.hpp
@@ -13,15 +13,15 @@
 
 struct LabProduct {
     const char* name;
-    Repeat repeat;
+    Idempotency repeat;
     double value, slo, timeout, window, work;   // seconds; `work` is the mean of an API call's
     double share;                               // of the calls
 };
 constexpr std::array<LabProduct, 4> products{{
-    {"look", Repeat::idempotent, 1, 0.35, 1.2, 0, 0.012, 0.4},
-    {"plan", Repeat::idempotent, 4, 0.9, 2.5, 0, 0.06, 0.2},
-    {"hold", Repeat::deduplicated, 3, 0.5, 1.8, 0.15, 0.02, 0.2},
-    {"book", Repeat::non_idempotent, 6, 0.6, 2, 0, 0.02, 0.2},
+    {"look", Idempotency::idempotent, 1, 0.35, 1.2, 0, 0.012, 0.4},
+    {"plan", Idempotency::idempotent, 4, 0.9, 2.5, 0, 0.06, 0.2},
+    {"hold", Idempotency::deduplicated, 3, 0.5, 1.8, 0.15, 0.02, 0.2},
+    {"book", Idempotency::non_idempotent, 6, 0.6, 2, 0, 0.02, 0.2},
 }};
 
 constexpr double epoch = 1.7e9;      // Unix time at 0 of the virtual clock; a day starts at 100 s
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -48,7 +48,7 @@
     return mixed.share();
 }
 
-bool idempotent(const Call& c) { return c.product->repeat == Repeat::idempotent; }
+bool idempotent(const Call& c) { return c.product->repeat == Idempotency::idempotent; }
 
 // Until when an answer is worth anything; later ones are not worth a further shot.
 Time useful_until(const Call& c) {
@@ -63,7 +63,7 @@
 bool may_send(const Call& c, const Server& s, Time now, const Shot* that = nullptr) {
     for (const auto& shot : c.shots) {
         if (&shot == that || idempotent(c) || !shot.may_have_run()) continue;
-        if (c.product->repeat == Repeat::non_idempotent) return false;
+        if (c.product->repeat == Idempotency::non_idempotent) return false;
         if (!same_group(*c.product, *shot.server, s) || now - shot.sent >= c.product->window) return false;
     }
     return true;
@@ -72,7 +72,7 @@
 // A rate-limit reply tells the client that a retry is harmless.
 bool may_rate_limit(const Call& c) {
     if (idempotent(c)) return true;
-    if (c.product->repeat == Repeat::deduplicated && c.product->group == Group::all) return true;
+    if (c.product->repeat == Idempotency::deduplicated && c.product->group == Group::all) return true;
     return std::none_of(c.shots.begin(), c.shots.end(), [](const Shot& s) { return s.may_have_run(); });
 }
 
--- a/src/model.hpp
+++ b/src/model.hpp
@@ -10,7 +10,7 @@
 
 namespace myrtleroute {
 
-enum class Repeat { idempotent, deduplicated, non_idempotent };
+enum class Idempotency { idempotent, deduplicated, non_idempotent };
 enum class Group { all, zone, cell };   // which servers drop each other's repeats
 enum class Outcome { fulfilled, errored, full, timed_out, connect_failed, reset, cancelled, never_sent };
 enum class State { gone, ready, draining };
@@ -20,7 +20,7 @@
     double value = 1;
     Span slo, client_timeout, window;
     Span patience;             // of the most patient first tries
-    Repeat repeat = Repeat::idempotent;
+    Idempotency repeat = Idempotency::idempotent;
     Group group = Group::all;
     double late_value = 0;    // share of the value still earned after the SLO
     int attempts = 0;          // servers that a call may be sent to, 0 = as the settings say
--- a/src/rig/conductor.cpp
+++ b/src/rig/conductor.cpp
@@ -193,7 +193,7 @@
     for (const auto& p : e_.products) {
         nlohmann::json one{{"Name", p.name}, {"BilledValue", p.value}, {"LatencySloS", p.slo.s}, {"ClientTimeoutS", p.timeout.s},
                            {"Idempotency", repeats[static_cast<int>(p.repeat)]}};
-        if (p.repeat == Repeat::deduplicated) one["KeyScope"] = "all", one["DedupWindowS"] = p.window;
+        if (p.repeat == Idempotency::deduplicated) one["KeyScope"] = "all", one["DedupWindowS"] = p.window;
         products.push_back(one);
     }
     for (int z = 0; z < e_.zones; ++z) zones.push_back(std::string(1, static_cast<char>('a' + z)));
--- a/src/rig/experiment.cpp
+++ b/src/rig/experiment.cpp
@@ -71,8 +71,8 @@
     p.work = t.number("work_s", 0.05, 0, 60);
     p.share = t.number("share", 1, 0, 1e6);
     const auto kind = t.one_of("kind", "idempotent", {"idempotent", "deduplicated", "non_idempotent"});
-    p.repeat = kind == "idempotent" ? Repeat::idempotent
-               : kind == "deduplicated" ? Repeat::deduplicated : Repeat::non_idempotent;
+    p.repeat = kind == "idempotent" ? Idempotency::idempotent
+               : kind == "deduplicated" ? Idempotency::deduplicated : Idempotency::non_idempotent;
     p.window = t.number("window_s", 30, 0.01, 3600);
     return p;
 }
--- a/src/rig/judge.cpp
+++ b/src/rig/judge.cpp
@@ -142,8 +142,8 @@
         for (size_t i = 0; i < n; ++i) {
             const auto& s = shots[i];
             if (s.executed > 0) {
-                const bool again = effects > 0 && (p.repeat == Repeat::non_idempotent || s.began - first > p.window + protocols_slack);
-                if (again && p.repeat != Repeat::idempotent)
+                const bool again = effects > 0 && (p.repeat == Idempotency::non_idempotent || s.began - first > p.window + protocols_slack);
+                if (again && p.repeat != Idempotency::idempotent)
                     breaks(Rule::no_effect_twice, c, shots, n, nullptr, "took effect again at server " + std::to_string(s.server));
                 if (effects++ == 0) first = s.whole;   // the window is the sender's to keep
             }
@@ -158,7 +158,7 @@
                 breaks(Rule::no_second_copy, c, shots, n, held ? held : link ? link : why, "a second shot while the first was out");
             }
         }
-        if ((c.status == 429 || c.status == 503) && p.repeat == Repeat::non_idempotent && effects > 0)
+        if ((c.status == 429 || c.status == 503) && p.repeat == Idempotency::non_idempotent && effects > 0)
             breaks(Rule::no_false_promise, c, shots, n, nullptr, "rate-limited, and yet it took effect");
     }
 
--- a/src/rig/load.cpp
+++ b/src/rig/load.cpp
@@ -116,11 +116,11 @@
     const int size = std::snprintf(text, sizeof text,
                                    "%s /api?of=%d HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: %llx\r\nX-Priority-Class: %s\r\n"
                                    "X-Timeout: %dm\r\n%s\r\n%s",
-                                   p.repeat == Repeat::idempotent ? "GET" : "POST", a.proxy,
+                                   p.repeat == Idempotency::idempotent ? "GET" : "POST", a.proxy,
                                    static_cast<unsigned long long>(record.call), p.name.c_str(),
                                    static_cast<int>(p.timeout.s * 1000),
-                                   p.repeat == Repeat::idempotent ? "" : "Content-Length: 4\r\n",
-                                   p.repeat == Repeat::idempotent ? "" : "book");
+                                   p.repeat == Idempotency::idempotent ? "" : "Content-Length: 4\r\n",
+                                   p.repeat == Idempotency::idempotent ? "" : "book");
     line->call = place;
     line->out.push(std::string_view(text, static_cast<size_t>(size)));
     loop_.set(*line, loop_.now() + p.timeout + beyond_timeout + e_.slack);
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -115,9 +115,9 @@
         p.slo = {positive(at + "LatencySloS")};
         p.client_timeout = {positive(at + "ClientTimeoutS")};
         p.window = {number(at + "DedupWindowS", 0)};
-        p.repeat = static_cast<Repeat>(
+        p.repeat = static_cast<Idempotency>(
             one_of(at + "Idempotency", {"read_like", "idempotency_key", "non_idempotent"}));
-        if (p.repeat == Repeat::deduplicated)
+        if (p.repeat == Idempotency::deduplicated)
             p.group = static_cast<Group>(one_of(at + "KeyScope", {"all", "zone", "cell"}));
         p.late_value = number(at + "TardyBilledValue", 0);
         return p;
--- a/src/wire/ask.cpp
+++ b/src/wire/ask.cpp
@@ -71,7 +71,7 @@
     if (!host_) ask_.head.append("Host: api\r\n");   // an older client's, which need not say
     if (ask_.id.empty() || ask_.product < 0) return 400;
     const auto& product = settings_->products[ask_.product];
-    if (get != (product.repeat == Repeat::idempotent)) return 405;
+    if (get != (product.repeat == Idempotency::idempotent)) return 405;
     if (!get && body == Body::unsaid) return 411;
     // No client waits for longer than its class's time, whatever it says; so none can be held on to by it.
     if (ask_.patience.s < 0 || ask_.patience > product.client_timeout) ask_.patience = product.client_timeout;
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -20,7 +20,7 @@
 #include "rig/stream.hpp"
 
 namespace lab = myrtleroute::lab;
-using myrtleroute::Repeat;
+using myrtleroute::Idempotency;
 using namespace myrtleroute::rig;
 
 namespace {
@@ -223,7 +223,7 @@
 namespace {
 
 // A run of two proxies, two servers and one call, 100 s on the clock, that kept all rules.
-Day sound_day(Repeat repeat) {
+Day sound_day(Idempotency repeat) {
     Day d;
     d.e.proxies = d.e.servers = 2;
     d.e.products = {{.name = "seat", .repeat = repeat}};
@@ -254,43 +254,43 @@
     struct Case {
         const char* name;
         Rule rule;
-        Repeat repeat;
+        Idempotency repeat;
         void (*spoil)(Day&);
         FaultKind fault;      // that would excuse it
         Kind link;
         bool excusable;
     };
     const auto c = GENERATE(values<Case>({
-        {"no answer", Rule::one_answer, Repeat::idempotent,
+        {"no answer", Rule::one_answer, Idempotency::idempotent,
          [](Day& d) { d.calls[0].end = CallEnd::broken, d.calls[0].status = 0; }, FaultKind::kill, Kind::none, true},
-        {"late", Rule::one_answer, Repeat::idempotent, [](Day& d) { d.calls[0].ended = 112.5; }, FaultKind::pause, Kind::none, true},
-        {"never", Rule::one_answer, Repeat::idempotent,
+        {"late", Rule::one_answer, Idempotency::idempotent, [](Day& d) { d.calls[0].ended = 112.5; }, FaultKind::pause, Kind::none, true},
+        {"never", Rule::one_answer, Idempotency::idempotent,
          [](Day& d) { d.calls[0].end = CallEnd::unanswered, d.calls[0].ended = 112.7; }, FaultKind::cut, Kind::application, true},
-        {"another's answer", Rule::right_answer, Repeat::idempotent, [](Day& d) { d.calls[0].end = CallEnd::wrong; }, FaultKind::hang,
+        {"another's answer", Rule::right_answer, Idempotency::idempotent, [](Day& d) { d.calls[0].end = CallEnd::wrong; }, FaultKind::hang,
          Kind::none, false},
-        {"booked twice", Rule::no_effect_twice, Repeat::non_idempotent, [](Day& d) { second_shot(d, 110.095, 110.098); },
+        {"booked twice", Rule::no_effect_twice, Idempotency::non_idempotent, [](Day& d) { second_shot(d, 110.095, 110.098); },
          FaultKind::cut, Kind::server, false},
-        {"refunded beyond its window", Rule::no_effect_twice, Repeat::deduplicated,
+        {"refunded beyond its window", Rule::no_effect_twice, Idempotency::deduplicated,
          [](Day& d) { d.e.products[0].window = 0.01, second_shot(d, 110.095, 110.098); }, FaultKind::cut, Kind::server, false},
-        {"a false promise", Rule::no_false_promise, Repeat::non_idempotent, [](Day& d) { d.calls[0].status = 429; },
+        {"a false promise", Rule::no_false_promise, Idempotency::non_idempotent, [](Day& d) { d.calls[0].status = 429; },
          FaultKind::break_off, Kind::none, false},
-        {"a copy", Rule::no_second_copy, Repeat::idempotent,
+        {"a copy", Rule::no_second_copy, Idempotency::idempotent,
          [](Day& d) { d.shots[0].ended = 111, d.calls[0].ended = 111, second_shot(d, 110.2, 110.3); }, FaultKind::cut, Kind::server, true},
-        {"a shot after", Rule::no_shot_after, Repeat::idempotent, [](Day& d) { second_shot(d, 111, 111.1); }, FaultKind::cut,
+        {"a shot after", Rule::no_shot_after, Idempotency::idempotent, [](Day& d) { second_shot(d, 111, 111.1); }, FaultKind::cut,
          Kind::server, true},
-        {"a drain ignored", Rule::drains, Repeat::idempotent,
+        {"a drain ignored", Rule::drains, Idempotency::idempotent,
          [](Day& d) { d.list.push_back({100.5, 0, 2, 0, 0, Listed::draining}); }, FaultKind::silent, Kind::none, false},
-        {"a cold server", Rule::cold_servers, Repeat::idempotent,
+        {"a cold server", Rule::cold_servers, Idempotency::idempotent,
          [](Day& d) {
              d.list.push_back({100.5, 1.7e9, 2, 0, 0, Listed::serving});
              d.tips.push_back({109.5, 110.5, 0});
          },
          FaultKind::die, Kind::none, false},
-        {"deaf", Rule::listens, Repeat::idempotent,
+        {"deaf", Rule::listens, Idempotency::idempotent,
          [](Day& d) { std::erase_if(d.told, [](auto& t) { return t.proxy == 1 && t.at > 104.45 && t.at < 119; }); }, FaultKind::silent,
          Kind::none, true},
-        {"lost", Rule::no_crash, Repeat::idempotent, [](Day& d) { d.lost.push_back("proxy 1"); }, FaultKind::kill, Kind::none, false},
-        {"left", Rule::all_back, Repeat::idempotent, [](Day& d) { d.left.push_back("proxy 1"); }, FaultKind::pause, Kind::none, false},
+        {"lost", Rule::no_crash, Idempotency::idempotent, [](Day& d) { d.lost.push_back("proxy 1"); }, FaultKind::kill, Kind::none, false},
+        {"left", Rule::all_back, Idempotency::idempotent, [](Day& d) { d.left.push_back("proxy 1"); }, FaultKind::pause, Kind::none, false},
     }));
     CAPTURE(c.name);
     Day d = sound_day(c.repeat);
