--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -79,7 +79,7 @@
 class Fleet {
 public:
     explicit Fleet(Desk& desk) : desk_(desk), cutting_(desk.set.tail && desk.set.cancel), started_(desk.now) {
-        tail_.assign(desk.set.products.size(), Ring<2>(penalty));
+        tail_.assign(desk.set.products.size(), SlidingWindow<2>(penalty));
         products_.assign(desk.set.products.size(), Kind(penalty));
         tenants_.assign(desk.set.allowances.size() + 1, Kind(penalty));
         least_slo_ = table_.least_slo(interval);
@@ -87,8 +87,8 @@
     uint32_t define_product(const Product& told) {
         const auto [number, fresh] = table_.tell(told);
         if (!fresh) return static_cast<uint32_t>(number);
-        tail_.resize(table_.size(), Ring<2>(penalty));
-        tail_[number] = Ring<2>(penalty);
+        tail_.resize(table_.size(), SlidingWindow<2>(penalty));
+        tail_[number] = SlidingWindow<2>(penalty);
         products_.resize(table_.size(), Kind(penalty));
         products_[number] = Kind(penalty);
         for (auto& [id, s] : known_) {
@@ -666,10 +666,10 @@
     const bool cutting_;          // calls are called off just before their SLO
     double usual_work_ = 0;       // told lately, in seconds
     enum { waited, foretold };
-    Ring<2> paced_{most_silence * 2};   // what answers took, and the work told of them
+    SlidingWindow<2> paced_{most_silence * 2};   // what answers took, and the work told of them
     std::vector<Kind> tenants_, products_;
     Kind all_{penalty};
-    std::vector<Ring<2>> tail_;   // by product: calls, and those that missed the SLO
+    std::vector<SlidingWindow<2>> tail_;   // by product: calls, and those that missed the SLO
     Span least_slo_ = interval;   // the queue is shared, so the tightest SLO sets its length for all
     ProductTable table_{desk_.set.products};
     Time started_;
@@ -681,7 +681,7 @@
 // Fairness: what a tenant sends beyond its allowance is worth little, so it is turned away first.
 class Shares : public Stage {
 public:
-    explicit Shares(Desk& desk) : desk_(desk), taken_(desk.set.allowances.size(), Ring<1>(interval)) {}
+    explicit Shares(Desk& desk) : desk_(desk), taken_(desk.set.allowances.size(), SlidingWindow<1>(interval)) {}
     Step there(Call& c) override {
         c.worth = c.product->value;
         if (c.tenant >= taken_.size()) return Step::pass;
@@ -694,7 +694,7 @@
 
 private:
     Desk& desk_;
-    std::vector<Ring<1>> taken_;
+    std::vector<SlidingWindow<1>> taken_;
 };
 
 // Further shots, elsewhere, after a failure or a cancel. How many are made follows how many of the recent
@@ -749,7 +749,7 @@
     Desk& desk_;
     Chain& chain_;
     Fleet& fleet_;
-    Ring<lanes> recent_;
+    SlidingWindow<lanes> recent_;
 };
 
 // Sends to the member chosen, and watches for silence.
--- a/src/model.hpp
+++ b/src/model.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "ring.hpp"
+#include "sliding_window.hpp"
 #include "time.hpp"
 
 namespace myrtleroute {
@@ -79,7 +79,7 @@
 // How tenants' or products' calls fare, to find those that take long at every server.
 enum Faring { asked, missed };
 struct Kind {
-    Ring<2> ends;
+    SlidingWindow<2> ends;
     Time tried = long_ago;     // when one was last let in
     explicit Kind(Span memory) : ends(memory) {}
     double count(Time now, Faring what) { return ends.total(now, what); }
@@ -93,8 +93,8 @@
 enum Pace { answers, waits, shots, spans, paces };   // `waits`: seconds of the answers
 enum Lateness { tried, risked };
 struct Zone {
-    Ring<paces> lately{Span{2}};
-    Ring<2> late{Span{60}};
+    SlidingWindow<paces> lately{Span{2}};
+    SlidingWindow<2> late{Span{60}};
     double risk = 0;           // share of worth that lateness takes there
     double rate = 0;           // answers a second, at best lately
     double room = 0;           // calls that it may hold, for the call being placed
@@ -139,7 +139,7 @@
         for (const auto& ghost : ghosts) sum += ghost.weight;
         return sum;
     }
-    Ring<tallies> record;
+    SlidingWindow<tallies> record;
     explicit Server(Span memory) : record(memory) {}
 };
 
--- a/src/routing/retry_budget.hpp
+++ b/src/routing/retry_budget.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include <algorithm>
 
-#include "ring.hpp"
+#include "sliding_window.hpp"
 #include "time.hpp"
 
 namespace myrtleroute::routing {
@@ -40,7 +40,7 @@
     enum { requests, repeats };
     RetryBudgetOptions options_;
     Time started_;
-    Ring<2, 16> counts_;
+    SlidingWindow<2, 16> counts_;
 };
 
 }   // namespace myrtleroute::routing
--- a/src/ring.hpp
+++ b/src/sliding_window.hpp
@@ -9,10 +9,10 @@
 namespace myrtleroute {
 
 template <int Lanes, int Buckets = 8>
-class Ring {
+class SlidingWindow {
 public:
     // The totals cover the present bucket and the full ones before it: all of `span` and up to a bucket more.
-    explicit Ring(Span span) : width_(span * (1.0 / (Buckets - 1))) {}
+    explicit SlidingWindow(Span span) : width_(span * (1.0 / (Buckets - 1))) {}
 
     void add(Time now, int lane, double amount = 1) {
         turn(now);
