--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -21,7 +21,7 @@
       last_answered_(now),
       on_disk_(last()),
       durable_term_(hard_.term) {
-    election_at_ = now + options_.first_election * (1 + chance_.share());
+    election_at_ = now + options_.first_election * (1 + chance_.uniform());
 }
 
 const std::vector<ReplicaId>& Replica::voters() const { return entry_ ? entry_->state.voters : no_voters; }
@@ -52,10 +52,10 @@
 void Replica::reset_election_timer(Time now) {
     // After a start of everything a failed election is soon tried again; pre-votes keep a living leader undisturbed.
     if (heard_leader_ <= long_ago && own_term_index_ == 0) {
-        election_at_ = now + options_.next_election * (1 + 2 * chance_.share());
+        election_at_ = now + options_.next_election * (1 + 2 * chance_.uniform());
         return;
     }
-    election_at_ = now + options_.least_election_timeout + options_.election_spread * chance_.share();
+    election_at_ = now + options_.least_election_timeout + options_.election_spread * chance_.uniform();
 }
 
 void Replica::send(const ReplicaId& to, Message message) { outputs_.push_back(SendTo{to, std::move(message)}); }
@@ -83,7 +83,7 @@
 void Replica::disconnected(const ReplicaId& peer, Time now) {
     if (role_ != Role::follower || leader_ != peer) return;
     heard_leader_ = std::min(heard_leader_, now - options_.least_election_timeout);
-    election_at_ = std::min(election_at_, now + options_.leader_left + options_.next_election * chance_.share());
+    election_at_ = std::min(election_at_, now + options_.leader_left + options_.next_election * chance_.uniform());
 }
 
 void Replica::received(const ReplicaId& from, const Message& message, Time now) {
--- a/src/lab/application.cpp
+++ b/src/lab/application.cpp
@@ -77,7 +77,7 @@
 void Application::make(uint64_t number, uint64_t idle) {
     Chance draw(site_.scenario.seed, number);
     int product = 0;
-    for (double at = draw.share(); (at -= products[product].share) >= 0 && product + 1 < std::ssize(products);) ++product;
+    for (double at = draw.uniform(); (at -= products[product].share) >= 0 && product + 1 < std::ssize(products);) ++product;
     const auto& kind = products[product];
     Conn* conn = nullptr;
     if (idle) {
--- a/src/lab/chance.hpp
+++ b/src/lab/chance.hpp
@@ -19,7 +19,7 @@
 class Chance {
 public:
     Chance(uint64_t seed, uint64_t stream) : pcg_(mix(seed ^ mix(stream))) {}
-    double share() { return pcg_.share(); }
+    double uniform() { return pcg_.uniform(); }
     bool yes(double probability) { return share() < probability; }
     int below(int n) { return static_cast<int>(share() * n); }
     double between(double a, double b) { return a + (b - a) * share(); }
--- a/src/lab/control/machine.cpp
+++ b/src/lab/control/machine.cpp
@@ -214,7 +214,7 @@
     writing_ = true;
     auto next = writes_.take();
     const bool made = myrtleroute::control::write_to(*ring_, next);
-    Time done = queue_.now() + write_takes * (1 + chance_.share());
+    Time done = queue_.now() + write_takes * (1 + chance_.uniform());
     // A factor of 0 is a disk that ends nothing until then.
     if (queue_.now() < disk_busy_until_)
         done = disk_factor_ > 0 ? queue_.now() + write_takes * disk_factor_ : disk_busy_until_;
--- a/src/lab/control/tenants.cpp
+++ b/src/lab/control/tenants.cpp
@@ -24,7 +24,7 @@
 
 double draw_cost(Chance& chance) {
     const double normal =
-        std::sqrt(-2 * std::log(1 - chance.share())) * std::cos(2 * std::numbers::pi * chance.share());
+        std::sqrt(-2 * std::log(1 - chance.uniform())) * std::cos(2 * std::numbers::pi * chance.uniform());
     const double logarithm = std::log(mean_cost) - cost_spread * cost_spread / 2 + cost_spread * normal;
     return std::clamp(std::exp(logarithm), least_cost, most_cost);
 }
@@ -123,7 +123,7 @@
     request.cost = draw_cost(chance);
     request.to_proxy = draw_client_latency(chance);
     request.to_host = draw_host_latency(chance);
-    const auto chosen = std::upper_bound(preference.begin(), std::prev(preference.end()), chance.share());
+    const auto chosen = std::upper_bound(preference.begin(), std::prev(preference.end()), chance.uniform());
     send_(static_cast<size_t>(chosen - preference.begin()), request);
 }
 
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -64,7 +64,7 @@
         f.who = whom == Whom::server ? chance.below(s.servers) : whom == Whom::proxy ? chance.below(s.proxies) : 0;
         f.at = {chance.between(1, s.lasts.s - 4)};
         f.lasts = {std::min(chance.between(0.3, 10), s.lasts.s - f.at.s)};
-        f.how = chance.share();
+        f.how = chance.uniform();
         if (!s.faults.empty() && chance.yes(0.35)) {
             const auto& other = s.faults[static_cast<size_t>(chance.below(static_cast<int>(s.faults.size())))];
             f.at = {other.at.s + chance.between(0, other.lasts.s)};
@@ -80,13 +80,13 @@
         s.proxies = 24 + crowd.below(25);
         s.calls_a_second = crowd.between(3, 16);
         for (const auto kind : {FaultKind::dies, FaultKind::replaced})
-            s.faults.push_back({kind, {crowd.between(2, 15)}, {crowd.between(0.5, 4)}, crowd.below(s.servers), crowd.share()});
+            s.faults.push_back({kind, {crowd.between(2, 15)}, {crowd.between(0.5, 4)}, crowd.below(s.servers), crowd.uniform()});
     }
     // One day in six only draining binds, and on most of these the list is wrong for a time.
     Chance lists(seed, 0x4c495354);
     s.drain_alone = lists.yes(1.0 / 6);
     for (int i = 0; s.drain_alone && i < 2 && lists.yes(0.8); ++i)
-        s.faults.push_back({FaultKind::wrong_list, {lists.between(1, 22)}, {lists.between(0.5, 8)}, 0, lists.share()});
+        s.faults.push_back({FaultKind::wrong_list, {lists.between(1, 22)}, {lists.between(0.5, 8)}, 0, lists.uniform()});
     std::stable_sort(s.faults.begin(), s.faults.end(), [](auto& a, auto& b) { return a.at < b.at; });
     return s;
 }
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -45,7 +45,7 @@
 double draw(uint64_t key, uint64_t server) {
     Pcg mixed(key * 0x9e3779b97f4a7c15ULL ^ server);
     mixed.next();
-    return mixed.share();
+    return mixed.uniform();
 }
 
 bool idempotent(const Call& c) { return c.product->repeat == Idempotency::idempotent; }
@@ -139,7 +139,7 @@
         slot->size = desk_.set.live_weights && slot->launched >= launched ? std::max(slot->size, size) : size;
         if (launched <= slot->launched) return;
         slot->launched = launched;
-        slot->credit = desk_.chance.share();   // so that balancers' turns at it are spread
+        slot->credit = desk_.chance.uniform();   // so that balancers' turns at it are spread
     }
     void list_ended() {
         std::sort(listed_.begin(), listed_.end(), [](auto* a, auto* b) { return a->id < b->id; });
@@ -151,7 +151,7 @@
         const Span most = std::min(desk_.set.ask_within, most_untold);
         const Span wait = most * (std::min(16, 1 << asked_again_) / 40.0);
         asked_again_ = std::min(4, asked_again_ + 1);
-        desk_.out.set_timer(wait * (0.5 + desk_.chance.share() / 2), list_cookie);
+        desk_.out.set_timer(wait * (0.5 + desk_.chance.uniform() / 2), list_cookie);
     }
 
     // The pool: members_ are the first of order_, so that each balancer has a stable part of its own.
@@ -485,7 +485,7 @@
     void settle() {
         const auto end = order_.begin() + static_cast<long>(std::min(members_.size(), order_.size()));
         auto due = std::find_if(order_.begin(), end, [](auto* s) { return !s->member && s->offences < 3; });
-        if (due == end || replacement_ || desk_.chance.share() * interval.s > 4 * tick.s) return;
+        if (due == end || replacement_ || desk_.chance.uniform() * interval.s > 4 * tick.s) return;
         join(**due);
         refill();
     }
@@ -572,7 +572,7 @@
     // Members that tie take turns, in an order of chance: each is due a round after it was last busy, or left
     // out, and later where its calls take long, so slow ones have none to catch up.
     void take_turn(Server& s) {
-        s.turn = turn_ + (0.5 + desk_.chance.share()) * (1 + 2 * slowness(s, 0)) / relative_size(s);
+        s.turn = turn_ + (0.5 + desk_.chance.uniform()) * (1 + 2 * slowness(s, 0)) / relative_size(s);
     }
     Server* pick(const std::vector<Server*>& among, const Call& c, bool last, bool& no_room) {
         Server* best = nullptr;
--- a/src/random.hpp
+++ b/src/random.hpp
@@ -14,7 +14,7 @@
         const auto turn = static_cast<uint32_t>(old >> 59);
         return (mixed >> turn) | (mixed << (-turn & 31));
     }
-    double share() { return next() / 4294967296.0; }   // even over [0, 1)
+    double uniform() { return next() / 4294967296.0; }   // even over [0, 1)
 
 private:
     static constexpr uint64_t step_ = 1442695040888963407ULL;
--- a/src/rig/arrivals.cpp
+++ b/src/rig/arrivals.cpp
@@ -10,7 +10,7 @@
     std::vector<double> all(static_cast<size_t>(e.proxies), 1);
     lab::Chance chance(e.seed, 0x52415445);
     if (e.law == "pareto")
-        for (auto& r : all) r = std::pow(1 - chance.share(), -1 / e.alpha);
+        for (auto& r : all) r = std::pow(1 - chance.uniform(), -1 / e.alpha);
     if (e.law == "zipf") {
         for (size_t i = 0; i < all.size(); ++i) all[i] = std::pow(static_cast<double>(i + 1), -e.alpha);
         for (size_t i = all.size(); i > 1; --i) std::swap(all[i - 1], all[static_cast<size_t>(chance.below(static_cast<int>(i)))]);
@@ -66,7 +66,7 @@
     }
     next_.at = at;
     ++next_.number;
-    double draw = chance_.share() * shares_;
+    double draw = chance_.uniform() * shares_;
     next_.product = 0;
     while (next_.product + 1 < e_.products.size() && draw >= e_.products[next_.product].share)
         draw -= e_.products[next_.product++].share;
--- a/src/rig/figures.cpp
+++ b/src/rig/figures.cpp
@@ -26,7 +26,7 @@
         for (const int s : servers) sums_.push_back((sums_.empty() ? 0 : sums_.back()) + size_of(e, s));
     }
     size_t place(lab::Chance& chance) const {
-        const double at = chance.share() * sums_.back();
+        const double at = chance.uniform() * sums_.back();
         return static_cast<size_t>(std::upper_bound(sums_.begin(), sums_.end(), at) - sums_.begin());
     }
 
--- a/src/rig/relay.cpp
+++ b/src/rig/relay.cpp
@@ -302,7 +302,7 @@
         const Link answers{Kind::peer, link->to, link->from};
         Late late{address(ip_of(answers), datagram_port_), address(door_ip(link->to), peers_[link->to]), std::string(d->bytes)};
         for (int copies = 1 + chance_.yes(t.duplicate); copies > 0; --copies) {
-            const Span wait{t.delay + (t.jitter > 0 ? t.jitter * chance_.share() : 0)};   // overtakes, as datagrams may
+            const Span wait{t.delay + (t.jitter > 0 ? t.jitter * chance_.uniform() : 0)};   // overtakes, as datagrams may
             if (wait <= Span{}) {
                 home_.send(datagrams_->fd, {late.from, late.to, late.bytes});
                 continue;
--- a/src/rig/stream.hpp
+++ b/src/rig/stream.hpp
@@ -84,7 +84,7 @@
         Event then;
     };
     Time arrival(Time now, size_t size, const Treatment& t, lab::Chance& chance) {
-        Time at = now + Span{t.delay + (t.jitter > 0 ? t.jitter * chance.share() : 0)};
+        Time at = now + Span{t.delay + (t.jitter > 0 ? t.jitter * chance.uniform() : 0)};
         if (t.loss > 0)
             for (Span wait = resend_after; wait.s < 7 && chance.yes(t.loss); wait = wait * 2) at = at + wait;
         if (t.rate > 0) {
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -203,7 +203,7 @@
 }
 
 void Proxy::admit(Request& request) {
-    auto* pool = services_.choose(routing::pick_backend(*request.route, context_.chance.share()));
+    auto* pool = services_.choose(routing::pick_backend(*request.route, context_.chance.uniform()));
     if (!pool) {
         front_.refuse(*std::exchange(request.client, nullptr), 503, refused_again);
         return requests_.forget_if_over(request);
--- a/src/roles/proxy/subscriber.cpp
+++ b/src/roles/proxy/subscriber.cpp
@@ -142,7 +142,7 @@
     std::pair<double, double> least;
     for (auto& [endpoint, node] : nodes_) {
         const bool failed = now - node.failed < avoided;
-        const std::pair<double, double> cost{failed ? 10 + node.failed.s : distance(node, now), chance_.share()};
+        const std::pair<double, double> cost{failed ? 10 + node.failed.s : distance(node, now), chance_.uniform()};
         if (best && cost >= least) continue;
         best = &node;
         least = cost;
--- a/src/rollout/watcher.cpp
+++ b/src/rollout/watcher.cpp
@@ -49,7 +49,7 @@
         auto& watch = watches_[rollout.service];
         watch.number = rollout.number;
         watch.known_since = now;
-        watch.credit = chance_.share();   // so that the fleet's share holds although each proxy has few requests
+        watch.credit = chance_.uniform();   // so that the fleet's share holds although each proxy has few requests
     }
     return true;
 }
--- a/src/run/watcher.cpp
+++ b/src/run/watcher.cpp
@@ -67,7 +67,7 @@
     // Held no longer than the time within which a balancer that does not watch has to ask.
     const Span ask_within = s_.settings().ask_within;
     const Span longest = ask_within > Span{} ? std::min(most_hold, ask_within) : most_hold;
-    const Span hold = has_rev_ ? longest * (shortest_hold + (1 - shortest_hold) * chance_.share()) : Span{};
+    const Span hold = has_rev_ ? longest * (shortest_hold + (1 - shortest_hold) * chance_.uniform()) : Span{};
     const auto hold_ms = std::to_string(static_cast<int>(hold.s * 1000));
     std::string target = "/discovery/hosts";
     if (has_rev_) target += "?from=" + std::to_string(rev_) + "&hold_ms=" + hold_ms;
--- a/src/soak/clients.cpp
+++ b/src/soak/clients.cpp
@@ -66,7 +66,7 @@
 }
 
 void Clients::send(const Tenant& tenant) {
-    const auto& route = pick_route(chance_.share());
+    const auto& route = pick_route(chance_.uniform());
     const auto id = new_request_id(chance_);
     const auto prompt = static_cast<int>(least_prompt + chance_.exponential(mean_prompt));
     const auto output = static_cast<int>(chance_.between(least_output, most_output));
--- a/src/soak/kept_clients.cpp
+++ b/src/soak/kept_clients.cpp
@@ -74,7 +74,7 @@
     }
 
     const RouteUse& pick() {
-        double share = chance_.share();
+        double share = chance_.uniform();
         for (const auto& route : asked_for) {
             if (share < route.weight) return route;
             share -= route.weight;
--- a/src/soak/platform.cpp
+++ b/src/soak/platform.cpp
@@ -40,7 +40,7 @@
     double sum = 0;
     for (const auto& proxy : proxies_)
         if (!some || is_in(proxy)) sum += proxy.weight;
-    double left = chance_.share() * sum;
+    double left = chance_.uniform() * sum;
     size_t last = 0;
     for (size_t i = 0; i < proxies_.size() && left >= 0; ++i) {
         if (some && !is_in(proxies_[i])) continue;
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -57,7 +57,7 @@
     Pcg chance(3);
     for (int i = 0; i < 2000; ++i) {
         auto& t = all[chance.next() % all.size()];
-        if (chance.next() % 3) timers.set(t, Time{chance.share()});
+        if (chance.next() % 3) timers.set(t, Time{chance.uniform()});
         else timers.clear(t);
     }
     const auto set = std::count_if(all.begin(), all.end(), [](const Timer& t) { return t.set(); });
--- a/tests/system/configuration_lease_test.cpp
+++ b/tests/system/configuration_lease_test.cpp
@@ -88,16 +88,16 @@
         std::multimap<Time, uint64_t> configurations;
         double delay = 0.1;
         for (Time now{100}; now < Time{140}; now = now + Span{0.05}) {
-            if (chance.share() < 0.01) delay = chance.share() < 0.5 ? 0.1 : 6 * chance.share();
-            if (chance.share() < 0.02) {
+            if (chance.uniform() < 0.01) delay = chance.uniform() < 0.5 ? 0.1 : 6 * chance.uniform();
+            if (chance.uniform() < 0.02) {
                 acknowledged.push_back(now);
-                configurations.emplace(now + Span{delay * 2 * chance.share()}, acknowledged.size() - 1);
+                configurations.emplace(now + Span{delay * 2 * chance.uniform()}, acknowledged.size() - 1);
             }
-            if (chance.share() < 0.01) lease.connected();
+            if (chance.uniform() < 0.01) lease.connected();
             if (const auto ask = lease.ask(now)) {
-                const Time handled = now + Span{delay * chance.share()};
+                const Time handled = now + Span{delay * chance.uniform()};
                 uint64_t newest = acknowledged.size() - 1;   // at least what was acknowledged when it was sent
-                if (chance.share() < 0.9) replies.emplace(handled, ConfigurationLeaseReply{ask->number, newest});
+                if (chance.uniform() < 0.9) replies.emplace(handled, ConfigurationLeaseReply{ask->number, newest});
             }
             for (; !replies.empty() && replies.begin()->first <= now; replies.erase(replies.begin()))
                 lease.apply(replies.begin()->second);
--- a/tests/system/consensus_world.hpp
+++ b/tests/system/consensus_world.hpp
@@ -167,7 +167,7 @@
     };
 
     static Endpoint address(size_t i) { return {"10.0.0." + std::to_string(i + 1), 7500}; }
-    bool happens(double chance) { return chance_.share() < chance; }
+    bool happens(double chance) { return chance_.uniform() < chance; }
 
     void start(Node& node) {
         node.writes.clear();
@@ -207,11 +207,11 @@
         for (auto& node : nodes_) {
             if (node->replica && happens(troubles_.crash)) {
                 node->replica.reset();   // what was not told to be written may be lost, and is here
-                node->down_until = now_ + Span{chance_.share() * 3};
+                node->down_until = now_ + Span{chance_.uniform() * 3};
             }
-            if (happens(troubles_.cut)) node->cut_until = now_ + Span{chance_.share() * 4};
-            if (happens(troubles_.stall)) node->stalled_until = now_ + Span{chance_.share() * 3};
-            if (happens(troubles_.freeze)) node->frozen_until = now_ + Span{chance_.share() * 3};
+            if (happens(troubles_.cut)) node->cut_until = now_ + Span{chance_.uniform() * 4};
+            if (happens(troubles_.stall)) node->stalled_until = now_ + Span{chance_.uniform() * 3};
+            if (happens(troubles_.freeze)) node->frozen_until = now_ + Span{chance_.uniform() * 3};
         }
         if (out_of_order() == 0 && all_vote() && happens(troubles_.wipe)) {
             wiped_at_ = now_;
@@ -255,7 +255,7 @@
             if (auto* send = std::get_if<consensus::SendTo>(&output))
                 post(node, *send);
             else if (auto* persist = std::get_if<consensus::Persist>(&output))
-                node.writes.push_back({std::move(*persist), now_ + Span{0.005 + chance_.share() * 0.02}});
+                node.writes.push_back({std::move(*persist), now_ + Span{0.005 + chance_.uniform() * 0.02}});
             else if (const auto* committed = std::get_if<consensus::Committed>(&output))
                 note(node, *committed);
         }
@@ -265,7 +265,7 @@
         if (!to || !reaches(from, *to) || happens(troubles_.loss)) return;
         const int copies = happens(troubles_.duplicate) ? 2 : 1;
         for (int i = 0; i < copies; ++i)
-            packets_.push_back({from.id, send.to, send.message, now_ + Span{0.001 + chance_.share() * 0.04}});
+            packets_.push_back({from.id, send.to, send.message, now_ + Span{0.001 + chance_.uniform() * 0.04}});
     }
     void deliver() {
         std::stable_sort(packets_.begin(), packets_.end(), [](const auto& a, const auto& b) { return a.at < b.at; });
--- a/tests/system/leases_test.cpp
+++ b/tests/system/leases_test.cpp
@@ -97,10 +97,10 @@
     bool reaches(const Proxy& proxy) const { return runs(proxy) && proxy.cut_until <= now; }
 
     void send(std::function<void()> deliver) {
-        const int copies = chance.share() < doubled ? 2 : 1;
+        const int copies = chance.uniform() < doubled ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
-            if (chance.share() < loss) continue;
-            const Span delay = least_delay + (most_delay - least_delay) * chance.share();
+            if (chance.uniform() < loss) continue;
+            const Span delay = least_delay + (most_delay - least_delay) * chance.uniform();
             under_way.push_back({now + delay, deliver});
         }
     }
@@ -197,8 +197,8 @@
                 decide(proxy);
                 if (steps % 10 == 0 || proxy.holder->has_waiting()) act(proxy);
             }
-            for (double due = demand * step.s / mean_cost; due > chance.share(); due -= 1)
-                request(mean_cost * (0.2 + 1.6 * chance.share()));
+            for (double due = demand * step.s / mean_cost; due > chance.uniform(); due -= 1)
+                request(mean_cost * (0.2 + 1.6 * chance.uniform()));
         }
     }
     double allowed() const { return allowance(limit, rule); }
@@ -344,11 +344,11 @@
         fleet.most_delay = Span{seed % 2 ? 0.1 : 1.0};
         const auto trouble = [&] {
             auto& proxy = fleet.proxies[fleet.chance.next() % fleet.proxies.size()];
-            if (fleet.chance.share() < 0.003) fleet.kill(fleet.number(proxy), Span{0.5});
-            if (fleet.chance.share() < 0.003) proxy.frozen_until = fleet.now + Span{6 * fleet.chance.share()};
-            if (fleet.chance.share() < 0.003) proxy.cut_until = fleet.now + Span{8 * fleet.chance.share()};
-            if (fleet.chance.share() >= 0.001) return;
-            fleet.change_allocator(Span{2 * fleet.chance.share()});
+            if (fleet.chance.uniform() < 0.003) fleet.kill(fleet.number(proxy), Span{0.5});
+            if (fleet.chance.uniform() < 0.003) proxy.frozen_until = fleet.now + Span{6 * fleet.chance.uniform()};
+            if (fleet.chance.uniform() < 0.003) proxy.cut_until = fleet.now + Span{8 * fleet.chance.uniform()};
+            if (fleet.chance.uniform() >= 0.001) return;
+            fleet.change_allocator(Span{2 * fleet.chance.uniform()});
         };
         for (int phase = 0; phase < 4; ++phase) {
             fleet.play(Span{8}, fleet.limit.rate / 1.3, trouble);
--- a/tests/system/patch_test.cpp
+++ b/tests/system/patch_test.cpp
@@ -53,23 +53,23 @@
 }
 
 std::string any_of(Pcg& chance, const char* letter, uint32_t most) {
-    return letter + std::to_string(static_cast<uint32_t>(chance.share() * most));
+    return letter + std::to_string(static_cast<uint32_t>(chance.uniform() * most));
 }
 
 json random_item(Pcg& chance, const std::string& list) {
     if (list == "services")
-        return {{"name", any_of(chance, "s", 4)}, {"maxConnections", static_cast<int>(chance.share() * 9)}};
+        return {{"name", any_of(chance, "s", 4)}, {"maxConnections", static_cast<int>(chance.uniform() * 9)}};
     if (list == "tenants") return tenant(any_of(chance, "t", 5), any_of(chance, "k", 8));
     auto item = route(any_of(chance, "r", 6), "/" + any_of(chance, "p", 9) + "/", any_of(chance, "s", 4));
-    if (chance.share() < 0.03) item["timeoutMs"] = 0;
+    if (chance.uniform() < 0.03) item["timeoutMs"] = 0;
     return item;
 }
 
 json random_patch(Pcg& chance, uint64_t version) {
     json patch{{"version", version}};
     for (const std::string list : {"routes", "services", "tenants"}) {
-        while (chance.share() < 0.45) patch["upsert"][list].push_back(random_item(chance, list));
-        while (chance.share() < 0.2) patch["delete"][list].push_back(any_of(chance, list.substr(0, 1).c_str(), 5));
+        while (chance.uniform() < 0.45) patch["upsert"][list].push_back(random_item(chance, list));
+        while (chance.uniform() < 0.2) patch["delete"][list].push_back(any_of(chance, list.substr(0, 1).c_str(), 5));
     }
     return patch;
 }
@@ -220,17 +220,17 @@
         std::vector<Order> sent;
         for (int step = 0; step < 120; ++step) {
             Order order;
-            if (!sent.empty() && chance.share() < 0.3) {
-                order = sent[static_cast<size_t>(chance.share() * static_cast<double>(sent.size()))];
+            if (!sent.empty() && chance.uniform() < 0.3) {
+                order = sent[static_cast<size_t>(chance.uniform() * static_cast<double>(sent.size()))];
             } else {
-                const auto base = version + (chance.share() < 0.2 ? 1 : 0);
-                const auto next = version + static_cast<uint64_t>(chance.share() * 3);
-                order.method = chance.share() < 0.3 ? "PUT" : "PATCH";
+                const auto base = version + (chance.uniform() < 0.2 ? 1 : 0);
+                const auto next = version + static_cast<uint64_t>(chance.uniform() * 3);
+                order.method = chance.uniform() < 0.3 ? "PUT" : "PATCH";
                 order.if_match = std::to_string(base);
                 auto whole = base_document();
                 whole["version"] = next;
                 order.body = order.method == "PUT" ? whole.dump() : random_patch(chance, next).dump();
-                if (chance.share() < 0.05) order.body.resize(order.body.size() / 2);
+                if (chance.uniform() < 0.05) order.body.resize(order.body.size() / 2);
                 sent.push_back(order);
             }
             const bool again = accepted.count({order.method, order.body}) > 0;
--- a/tests/system/product_table_test.cpp
+++ b/tests/system/product_table_test.cpp
@@ -38,12 +38,12 @@
         size_t most_held = 0;
         for (int step = 0; step < 20000; ++step) {
             const bool many_calls = step / 2000 % 2 == 1;
-            if (!held.empty() && chance.share() < (many_calls ? 0.4 : 0.6)) {
-                const auto at = static_cast<size_t>(chance.share() * static_cast<double>(held.size()));
+            if (!held.empty() && chance.uniform() < (many_calls ? 0.4 : 0.6)) {
+                const auto at = static_cast<size_t>(chance.uniform() * static_cast<double>(held.size()));
                 --held[at].product->calls;
                 held.erase(held.begin() + static_cast<long>(at));
             } else {
-                const auto name = "told-" + std::to_string(static_cast<int>(chance.share() * 1000));
+                const auto name = "told-" + std::to_string(static_cast<int>(chance.uniform() * 1000));
                 const auto [number, fresh] = table.tell(named(name));
                 REQUIRE(number >= 2);
                 CHECK(products[number].name == name);
--- a/tests/system/rollout_fleet.hpp
+++ b/tests/system/rollout_fleet.hpp
@@ -113,7 +113,7 @@
         end.group = request.at_candidate ? rollout::Group::candidate : rollout::Group::serving;
         end.failed = answered.failed || lies;
         const double usual = request.route == "summary" ? 0.1 : 0.5;
-        end.total = Span{usual * answered.slower * std::exp(chance_.share() - 0.5)};
+        end.total = Span{usual * answered.slower * std::exp(chance_.uniform() - 0.5)};
         end.pieces = request.route == "summary" ? 2 : 20;
         end.between_pieces = end.total * 0.8;
         if (request.at_candidate) {
--- a/tests/system/rollout_judge_test.cpp
+++ b/tests/system/rollout_judge_test.cpp
@@ -36,11 +36,11 @@
         {"calm", sound},
         {"one in fifty of all answers fails",
          [](const Request&, Pcg& chance) {
-             return failing(chance.share() < 0.02);
+             return failing(chance.uniform() < 0.02);
          }},
         {"a sixth of the serving hosts fails",
          [](const Request& r, Pcg& chance) {
-             return failing(!r.at_candidate && r.host < 10 && chance.share() < 0.4);
+             return failing(!r.at_candidate && r.host < 10 && chance.uniform() < 0.4);
          }},
         {"one candidate host fails",
          [](const Request& r, Pcg&) {
@@ -48,7 +48,7 @@
          }},
         {"all hosts fail often",
          [](const Request&, Pcg& chance) {
-             return failing(chance.share() < 0.3);
+             return failing(chance.uniform() < 0.3);
          }},
         {"proxies of one zone fail everywhere",
          [](const Request& r, Pcg&) {
@@ -81,30 +81,30 @@
 
 std::vector<Fault> faults() {
     const auto half = [](const Request&, Pcg& chance) {
-        return chance.share() < 0.44;
+        return chance.uniform() < 0.44;
     };
     return {
         {"errors", half},
         {"few errors",
          [](const Request&, Pcg& chance) {
-             return chance.share() < 0.3;
+             return chance.uniform() < 0.3;
          }},
         {"slow", half, 8},
         {"late",
          [](const Request& r, Pcg& chance) {
-             return r.since_order > 4.5 && chance.share() < 0.5;
+             return r.since_order > 4.5 && chance.uniform() < 0.5;
          }},
         {"very late",
          [](const Request& r, Pcg& chance) {
-             return r.since_order > 8 && chance.share() < 0.5;
+             return r.since_order > 8 && chance.uniform() < 0.5;
          }},
         {"one route",
          [](const Request& r, Pcg& chance) {
-             return r.route == "draft" && chance.share() < 0.5;
+             return r.route == "draft" && chance.uniform() < 0.5;
          }},
         {"every second second",
          [](const Request& r, Pcg& chance) {
-             return std::fmod(r.since_order, 2) < 1 && chance.share() < 0.5;
+             return std::fmod(r.since_order, 2) < 1 && chance.uniform() < 0.5;
          }},
     };
 }
--- a/tests/system/subscriber_test.cpp
+++ b/tests/system/subscriber_test.cpp
@@ -243,7 +243,7 @@
     for (size_t i = 3; i < 5; ++i) spread.add_node(zone_of(i), 10);   // the small machines of two zones
     Pcg chance(3);
     for (LinkNumber link = 1; link <= 68; ++link)
-        spread.nodes[static_cast<size_t>(chance.share() * 7)].subscribers[link] = zone_of(link % 6);
+        spread.nodes[static_cast<size_t>(chance.uniform() * 7)].subscribers[link] = zone_of(link % 6);
     for (int s = 0; s < 60; ++s) spread.second();
     for (size_t i = 0; i < 5; ++i) CHECK(spread.nodes[i].subscribers.size() <= 18);
     for (size_t i = 5; i < 7; ++i) CHECK(spread.nodes[i].subscribers.size() <= 3);
@@ -272,10 +272,10 @@
         Pcg chance(seed);
         Spread spread;
         const auto below = [&](size_t most) {
-            return static_cast<size_t>(chance.share() * static_cast<double>(most));
+            return static_cast<size_t>(chance.uniform() * static_cast<double>(most));
         };
         const size_t zones = 1 + below(8), nodes = 1 + below(12), proxies = 1 + below(400);
-        for (size_t i = 0; i < nodes; ++i) spread.add_node(zone_of(i % zones), chance.share() < 0.3 ? 10 : 100);
+        for (size_t i = 0; i < nodes; ++i) spread.add_node(zone_of(i % zones), chance.uniform() < 0.3 ? 10 : 100);
         for (LinkNumber link = 1; link <= proxies; ++link)
             spread.nodes[below(nodes)].subscribers[link] = zone_of(below(zones));
         for (int s = 0; s < 150; ++s) spread.second();
