--- a/src/lab/chance.hpp
+++ b/src/lab/chance.hpp
@@ -20,10 +20,10 @@
 public:
     Chance(uint64_t seed, uint64_t stream) : pcg_(mix(seed ^ mix(stream))) {}
     double uniform() { return pcg_.uniform(); }
-    bool yes(double probability) { return share() < probability; }
-    int below(int n) { return static_cast<int>(share() * n); }
-    double between(double a, double b) { return a + (b - a) * share(); }
-    double exponential(double mean) { return -mean * std::log(1 - share()); }
+    bool yes(double probability) { return uniform() < probability; }
+    int below(int n) { return static_cast<int>(uniform() * n); }
+    double between(double a, double b) { return a + (b - a) * uniform(); }
+    double exponential(double mean) { return -mean * std::log(1 - uniform()); }
     uint64_t number() { return static_cast<uint64_t>(pcg_.next()) << 32 | pcg_.next(); }
 
 private:
