--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -100,7 +100,7 @@
     void probe(ServerId server) override { record(1100, Address(server)); }
     void close_idle(ServerId server) override { record(1040, Address(server)); }
     void watch_list() override { record(1090, uint8_t{1}); }
-    void wake(Span after, uint64_t cookie) override { record(1060, after.s, cookie); }
+    void set_timer(Span after, uint64_t cookie) override { record(1060, after.s, cookie); }
     void log(std::string_view what, ServerId server) override {
         std::string line(what);
         if (server) {
@@ -168,7 +168,7 @@
             case 1100: return balancer().client_left(now_, in.number<uint64_t>());
             case 1030: return health(in);
             case 1000: balancer(); instance_->balancer.reset(); return;
-            case 1040: return balancer().woke(now_, in.number<uint64_t>());
+            case 1040: return balancer().timer_fired(now_, in.number<uint64_t>());
             case 1070: return first_byte(in);
             case 1090: return response(in);
             default: return;   // records of later versions; mail is not used
@@ -207,7 +207,7 @@
         if (number >= sheets_.size() || !sheets_[number])
             throw BadInput("unknown list number " + std::to_string(number));
         Reader entries(sheets_[number]->data(), sheets_[number]->size());
-        balancer().list_starts(now_, kind != 0, kind == 2);
+        balancer().list_began(now_, kind != 0, kind == 2);
         while (!entries.empty()) {
             const auto id = entries.server();
             const auto zone = entries.number<uint16_t>();
@@ -218,10 +218,10 @@
             const auto size = entries.number<float>();
             const auto launched = entries.seconds();
             if (!std::isfinite(size)) throw BadInput("a capacity hint is no finite number");
-            balancer().lists(id, zone, cell, static_cast<State>(condition), size,
+            balancer().server_listed(id, zone, cell, static_cast<State>(condition), size,
                              launched == 0 ? long_ago : Time{launched});
         }
-        balancer().list_ends();
+        balancer().list_ended();
     }
     void accept(Reader in) {
         const auto id = in.number<uint64_t>();
@@ -236,7 +236,7 @@
     }
     void health(Reader in) {
         const auto id = in.server();
-        balancer().probed(now_, id, outcome_of(in.number<uint16_t>()) == Outcome::fulfilled);
+        balancer().probe_ended(now_, id, outcome_of(in.number<uint16_t>()) == Outcome::fulfilled);
     }
     void first_byte(Reader in) {
         const auto id = in.number<uint64_t>();
@@ -247,7 +247,7 @@
         const auto id = in.number<uint64_t>();
         const auto outcome = outcome_of(in.number<uint16_t>());
         const bool done = in.number<uint8_t>() != 0;
-        balancer().shot_ended(now_, id, in.number<uint16_t>(), outcome, done);
+        balancer().attempt_ended(now_, id, in.number<uint16_t>(), outcome, done);
     }
 
     Time now_;
--- a/src/lab/application.cpp
+++ b/src/lab/application.cpp
@@ -77,7 +77,7 @@
 void Application::make(uint64_t number, uint64_t idle) {
     Chance draw(site_.scenario.seed, number);
     int product = 0;
-    for (double at = draw.share(); (at -= products[product].share) >= 0 && product + 1 < std::ssize(products);) ++product;
+    for (double at = draw.uniform(); (at -= products[product].share) >= 0 && product + 1 < std::ssize(products);) ++product;
     const auto& kind = products[product];
     Conn* conn = nullptr;
     if (idle) {
@@ -93,7 +93,7 @@
     conn->written = 0;
     conn->call = number;
     conn->product = product;
-    const bool get = kind.repeat == Repeat::idempotent;
+    const bool get = kind.repeat == Idempotency::idempotent;
     auto& text = conn->bytes;
     text = std::string(get ? "GET" : "POST") + " /api/" + kind.name + "?n=" + std::to_string(number) +
            " HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: " + std::to_string(number) + "\r\nX-Priority-Class: " +
--- a/src/lab/chance.hpp
+++ b/src/lab/chance.hpp
@@ -19,11 +19,11 @@
 class Chance {
 public:
     Chance(uint64_t seed, uint64_t stream) : pcg_(mix(seed ^ mix(stream))) {}
-    double share() { return pcg_.share(); }
-    bool yes(double probability) { return share() < probability; }
-    int below(int n) { return static_cast<int>(share() * n); }
-    double between(double a, double b) { return a + (b - a) * share(); }
-    double exponential(double mean) { return -mean * std::log(1 - share()); }
+    double uniform() { return pcg_.uniform(); }
+    bool yes(double probability) { return uniform() < probability; }
+    int below(int n) { return static_cast<int>(uniform() * n); }
+    double between(double a, double b) { return a + (b - a) * uniform(); }
+    double exponential(double mean) { return -mean * std::log(1 - uniform()); }
     uint64_t number() { return static_cast<uint64_t>(pcg_.next()) << 32 | pcg_.next(); }
 
 private:
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -45,14 +45,14 @@
 double draw(uint64_t key, uint64_t server) {
     Pcg mixed(key * 0x9e3779b97f4a7c15ULL ^ server);
     mixed.next();
-    return mixed.share();
+    return mixed.uniform();
 }
 
-bool idempotent(const Call& c) { return c.product->repeat == Repeat::idempotent; }
+bool idempotent(const Call& c) { return c.product->repeat == Idempotency::idempotent; }
 
 // Until when an answer is worth anything; later ones are not worth a further shot.
 Time useful_until(const Call& c) {
-    return c.product->tardy_value > 0 ? c.give_up : std::min(c.give_up, c.arrived + c.product->slo);
+    return c.product->late_value > 0 ? c.give_up : std::min(c.give_up, c.arrived + c.product->slo);
 }
 
 bool same_group(const Product& p, const Server& a, const Server& b) {
@@ -63,7 +63,7 @@
 bool may_send(const Call& c, const Server& s, Time now, const Shot* that = nullptr) {
     for (const auto& shot : c.shots) {
         if (&shot == that || idempotent(c) || !shot.may_have_run()) continue;
-        if (c.product->repeat == Repeat::non_idempotent) return false;
+        if (c.product->repeat == Idempotency::non_idempotent) return false;
         if (!same_group(*c.product, *shot.server, s) || now - shot.sent >= c.product->window) return false;
     }
     return true;
@@ -72,23 +72,23 @@
 // A rate-limit reply tells the client that a retry is harmless.
 bool may_rate_limit(const Call& c) {
     if (idempotent(c)) return true;
-    if (c.product->repeat == Repeat::deduplicated && c.product->group == Group::all) return true;
+    if (c.product->repeat == Idempotency::deduplicated && c.product->group == Group::all) return true;
     return std::none_of(c.shots.begin(), c.shots.end(), [](const Shot& s) { return s.may_have_run(); });
 }
 
 class Fleet {
 public:
     explicit Fleet(Desk& desk) : desk_(desk), cutting_(desk.set.tail && desk.set.cancel), started_(desk.now) {
-        tail_.assign(desk.set.products.size(), Ring<2>(penalty));
+        tail_.assign(desk.set.products.size(), SlidingWindow<2>(penalty));
         products_.assign(desk.set.products.size(), Kind(penalty));
         tenants_.assign(desk.set.allowances.size() + 1, Kind(penalty));
         least_slo_ = table_.least_slo(interval);
     }
-    uint32_t product(const Product& told) {
+    uint32_t define_product(const Product& told) {
         const auto [number, fresh] = table_.tell(told);
         if (!fresh) return static_cast<uint32_t>(number);
-        tail_.resize(table_.size(), Ring<2>(penalty));
-        tail_[number] = Ring<2>(penalty);
+        tail_.resize(table_.size(), SlidingWindow<2>(penalty));
+        tail_[number] = SlidingWindow<2>(penalty);
         products_.resize(table_.size(), Kind(penalty));
         products_[number] = Kind(penalty);
         for (auto& [id, s] : known_) {
@@ -98,10 +98,10 @@
         least_slo_ = table_.least_slo(interval);
         return static_cast<uint32_t>(number);
     }
-    void heard(ServerId id) {
+    void data_received(ServerId id) {
         if (auto* s = find(id)) s->last_heard = last_heard_ = desk_.now;
     }
-    void reported(ServerId id, double held) {
+    void load_reported(ServerId id, double held) {
         auto* s = find(id);
         if (!s) return;
         s->others = std::max(0.0, held - s->load());
@@ -113,13 +113,13 @@
     }
 
     // The list.
-    void list_starts(bool whole, bool cached) {
+    void list_began(bool whole, bool cached) {
         if (!cached) asked_again_ = 0;
         if (whole)
             for (auto* s : listed_)
                 if (std::exchange(s->state, State::gone) != State::gone) s->vouched = desk_.now;
     }
-    void lists(ServerId id, uint16_t zone, uint16_t cell, State state, double size, Time launched) {
+    void server_listed(ServerId id, uint16_t zone, uint16_t cell, State state, double size, Time launched) {
         auto& slot = known_[id];
         if (slot && launched > slot->launched && !slot->drained) restarted_ = desk_.now;
         if (!slot) {
@@ -139,9 +139,9 @@
         slot->size = desk_.set.live_weights && slot->launched >= launched ? std::max(slot->size, size) : size;
         if (launched <= slot->launched) return;
         slot->launched = launched;
-        slot->credit = desk_.chance.share();   // so that balancers' turns at it are spread
+        slot->credit = desk_.chance.uniform();   // so that balancers' turns at it are spread
     }
-    void list_ends() {
+    void list_ended() {
         std::sort(listed_.begin(), listed_.end(), [](auto* a, auto* b) { return a->id < b->id; });
         arrange();
         refill();
@@ -151,7 +151,7 @@
         const Span most = std::min(desk_.set.ask_within, most_untold);
         const Span wait = most * (std::min(16, 1 << asked_again_) / 40.0);
         asked_again_ = std::min(4, asked_again_ + 1);
-        desk_.out.wake(wait * (0.5 + desk_.chance.share() / 2), list_cookie);
+        desk_.out.set_timer(wait * (0.5 + desk_.chance.uniform() / 2), list_cookie);
     }
 
     // The pool: members_ are the first of order_, so that each balancer has a stable part of its own.
@@ -342,7 +342,7 @@
     }
 
     // Guards against a drain or the end of a window that came while the shot's connection was coming up.
-    bool may_begin(const Shot& shot) const {
+    bool may_start(const Shot& shot) const {
         return serves(*shot.server) && may_send(*shot.call, *shot.server, desk_.now, &shot);
     }
     bool restarting() const { return desk_.now < restarted_ + interval * 2; }
@@ -358,7 +358,7 @@
     }
     // Guards against late answers that cost more than a refusal: given up and told so just before the SLO.
     bool cuts(const Call& c) const { return cutting_ && may_rate_limit(c); }
-    bool gives_up(const Call& c) { return cuts(c) && !(c.product->tardy_value > 0 && borne(c)); }
+    bool gives_up(const Call& c) { return cuts(c) && !(c.product->late_value > 0 && borne(c)); }
     Span last_use(const Call& c) const { return c.product->slo * 0.95; }
     Span overdue(const Call& c) const { return {3 * c.product->quick * std::max(1.0, c.weight)}; }
     void heard_nothing(const Shot& shot) {
@@ -371,7 +371,7 @@
         s.probing = true;
         desk_.out.probe(s.id);
     }
-    void probed(Server& s, bool reply) {
+    void probe_ended(Server& s, bool reply) {
         s.probing = false;
         if (reply) {
             if (s.quarantined) desk_.out.log("probe answered, back in the pool:", s.id);
@@ -425,13 +425,13 @@
     bool serves(const Server& s) const {
         if (!desk_.set.drain_binds_alone) return s.state == State::ready;
         if (s.drained || s.state == State::ready) return !s.drained;
-        return desk_.now >= s.absent_until && desk_.now < s.vouched + most_memory;
+        return desk_.now >= s.absent_until && desk_.now < s.vouched + gone_server_retention;
     }
     // Guards against growth where new machines come under new ids all day.
     void forget() {
         const auto forgotten = std::erase_if(listed_, [this](auto* s) {
             const bool used = s->named || s->probing || (replacement_ && s == replaced_);
-            const bool kept = desk_.set.drain_binds_alone && desk_.now < s->vouched + most_memory;
+            const bool kept = desk_.set.drain_binds_alone && desk_.now < s->vouched + gone_server_retention;
             if (s->state != State::gone || used || kept) return false;
             lay_ghosts(*s, desk_.now);
             if (s->member) leave(*s);   // time alone has put it out of use, no list
@@ -485,7 +485,7 @@
     void settle() {
         const auto end = order_.begin() + static_cast<long>(std::min(members_.size(), order_.size()));
         auto due = std::find_if(order_.begin(), end, [](auto* s) { return !s->member && s->offences < 3; });
-        if (due == end || replacement_ || desk_.chance.share() * interval.s > 4 * tick.s) return;
+        if (due == end || replacement_ || desk_.chance.uniform() * interval.s > 4 * tick.s) return;
         join(**due);
         refill();
     }
@@ -572,7 +572,7 @@
     // Members that tie take turns, in an order of chance: each is due a round after it was last busy, or left
     // out, and later where its calls take long, so slow ones have none to catch up.
     void take_turn(Server& s) {
-        s.turn = turn_ + (0.5 + desk_.chance.share()) * (1 + 2 * slowness(s, 0)) / relative_size(s);
+        s.turn = turn_ + (0.5 + desk_.chance.uniform()) * (1 + 2 * slowness(s, 0)) / relative_size(s);
     }
     Server* pick(const std::vector<Server*>& among, const Call& c, bool last, bool& no_room) {
         Server* best = nullptr;
@@ -666,10 +666,10 @@
     const bool cutting_;          // calls are called off just before their SLO
     double usual_work_ = 0;       // told lately, in seconds
     enum { waited, foretold };
-    Ring<2> paced_{most_silence * 2};   // what answers took, and the work told of them
+    SlidingWindow<2> paced_{most_silence * 2};   // what answers took, and the work told of them
     std::vector<Kind> tenants_, products_;
     Kind all_{penalty};
-    std::vector<Ring<2>> tail_;   // by product: calls, and those that missed the SLO
+    std::vector<SlidingWindow<2>> tail_;   // by product: calls, and those that missed the SLO
     Span least_slo_ = interval;   // the queue is shared, so the tightest SLO sets its length for all
     ProductTable table_{desk_.set.products};
     Time started_;
@@ -681,7 +681,7 @@
 // Fairness: what a tenant sends beyond its allowance is worth little, so it is turned away first.
 class Shares : public Stage {
 public:
-    explicit Shares(Desk& desk) : desk_(desk), taken_(desk.set.allowances.size(), Ring<1>(interval)) {}
+    explicit Shares(Desk& desk) : desk_(desk), taken_(desk.set.allowances.size(), SlidingWindow<1>(interval)) {}
     Step there(Call& c) override {
         c.worth = c.product->value;
         if (c.tenant >= taken_.size()) return Step::pass;
@@ -694,7 +694,7 @@
 
 private:
     Desk& desk_;
-    std::vector<Ring<1>> taken_;
+    std::vector<SlidingWindow<1>> taken_;
 };
 
 // Further shots, elsewhere, after a failure or a cancel. How many are made follows how many of the recent
@@ -711,7 +711,7 @@
     // goes elsewhere, where allowed and of use. Copies dry up where they seldom come first, as in a queue.
     void later(Call& c) {
         if (c.ended || c.shots.size() != 1 || !c.out() || !idempotent(c) || c.streaming) return;
-        if (!fleet_.cuts(c) || !desk_.set.duplicates || desk_.set.max_shots < 2) return;
+        if (!fleet_.cuts(c) || !desk_.set.duplicates || desk_.set.max_attempts < 2) return;
         const bool overdue = desk_.now - c.shots[0].sent + hair >= fleet_.overdue(c);
         if (!overdue || desk_.now + Span{c.product->quick} >= useful_until(c)) return;
         const double n = recent_.total(desk_.now, copies);
@@ -734,9 +734,9 @@
         const auto reached = [](const Shot& s) {
             return s.outcome != Outcome::connect_failed && s.outcome != Outcome::never_sent;
         };
-        const int most = c.product->attempts ? c.product->attempts : desk_.set.max_shots;
+        const int most = c.product->attempts ? c.product->attempts : desk_.set.max_attempts;
         if (std::count_if(c.shots.begin(), c.shots.end(), reached) >= most) return false;
-        const bool limited = static_cast<int>(c.shots.size()) >= desk_.set.max_shots;
+        const bool limited = static_cast<int>(c.shots.size()) >= desk_.set.max_attempts;
         if (limited || !desk_.out.may_repeat(c.id)) return false;
         // Guards against calls that bring down whatever takes them: what broke off at two servers is not sent
         // to a third, nor what broke off at all while the list shows servers starting anew.
@@ -749,7 +749,7 @@
     Desk& desk_;
     Chain& chain_;
     Fleet& fleet_;
-    Ring<lanes> recent_;
+    SlidingWindow<lanes> recent_;
 };
 
 // Sends to the member chosen, and watches for silence.
@@ -766,10 +766,10 @@
         shot.number = static_cast<int>(c.shots.size());
         c.shots.push_back(shot);
         desk_.out.send(c.id, server->id, c.give_up - desk_.now);
-        desk_.out.wake(fleet_.silence(c), c.id);
+        desk_.out.set_timer(fleet_.silence(c), c.id);
         const Span left = c.arrived + fleet_.last_use(c) - desk_.now;   // a repeat has less
-        if (shot.number == 0 && desk_.set.tail && left > Span{}) desk_.out.wake(left, c.id);
-        if (desk_.set.duplicates && shot.number == 0) desk_.out.wake(fleet_.overdue(c), c.id);
+        if (shot.number == 0 && desk_.set.tail && left > Span{}) desk_.out.set_timer(left, c.id);
+        if (desk_.set.duplicates && shot.number == 0) desk_.out.set_timer(fleet_.overdue(c), c.id);
         ++server->named;
         fleet_.sent(c.shots.back());
         return Step::keep;
@@ -798,15 +798,15 @@
         chain_.add(shares_);
         chain_.add(further_);
         chain_.add(send_);
-        out.wake(tick, tick_cookie);
+        out.set_timer(tick, tick_cookie);
         if (!desk_.set.pushed) out.watch_list();
     }
 
-    void list_starts(Time now, bool whole, bool cached) override { at(now).list_starts(whole, cached); }
-    void lists(ServerId id, uint16_t zone, uint16_t cell, State state, double size, Time launched) override {
-        fleet_.lists(id, zone, cell, state, size, launched);
+    void list_began(Time now, bool whole, bool cached) override { at(now).list_began(whole, cached); }
+    void server_listed(ServerId id, uint16_t zone, uint16_t cell, State state, double size, Time launched) override {
+        fleet_.server_listed(id, zone, cell, state, size, launched);
     }
-    void list_ends() override { fleet_.list_ends(); }
+    void list_ended() override { fleet_.list_ended(); }
     void list_failed(Time now) override { at(now).list_failed(); }
 
     void call_arrived(Time now, CallId id, uint32_t product, uint32_t tenant, Span patience,
@@ -826,7 +826,7 @@
         c.give_up = now + patience;
         c.arrived = again ? fleet_.first_came(*c.product, c.give_up) : now;
         if (!again) c.product->patience = std::max(c.product->patience, patience);
-        c.shots.reserve(desk_.set.max_shots);
+        c.shots.reserve(desk_.set.max_attempts);
         fleet_.weigh(c);
         if (patience <= Span{} || chain_.there(c) == Step::end) answer(c);
         forget_if_over(c);
@@ -837,9 +837,9 @@
         over(*c);
         forget_if_over(*c);
     }
-    bool may_begin(Time now, CallId id, int shot) override {
+    bool may_start(Time now, CallId id, int shot) override {
         auto* c = find(now, id);
-        return c && c->out(shot) && !c->ended && fleet_.may_begin(*c->out(shot));
+        return c && c->out(shot) && !c->ended && fleet_.may_start(*c->out(shot));
     }
     void stream_began(Time now, CallId id, int shot) override {
         auto* c = find(now, id);
@@ -848,7 +848,7 @@
         if (desk_.set.known_slots) c->weight = std::min(c->weight, begun_weight);
         call_off(*c, shot);   // a stream belongs to the client: its twin is of no use
     }
-    void shot_ended(Time now, CallId id, int number, Outcome outcome, bool call_done) override {
+    void attempt_ended(Time now, CallId id, int number, Outcome outcome, bool call_done) override {
         auto* c = find(now, id);
         if (!c || !c->out(number)) return;
         Shot& shot = *c->out(number);
@@ -859,10 +859,10 @@
         if (call_done) over(*c);
         forget_if_over(*c);
     }
-    void probed(Time now, ServerId id, bool reply) override {
-        if (auto* s = at(now).find(id)) fleet_.probed(*s, reply);
+    void probe_ended(Time now, ServerId id, bool reply) override {
+        if (auto* s = at(now).find(id)) fleet_.probe_ended(*s, reply);
     }
-    void woke(Time now, uint64_t cookie) override {
+    void timer_fired(Time now, uint64_t cookie) override {
         desk_.now = now;
         if (cookie == list_cookie) return desk_.out.watch_list();
         if (auto* c = find(now, cookie))
@@ -873,20 +873,20 @@
             next_resize_ = now + interval;
             fleet_.resize();
         }
-        desk_.out.wake(tick, tick_cookie);
+        desk_.out.set_timer(tick, tick_cookie);
     }
 
-    void placed(int me, int balancers) override {
+    void position_changed(int me, int balancers) override {
         desk_.set.me = me;
         desk_.set.balancers = std::max(1, balancers);
     }
-    uint32_t product(const Product& product) override { return fleet_.product(product); }
+    uint32_t define_product(const Product& product) override { return fleet_.define_product(product); }
     const Product* product_of(CallId id) const override {
         const auto it = calls_.find(id);
         return it == calls_.end() ? nullptr : it->second.product;
     }
-    void heard(Time now, ServerId id) override { at(now).heard(id); }
-    void reported(Time now, ServerId id, double held) override { at(now).reported(id, held); }
+    void data_received(Time now, ServerId id) override { at(now).data_received(id); }
+    void load_reported(Time now, ServerId id, double held) override { at(now).load_reported(id, held); }
 
 private:
     Fleet& at(Time now) { return desk_.now = now, fleet_; }
--- a/src/model.hpp
+++ b/src/model.hpp
@@ -5,12 +5,12 @@
 #include <string>
 #include <vector>
 
-#include "ring.hpp"
+#include "sliding_window.hpp"
 #include "time.hpp"
 
 namespace myrtleroute {
 
-enum class Repeat { idempotent, deduplicated, non_idempotent };
+enum class Idempotency { idempotent, deduplicated, non_idempotent };
 enum class Group { all, zone, cell };   // which servers drop each other's repeats
 enum class Outcome { fulfilled, errored, full, timed_out, connect_failed, reset, cancelled, never_sent };
 enum class State { gone, ready, draining };
@@ -20,9 +20,9 @@
     double value = 1;
     Span slo, client_timeout, window;
     Span patience;             // of the most patient first tries
-    Repeat repeat = Repeat::idempotent;
+    Idempotency repeat = Idempotency::idempotent;
     Group group = Group::all;
-    double tardy_value = 0;    // share of the value still earned after the SLO
+    double late_value = 0;    // share of the value still earned after the SLO
     int attempts = 0;          // servers that a call may be sent to, 0 = as the settings say
     double quick = 0;          // seconds that the quickest fifth of the answers stay under, 0 = none seen yet
     double took = 0;           // seconds an answer lately took on an unhurried server, 0 = none seen yet
@@ -79,7 +79,7 @@
 // How tenants' or products' calls fare, to find those that take long at every server.
 enum Faring { asked, missed };
 struct Kind {
-    Ring<2> ends;
+    SlidingWindow<2> ends;
     Time tried = long_ago;     // when one was last let in
     explicit Kind(Span memory) : ends(memory) {}
     double count(Time now, Faring what) { return ends.total(now, what); }
@@ -93,8 +93,8 @@
 enum Pace { answers, waits, shots, spans, paces };   // `waits`: seconds of the answers
 enum Lateness { tried, risked };
 struct Zone {
-    Ring<paces> lately{Span{2}};
-    Ring<2> late{Span{60}};
+    SlidingWindow<paces> lately{Span{2}};
+    SlidingWindow<2> late{Span{60}};
     double risk = 0;           // share of worth that lateness takes there
     double rate = 0;           // answers a second, at best lately
     double room = 0;           // calls that it may hold, for the call being placed
@@ -139,7 +139,7 @@
         for (const auto& ghost : ghosts) sum += ghost.weight;
         return sum;
     }
-    Ring<tallies> record;
+    SlidingWindow<tallies> record;
     explicit Server(Span memory) : record(memory) {}
 };
 
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -69,10 +69,10 @@
             [this](Request& request, const Reply& reply, bool streamed) { answered(request, reply, streamed); },
             [](Request& request, Reply reply) { request.last_failure = std::move(reply); },
             [this](size_t service, ServerId id) {
-                if (auto* pool = services_.find(service)) pool->balancer().heard(context_.now(), id);
+                if (auto* pool = services_.find(service)) pool->balancer().data_received(context_.now(), id);
             },
             [this](size_t service, ServerId id, double held) {
-                if (auto* pool = services_.find(service)) pool->balancer().reported(context_.now(), id, held);
+                if (auto* pool = services_.find(service)) pool->balancer().load_reported(context_.now(), id, held);
             },
             [this](HostRecord& host) {
                 auto gone = host.host;
@@ -82,11 +82,11 @@
             },
             [this](CallId call, int number, Outcome outcome) { attempt_ended(call, number, outcome); },
             [this](size_t service, ServerId id, bool answered) {
-                if (auto* pool = services_.find(service)) pool->balancer().probed(context_.now(), id, answered);
+                if (auto* pool = services_.find(service)) pool->balancer().probe_ended(context_.now(), id, answered);
             },
             [this](Request& request, int number) {
                 auto* pool = services_.find(request.service);
-                return pool && pool->balancer().may_begin(context_.now(), request.id, number);
+                return pool && pool->balancer().may_start(context_.now(), request.id, number);
             }};
 }
 
@@ -203,7 +203,7 @@
 }
 
 void Proxy::admit(Request& request) {
-    auto* pool = services_.choose(routing::pick_backend(*request.route, context_.chance.share()));
+    auto* pool = services_.choose(routing::pick_backend(*request.route, context_.chance.uniform()));
     if (!pool) {
         front_.refuse(*std::exchange(request.client, nullptr), 503, refused_again);
         return requests_.forget_if_over(request);
@@ -312,7 +312,7 @@
     watch_attempt(*request, number, outcome);
     const bool answered = !request->client;
     if (auto* pool = services_.find(request->service))
-        pool->balancer().shot_ended(context_.now(), call, number, outcome, answered);
+        pool->balancer().attempt_ended(context_.now(), call, number, outcome, answered);
     if (auto* held = requests_.find(call)) requests_.forget_if_over(*held);
 }
 
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -24,7 +24,7 @@
     settings.balancers = static_cast<int>(context.proxies);
     settings.known_slots = settings.drain_binds_alone = true;
     settings.probing = settings.cancel = settings.retry_after = true;
-    settings.max_shots = most_attempts;
+    settings.max_attempts = most_attempts;
     settings.max_retry_after = come_back;
     settings.ask_within = Span{10};
     settings.warm_after = Span{1};
@@ -54,14 +54,14 @@
     Product product;
     product.slo = route.target_latency;
     product.client_timeout = route.timeout;
-    product.repeat = route.repeatable() ? Repeat::idempotent : Repeat::non_idempotent;
-    product.tardy_value = late_worth;
+    product.repeat = route.repeatable() ? Idempotency::idempotent : Idempotency::non_idempotent;
+    product.late_value = late_worth;
     product.attempts = std::min(route.max_attempts, most_attempts);
     product.name = std::to_string(static_cast<int>(route.kind)) + "/" + std::to_string(route.resumable) + "/" +
                    std::to_string(product.slo.s) + "/" + std::to_string(product.client_timeout.s) + "/" +
                    std::to_string(product.attempts);
     budget_->request(context_.now());
-    const auto number = balancer_->product(product);
+    const auto number = balancer_->define_product(product);
     const double unread = std::max(0.0, request.prompt.tokens_in - read_part * request.prompt.shared_tokens);
     const Span work{is_engine ? (unread + least_tokens) / tokens_a_second : 0};
     const double pull = std::min(most_pull, request.prompt.shared_tokens / tokens_a_call);
@@ -84,15 +84,15 @@
     if (away) returns_.erase(id);
     const auto returns = returns_.find(id);
     const Time launched = long_before + Span{returns == returns_.end() ? 0.0 : returns->second};
-    balancer_->list_starts(context_.now(), false, false);
+    balancer_->list_began(context_.now(), false, false);
     // One that drains or has left is never sent to again; one that is lost may be, until a connect fails as well.
     const auto list = [&](State state) {
-        balancer_->lists(id, 0, 0, state, host.capacity, launched);
+        balancer_->server_listed(id, 0, 0, state, host.capacity, launched);
     };
     if (host.state == HostState::ready) list(State::ready);
     if (host.state == HostState::draining || host.state == HostState::gone) list(State::draining);
     if (away) list(State::gone);
-    balancer_->list_ends();
+    balancer_->list_ended();
 }
 
 void ServicePool::excluded(const registry::Host& host, ServerId id) {
@@ -102,13 +102,13 @@
     excluded_.insert(id);
 }
 
-void ServicePool::wake(Span after, uint64_t cookie) {
+void ServicePool::set_timer(Span after, uint64_t cookie) {
     context_.loop.wake(context_.now() + after, cookie | static_cast<uint64_t>(number_) << pool_shift);
 }
 
 size_t ServicePool::pool_of(uint64_t cookie) { return (cookie >> pool_shift) & pool_mask; }
 
-void ServicePool::woke(uint64_t cookie) { balancer_->woke(context_.now(), cookie & ~(pool_mask << pool_shift)); }
+void ServicePool::woke(uint64_t cookie) { balancer_->timer_fired(context_.now(), cookie & ~(pool_mask << pool_shift)); }
 
 void ServicePool::log(std::string_view line, ServerId) { log_debug() << key_.service << ": " << line; }
 
--- a/src/run/watcher.cpp
+++ b/src/run/watcher.cpp
@@ -67,7 +67,7 @@
     // Held no longer than the time within which a balancer that does not watch has to ask.
     const Span ask_within = s_.settings().ask_within;
     const Span longest = ask_within > Span{} ? std::min(most_hold, ask_within) : most_hold;
-    const Span hold = has_rev_ ? longest * (shortest_hold + (1 - shortest_hold) * chance_.share()) : Span{};
+    const Span hold = has_rev_ ? longest * (shortest_hold + (1 - shortest_hold) * chance_.uniform()) : Span{};
     const auto hold_ms = std::to_string(static_cast<int>(hold.s * 1000));
     std::string target = "/discovery/hosts";
     if (has_rev_) target += "?from=" + std::to_string(rev_) + "&hold_ms=" + hold_ms;
@@ -150,7 +150,7 @@
     ++lists_;
     entries_ = 0;
     whole_ = whole;
-    s_.balancer->list_starts(s_.loop.now(), whole, cached_);
+    s_.balancer->list_began(s_.loop.now(), whole, cached_);
 }
 
 void Watcher::server(std::string_view uid, std::string_view endpoint, std::string_view zone, uint16_t cell,
@@ -166,7 +166,7 @@
     if (is == State::gone) leaves(server);
     else server.gone = false;
     const Time launched = boot_ms > 0 ? Time{boot_ms / 1000 - clocks_apart_} : long_ago;
-    s_.balancer->lists(server.id, zone_number(zone), cell, is, size, launched);
+    s_.balancer->server_listed(server.id, zone_number(zone), cell, is, size, launched);
     has_list_ = true;
     ++entries_;
 }
@@ -178,10 +178,10 @@
             leaves(server);
         });
     // The decisions may go on using one that is called gone, for as long as they remember it.
-    s_.servers.forget_gone(s_.loop.now() - (s_.settings().drain_binds_alone ? most_memory : Span{}));
+    s_.servers.forget_gone(s_.loop.now() - (s_.settings().drain_binds_alone ? gone_server_retention : Span{}));
     if (!cached_) s_.counters.add(Count::lists_told);
     if (entries_) s_.log.info() << (whole_ ? "whole list, servers: " : "list changes, servers: ") << entries_;
-    s_.balancer->list_ends();
+    s_.balancer->list_ended();
 }
 
 // Where only draining binds, one that is called gone may serve on, and its connections with it.
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -27,14 +27,14 @@
     bool drain_binds_alone = false;   // a server listed as gone, or left out, may still be sent to
     bool pushed = true, probing = false, cancel = false, retry_after = false;
     bool duplicates = false;          // a second copy may be out while the first is
-    int max_shots = 1;
+    int max_attempts = 1;
     Span max_retry_after, ask_within, warm_after;
     double start_capacity = 1, tip_multiple = 1;
     double cross_price = 0;
     double surplus_value = 1;         // share of the value beyond a tenant's allowance
     // The proxy's own: how connections and answers are kept, and the zones' names.
-    Span connect_timeout, idle_close, grace_to_answer;
-    int max_open = 1;
+    Span connect_timeout, idle_close, answer_margin;
+    int max_open_calls = 1;
     std::vector<std::string> zones;
 };
 
@@ -73,7 +73,7 @@
         s.cancel = yes("Limits.Cancel");
         s.retry_after = yes("Limits.RetryAfter");
         s.duplicates = found_.count("Limits.MayDuplicate") && yes("Limits.MayDuplicate");
-        s.max_shots = std::max(1, count("Limits.MaxShots", number("Limits.MaxShots")));
+        s.max_attempts = std::max(1, count("Limits.MaxShots", number("Limits.MaxShots")));
         s.max_retry_after = {number("Limits.MaxRetryAfterS", 0)};
         // A pushed list need not have it; what brings the list may fail all the same, and is asked again.
         s.ask_within = {s.pushed ? positive("Guarantees.AskWithinS", 10) : positive("Guarantees.AskWithinS")};
@@ -84,8 +84,8 @@
         s.surplus_value = number("SurplusBilledValue", 1);
         s.connect_timeout = {positive("Limits.ConnectTimeoutS", 1)};
         s.idle_close = {positive("Limits.IdleCloseS", 60)};
-        s.grace_to_answer = {number("Guarantees.GraceToAnswerS", 0)};
-        s.max_open = std::max(1, count("Limits.MaxOpen", number("Limits.MaxOpen", 1e6)));
+        s.answer_margin = {number("Guarantees.GraceToAnswerS", 0)};
+        s.max_open_calls = std::max(1, count("Limits.MaxOpen", number("Limits.MaxOpen", 1e6)));
         s.zones = list("Zones");
         return s;
     }
@@ -93,7 +93,7 @@
     // A deployment has one of two shapes: a proxy beside each application, which asks for its list, or a pool
     // of proxies behind a front, which is sent its list, with live weights and load reports in answers.
     // Guards against settings taken from both: the first key that belongs to the other shape is named.
-    void check_shape() const {
+    void check_topology() const {
         const bool pool = text("Discovery") == "pushed";
         struct Mark { const char *key, *value; bool of_pool; };
         for (const auto& mark : {Mark{"Family", "mesh", false}, {"Family", "proxy", true}, {"Weights", "live", true},
@@ -115,11 +115,11 @@
         p.slo = {positive(at + "LatencySloS")};
         p.client_timeout = {positive(at + "ClientTimeoutS")};
         p.window = {number(at + "DedupWindowS", 0)};
-        p.repeat = static_cast<Repeat>(
+        p.repeat = static_cast<Idempotency>(
             one_of(at + "Idempotency", {"read_like", "idempotency_key", "non_idempotent"}));
-        if (p.repeat == Repeat::deduplicated)
+        if (p.repeat == Idempotency::deduplicated)
             p.group = static_cast<Group>(one_of(at + "KeyScope", {"all", "zone", "cell"}));
-        p.tardy_value = number(at + "TardyBilledValue", 0);
+        p.late_value = number(at + "TardyBilledValue", 0);
         return p;
     }
     const std::string& text(const std::string& path) const {
--- a/tests/play.hpp
+++ b/tests/play.hpp
@@ -48,9 +48,9 @@
         double size = 1;
     };
     void list(const std::vector<Listed>& entries, bool whole = false) {
-        balancer->list_starts(now, whole, false);
-        for (const auto& e : entries) balancer->lists(e.id, e.zone, e.cell, e.state, e.size, e.launched);
-        balancer->list_ends();
+        balancer->list_began(now, whole, false);
+        for (const auto& e : entries) balancer->server_listed(e.id, e.zone, e.cell, e.state, e.size, e.launched);
+        balancer->list_ended();
     }
     // Lets time pass and wakes what asked for it, in order.
     void pass(double seconds) {
@@ -64,7 +64,7 @@
             const auto wake = wakes[next];
             wakes.erase(wakes.begin() + static_cast<long>(next));
             now = std::max(now, wake.first);
-            balancer->woke(now, wake.second);
+            balancer->timer_fired(now, wake.second);
         }
         now = until;
     }
@@ -78,7 +78,7 @@
         return 0;
     }
     void end(CallId id, Outcome outcome, int shot = 0) {
-        balancer->shot_ended(now, id, shot, outcome, outcome == Outcome::fulfilled);
+        balancer->attempt_ended(now, id, shot, outcome, outcome == Outcome::fulfilled);
     }
     // `n` calls one after another, each answered after `took` seconds, or never; the servers they went to.
     std::multiset<ServerId> answer_some(int n, double took = 0.05, uint32_t product = 0, uint32_t tenant = 0) {
@@ -112,7 +112,7 @@
     void probe(ServerId server) override { done.push_back({"probe", 0, server, 0}); }
     void close_idle(ServerId) override {}
     void watch_list() override { done.push_back({"watch", 0, 0, 0}); }
-    void wake(Span after, uint64_t cookie) override { wakes.push_back({now + after, cookie}); }
+    void set_timer(Span after, uint64_t cookie) override { wakes.push_back({now + after, cookie}); }
     void log(std::string_view, ServerId) override {}
 
     Time now{100};
