--- a/src/lab/control/callers.cpp
+++ b/src/lab/control/callers.cpp
@@ -439,7 +439,7 @@
 }
 
 void SubscribedProxy::take(const messages::Message& message) {
-    if (const auto* told = std::get_if<messages::ConfigurationTold>(&message)) {
+    if (const auto* told = std::get_if<messages::ConfigurationUpdate>(&message)) {
         const auto text = "edge-" + std::to_string(process_) + " was told version " + std::to_string(told->version);
         if (std::exchange(first_told_, false) && told->version < confirmed_when_asked_)
             checker_.breaks(Invariant::proxy_starts_current,
@@ -456,18 +456,18 @@
             });
     } else if (const auto* lease = std::get_if<leases::ConfigurationLeaseReply>(&message)) {
         configuration_lease_.apply(*lease);
-    } else if (const auto* fleet = std::get_if<messages::FleetTold>(&message)) {
+    } else if (const auto* fleet = std::get_if<messages::FleetStatus>(&message)) {
         if (fleet->current) rollouts_.heard_current(queue_.now());
-    } else if (const auto* rollouts = std::get_if<messages::RolloutsTold>(&message)) {
+    } else if (const auto* rollouts = std::get_if<messages::RolloutsUpdate>(&message)) {
         rollouts_.told(rollouts->rollouts, queue_.now());
-    } else if (const auto* hosts = std::get_if<messages::HostsTold>(&message)) {
+    } else if (const auto* hosts = std::get_if<messages::HostsUpdate>(&message)) {
         knows_hosts_ = true;
         for (const auto& host : hosts->hosts) hosts_.merge(host, queue_.now());
         hosts_.expire(queue_.now());
     }
 }
 
-void SubscribedProxy::configured(const messages::ConfigurationTold& told) {
+void SubscribedProxy::configured(const messages::ConfigurationUpdate& told) {
     if (told.version <= version_) return;
     version_ = told.version;
     configuration_lease_.configured(version_);
--- a/src/lab/control/callers.hpp
+++ b/src/lab/control/callers.hpp
@@ -119,7 +119,7 @@
     void tick(uint64_t life);
     void carry_out();
     void take(const messages::Message& message);
-    void configured(const messages::ConfigurationTold& told);
+    void configured(const messages::ConfigurationUpdate& told);
     void ask_for_leases();
     void ask_for_configuration_lease();
     void lease_decisions();
--- a/src/messages/messages.cpp
+++ b/src/messages/messages.cpp
@@ -257,18 +257,18 @@
 MYRTLEROUTE_KIND(consensus::Departure, "departs");
 MYRTLEROUTE_KIND(PeerHello, "hello");
 MYRTLEROUTE_KIND(ConsensusMessage, "consensus");
-MYRTLEROUTE_KIND(HostsTold, "hosts");
-MYRTLEROUTE_KIND(HostsConfirmed, "hosts_confirmed");
-MYRTLEROUTE_KIND(HostsHeard, "hosts_heard");
-MYRTLEROUTE_KIND(ProxiesTold, "proxies");
+MYRTLEROUTE_KIND(HostsUpdate, "hosts");
+MYRTLEROUTE_KIND(HostsConfirmation, "hosts_confirmed");
+MYRTLEROUTE_KIND(HostHeartbeats, "hosts_heard");
+MYRTLEROUTE_KIND(ProxiesStatus, "proxies");
 MYRTLEROUTE_KIND(Subscribe, "subscribe");
 MYRTLEROUTE_KIND(leases::LeaseAsk, "lease_ask");
 MYRTLEROUTE_KIND(leases::LeaseReply, "lease_reply");
 MYRTLEROUTE_KIND(leases::ConfigurationLeaseAsk, "configuration_lease_ask");
 MYRTLEROUTE_KIND(leases::ConfigurationLeaseReply, "configuration_lease");
-MYRTLEROUTE_KIND(ConfigurationTold, "configuration");
-MYRTLEROUTE_KIND(FleetTold, "fleet");
-MYRTLEROUTE_KIND(RolloutsTold, "rollouts");
+MYRTLEROUTE_KIND(ConfigurationUpdate, "configuration");
+MYRTLEROUTE_KIND(FleetStatus, "fleet");
+MYRTLEROUTE_KIND(RolloutsUpdate, "rollouts");
 MYRTLEROUTE_KIND(rollout::Ballot, "ballot");
 #undef MYRTLEROUTE_KIND
 
@@ -318,19 +318,19 @@
     if (!read) throw std::runtime_error("no consensus message");
     m.message = std::move(*read);
 }
-void to_json(Json& j, const HostsTold& m) { j = {{"hosts", m.hosts}, {"confirm", m.confirm}, {"all", m.all}}; }
-void from_json(const Json& j, HostsTold& m) {
+void to_json(Json& j, const HostsUpdate& m) { j = {{"hosts", m.hosts}, {"confirm", m.confirm}, {"all", m.all}}; }
+void from_json(const Json& j, HostsUpdate& m) {
     j.at("hosts").get_to(m.hosts), j.at("confirm").get_to(m.confirm), j.at("all").get_to(m.all);
 }
-void to_json(Json& j, const HostsConfirmed& m) { j = {{"confirm", m.confirm}}; }
-void from_json(const Json& j, HostsConfirmed& m) { j.at("confirm").get_to(m.confirm); }
-void to_json(Json& j, const HostsHeard& m) { j = {{"sequences", m.sequences}}; }
-void from_json(const Json& j, HostsHeard& m) { j.at("sequences").get_to(m.sequences); }
-void to_json(Json& j, const ProxiesTold& m) {
+void to_json(Json& j, const HostsConfirmation& m) { j = {{"confirm", m.confirm}}; }
+void from_json(const Json& j, HostsConfirmation& m) { j.at("confirm").get_to(m.confirm); }
+void to_json(Json& j, const HostHeartbeats& m) { j = {{"sequences", m.sequences}}; }
+void from_json(const Json& j, HostHeartbeats& m) { j.at("sequences").get_to(m.sequences); }
+void to_json(Json& j, const ProxiesStatus& m) {
     j = {{"subscribers", m.subscribers}, {"current", m.current}, {"weight", m.weight}};
     if (m.proxies) j["proxies"] = *m.proxies;
 }
-void from_json(const Json& j, ProxiesTold& m) {
+void from_json(const Json& j, ProxiesStatus& m) {
     j.at("subscribers").get_to(m.subscribers), j.at("current").get_to(m.current), j.at("weight").get_to(m.weight);
     if (j.contains("proxies")) m.proxies = j.at("proxies").get<std::vector<std::string>>();
 }
@@ -338,11 +338,13 @@
 void from_json(const Json& j, Subscribe& m) {
     j.at("node").get_to(m.node), j.at("version").get_to(m.version), j.at("zone").get_to(m.zone);
 }
-void to_json(Json& j, const ConfigurationTold& m) { j = {{"version", m.version}, {"body", m.body}}; }
-void from_json(const Json& j, ConfigurationTold& m) { j.at("version").get_to(m.version), j.at("body").get_to(m.body); }
-void to_json(Json& j, const RolloutsTold& m) { j = {{"rollouts", m.rollouts}}; }
-void from_json(const Json& j, RolloutsTold& m) { j.at("rollouts").get_to(m.rollouts); }
-void to_json(Json& j, const FleetTold& m) {
+void to_json(Json& j, const ConfigurationUpdate& m) { j = {{"version", m.version}, {"body", m.body}}; }
+void from_json(const Json& j, ConfigurationUpdate& m) {
+    j.at("version").get_to(m.version), j.at("body").get_to(m.body);
+}
+void to_json(Json& j, const RolloutsUpdate& m) { j = {{"rollouts", m.rollouts}}; }
+void from_json(const Json& j, RolloutsUpdate& m) { j.at("rollouts").get_to(m.rollouts); }
+void to_json(Json& j, const FleetStatus& m) {
     j = {{"current", m.current},
          {"current_elsewhere", m.current_elsewhere},
          {"place", m.place},
@@ -350,7 +352,7 @@
          {"controls", m.controls}};
     if (m.move_to) j["move_to"] = *m.move_to;
 }
-void from_json(const Json& j, FleetTold& m) {
+void from_json(const Json& j, FleetStatus& m) {
     j.at("current").get_to(m.current), j.at("current_elsewhere").get_to(m.current_elsewhere);
     j.at("place").get_to(m.place), j.at("proxies").get_to(m.proxies), j.at("controls").get_to(m.controls);
     if (j.contains("move_to")) m.move_to = j.at("move_to").get<ControlNode>();
--- a/src/messages/messages.hpp
+++ b/src/messages/messages.hpp
@@ -40,22 +40,22 @@
 };
 
 // Hosts that are new or have changed. Where `confirm` is not 0 the receiver tells when it has them on disk.
-struct HostsTold {
+struct HostsUpdate {
     std::vector<registry::Host> hosts;
     uint64_t confirm = 0;
     bool all = false;   // these are all that the sender knows of
 };
-struct HostsConfirmed {
+struct HostsConfirmation {
     uint64_t confirm = 0;
 };
 
 // Heartbeats heard of hosts that have not changed.
-struct HostsHeard {
+struct HostHeartbeats {
     std::vector<std::pair<std::string, uint64_t>> sequences;   // by host id
 };
 
 // Proxies subscribed at the sender, and how it stands. Told several times a second.
-struct ProxiesTold {
+struct ProxiesStatus {
     std::optional<std::vector<std::string>> proxies;   // by node name; nothing: those that were told last
     size_t subscribers = 0;
     bool current = false;   // the sender is in touch with a leader that has a quorum
@@ -69,18 +69,18 @@
     std::string zone;
 };
 
-struct ConfigurationTold {
+struct ConfigurationUpdate {
     uint64_t version = 0;
     PackedText body;   // as the operator sent it
 };
 
 // The rollouts as they were last committed; told before the hosts, whose versions they are about.
-struct RolloutsTold {
+struct RolloutsUpdate {
     rollout::Rollouts rollouts;
 };
 
 // Told to each subscriber several times a second.
-struct FleetTold {
+struct FleetStatus {
     bool current = false;             // the sender is in touch with a leader that has a quorum
     bool current_elsewhere = false;   // it is not, and another control node may be
     size_t place = 0;                 // of the receiver among the proxies
@@ -92,9 +92,9 @@
 // Proxies ask for leases at the control node to which they subscribe; asks and replies go by way of it to the leader and
 // back, and so do ballots.
 using Message =
-    std::variant<PeerHello, ConsensusMessage, HostsTold, HostsConfirmed, HostsHeard, ProxiesTold, Subscribe,
+    std::variant<PeerHello, ConsensusMessage, HostsUpdate, HostsConfirmation, HostHeartbeats, ProxiesStatus, Subscribe,
                  leases::LeaseAsk, leases::LeaseReply, leases::ConfigurationLeaseAsk, leases::ConfigurationLeaseReply,
-                 ConfigurationTold, FleetTold, RolloutsTold, rollout::Ballot>;
+                 ConfigurationUpdate, FleetStatus, RolloutsUpdate, rollout::Ballot>;
 
 std::string encode(const Message& message);             // the JSON, without a frame
 std::optional<Message> decode(std::string_view json);   // nothing where it is no sound message
--- a/src/roles/control/configuration_fanout.hpp
+++ b/src/roles/control/configuration_fanout.hpp
@@ -24,7 +24,7 @@
     bool committed(uint64_t version, const PackedText& body, Time now);
     uint64_t version() const { return version_; }
     const PackedText& body() const { return body_; }
-    messages::ConfigurationTold told() const { return {version_, body_}; }
+    messages::ConfigurationUpdate told() const { return {version_, body_}; }
 
     // A subscription that holds this version begins, or has ended.
     void subscribed(LinkNumber link, uint64_t version) { held_[link] = {version, long_ago}; }
--- a/src/roles/control/host_service.cpp
+++ b/src/roles/control/host_service.cpp
@@ -37,7 +37,7 @@
 void HostService::acknowledge(RequestNumber request) { outputs_.push_back(Answer{request, 200, "{}", {}}); }
 
 void HostService::spread(const Host& host, uint64_t confirm) {
-    spread_.tell_all(messages::HostsTold{{host}, confirm});
+    spread_.tell_all(messages::HostsUpdate{{host}, confirm});
     spread_.tell_subscribers({host});
 }
 
@@ -92,7 +92,7 @@
         if (announced.write <= written_ && announced.by.insert(self_).second) safe.push_back(number);
     for (const auto number : safe) settle(number);
     while (!owed_.empty() && owed_.front().write <= written_) {
-        spread_.tell(owed_.front().to, messages::HostsConfirmed{owed_.front().confirm});
+        spread_.tell(owed_.front().to, messages::HostsConfirmation{owed_.front().confirm});
         owed_.pop_front();
     }
 }
@@ -108,7 +108,7 @@
     for (const auto& host : hosts) table_.remember(host, now);
 }
 
-void HostService::told(const consensus::ReplicaId& by, const messages::HostsTold& hosts, Time now) {
+void HostService::told(const consensus::ReplicaId& by, const messages::HostsUpdate& hosts, Time now) {
     std::vector<Host> changed;
     for (const auto& host : hosts.hosts)
         if (table_.merge(host, now)) changed.push_back(*table_.find(host.id));
@@ -122,7 +122,7 @@
     settle_written();
 }
 
-void HostService::heard(const messages::HostsHeard& heard, Time now) {
+void HostService::heard(const messages::HostHeartbeats& heard, Time now) {
     std::vector<Host> back;
     for (const auto& [id, sequence] : heard.sequences)
         if (table_.refresh(id, sequence, now)) back.push_back(*table_.find(id));
@@ -151,7 +151,7 @@
     }
     if (now < batch_at_ || heard_.empty()) return;
     batch_at_ = now + batch_every;
-    messages::HostsHeard batch;
+    messages::HostHeartbeats batch;
     for (auto& [id, sequence] : heard_) batch.sequences.emplace_back(id, sequence);
     heard_.clear();
     spread_.tell_all(std::move(batch));
--- a/src/roles/control/host_service.hpp
+++ b/src/roles/control/host_service.hpp
@@ -38,8 +38,8 @@
 
     // Hosts as they were before a restart. They count until they should have been heard of again.
     void remember(const std::vector<registry::Host>& hosts, Time now);
-    void told(const consensus::ReplicaId& by, const messages::HostsTold& hosts, Time now);
-    void heard(const messages::HostsHeard& heard, Time now);
+    void told(const consensus::ReplicaId& by, const messages::HostsUpdate& hosts, Time now);
+    void heard(const messages::HostHeartbeats& heard, Time now);
     void confirmed(const consensus::ReplicaId& by, uint64_t number);
     void written(uint64_t number);   // the hosts up to that write are safe on this node's disk
     void tick(Time now, bool current);
--- a/src/roles/control/node.cpp
+++ b/src/roles/control/node.cpp
@@ -152,7 +152,7 @@
 void Node::connected(const Endpoint& peer, Time now) {
     outputs_.push_back(
         ToPeer{peer, messages::PeerHello{replica_.self(), options_.self, options_.may_vote, controls()}});
-    outputs_.push_back(ToPeer{peer, messages::HostsTold{hosts_.all(), 0, true}});
+    outputs_.push_back(ToPeer{peer, messages::HostsUpdate{hosts_.all(), 0, true}});
     outputs_.push_back(ToPeer{peer, own_proxies(true, now)});
 }
 
@@ -200,21 +200,21 @@
     replica_.received(from->second.replica, message.message, now);
 }
 
-void Node::handle(LinkNumber link, const messages::HostsTold& hosts, Time now) {
+void Node::handle(LinkNumber link, const messages::HostsUpdate& hosts, Time now) {
     const auto from = links_.find(link);
     if (from == links_.end()) return;
     hosts_.told(from->second.replica, hosts, now);
     if (hosts.all) hosts_from_.insert(from->second.replica);
 }
 
-void Node::handle(LinkNumber link, const messages::HostsConfirmed& confirmed, Time) {
+void Node::handle(LinkNumber link, const messages::HostsConfirmation& confirmed, Time) {
     if (const auto from = links_.find(link); from != links_.end())
         hosts_.confirmed(from->second.replica, confirmed.confirm);
 }
 
-void Node::handle(LinkNumber, const messages::HostsHeard& heard, Time now) { hosts_.heard(heard, now); }
+void Node::handle(LinkNumber, const messages::HostHeartbeats& heard, Time now) { hosts_.heard(heard, now); }
 
-void Node::handle(LinkNumber link, const messages::ProxiesTold& proxies, Time now) {
+void Node::handle(LinkNumber link, const messages::ProxiesStatus& proxies, Time now) {
     if (const auto from = links_.find(link); from != links_.end()) proxies_.told(from->second.peer, proxies, now);
 }
 
@@ -246,8 +246,8 @@
         log_.push_back("the subscription of " + proxies_.name(link) + " began after " + std::to_string(waited.s) +
                        " s and " + std::to_string(proven.asked) + " barriers");
     fanout_.subscribed(link, proven.value);
-    outputs_.push_back(ToLink{link, messages::RolloutsTold{rollouts_.known()}});
-    outputs_.push_back(ToLink{link, messages::HostsTold{hosts_.all(), 0, true}});
+    outputs_.push_back(ToLink{link, messages::RolloutsUpdate{rollouts_.known()}});
+    outputs_.push_back(ToLink{link, messages::HostsUpdate{hosts_.all(), 0, true}});
 }
 
 void Node::handle(LinkNumber link, const leases::ConfigurationLeaseAsk& ask, Time now) {
@@ -312,11 +312,11 @@
 void Node::tell_hosts(const std::vector<registry::Host>& hosts) {
     for (const auto link : proxies_.subscribers())
         if (!new_subscriptions_.is_waiting(link))
-            outputs_.push_back(ToLink{link, messages::HostsTold{hosts, 0, false}});
+            outputs_.push_back(ToLink{link, messages::HostsUpdate{hosts, 0, false}});
 }
 
-messages::FleetTold Node::fleet_for(LinkNumber link, const std::vector<std::string>& names, Time now) const {
-    messages::FleetTold fleet;
+messages::FleetStatus Node::fleet_for(LinkNumber link, const std::vector<std::string>& names, Time now) const {
+    messages::FleetStatus fleet;
     fleet.current = replica_.is_current(now);
     fleet.current_elsewhere = !fleet.current && may_be_current_elsewhere(now);
     const auto at = std::lower_bound(names.begin(), names.end(), proxies_.name(link));
@@ -337,8 +337,8 @@
     return 2 * static_cast<size_t>(heard) <= voters.size();
 }
 
-messages::ProxiesTold Node::own_proxies(bool with_names, Time now) const {
-    messages::ProxiesTold told;
+messages::ProxiesStatus Node::own_proxies(bool with_names, Time now) const {
+    messages::ProxiesStatus told;
     if (with_names) told.proxies = proxies_.own_names();
     told.subscribers = proxies_.subscriber_count();
     told.current = replica_.is_current(now);
@@ -384,7 +384,7 @@
     if (!rollouts_.committed(entry->state.rollouts, now)) return;
     for (const auto link : proxies_.subscribers())
         if (!new_subscriptions_.is_waiting(link))
-            outputs_.push_back(ToLink{link, messages::RolloutsTold{rollouts_.known()}});
+            outputs_.push_back(ToLink{link, messages::RolloutsUpdate{rollouts_.known()}});
 }
 
 // The replica.
--- a/src/roles/control/node.hpp
+++ b/src/roles/control/node.hpp
@@ -77,18 +77,18 @@
     };
     void handle(LinkNumber link, const messages::PeerHello& hello, Time now);
     void handle(LinkNumber link, const messages::ConsensusMessage& message, Time now);
-    void handle(LinkNumber link, const messages::HostsTold& hosts, Time now);
-    void handle(LinkNumber link, const messages::HostsConfirmed& confirmed, Time now);
-    void handle(LinkNumber link, const messages::HostsHeard& heard, Time now);
-    void handle(LinkNumber link, const messages::ProxiesTold& proxies, Time now);
+    void handle(LinkNumber link, const messages::HostsUpdate& hosts, Time now);
+    void handle(LinkNumber link, const messages::HostsConfirmation& confirmed, Time now);
+    void handle(LinkNumber link, const messages::HostHeartbeats& heard, Time now);
+    void handle(LinkNumber link, const messages::ProxiesStatus& proxies, Time now);
     void handle(LinkNumber link, const messages::Subscribe& subscribe, Time now);
     void handle(LinkNumber link, const leases::LeaseAsk& ask, Time now);
     void handle(LinkNumber link, const leases::LeaseReply& reply, Time now);
     void handle(LinkNumber link, const leases::ConfigurationLeaseAsk& ask, Time now);
     void handle(LinkNumber, const leases::ConfigurationLeaseReply&, Time) {}   // for proxies only
-    void handle(LinkNumber, const messages::ConfigurationTold&, Time) {}
-    void handle(LinkNumber, const messages::FleetTold&, Time) {}
-    void handle(LinkNumber, const messages::RolloutsTold&, Time) {}
+    void handle(LinkNumber, const messages::ConfigurationUpdate&, Time) {}
+    void handle(LinkNumber, const messages::FleetStatus&, Time) {}
+    void handle(LinkNumber, const messages::RolloutsUpdate&, Time) {}
     void handle(LinkNumber link, const rollout::Ballot& ballot, Time now);
 
     void configuration_request(const HttpRequest& request, Time now);
@@ -103,7 +103,7 @@
     void answer_waiting_asks(Time now);
     void tell_all(const messages::Message& message);
     void tell_hosts(const std::vector<registry::Host>& hosts);
-    messages::FleetTold fleet_for(LinkNumber link, const std::vector<std::string>& names, Time now) const;
+    messages::FleetStatus fleet_for(LinkNumber link, const std::vector<std::string>& names, Time now) const;
     void end_subscription(LinkNumber link);
     bool may_be_current_elsewhere(Time now) const;
     bool is_isolated(Time now) const;   // it hears no majority of the voters
@@ -115,7 +115,7 @@
     void begin_subscriptions(Time now);   // of proxies that wait for proof of contact
     void begin_subscription(LinkNumber link, const Proven& proven, Time now);
     void renew_configuration_leases(Time now);
-    messages::ProxiesTold own_proxies(bool with_names, Time now) const;
+    messages::ProxiesStatus own_proxies(bool with_names, Time now) const;
     void carry_out(Time now);   // what the replica asks for
     void barrier_passed(const consensus::BarrierPassed& passed, Time now);
     void write(const consensus::Persist& persist);
--- a/src/roles/control/proxy_directory.cpp
+++ b/src/roles/control/proxy_directory.cpp
@@ -34,7 +34,7 @@
     moved_[subscriber.mapped().node] = now;
 }
 
-void ProxyDirectory::told(const Endpoint& by, messages::ProxiesTold proxies, Time now) {
+void ProxyDirectory::told(const Endpoint& by, messages::ProxiesStatus proxies, Time now) {
     auto& known = elsewhere_[by];
     if (proxies.proxies) {
         known.names = std::move(*proxies.proxies);
--- a/src/roles/control/proxy_directory.hpp
+++ b/src/roles/control/proxy_directory.hpp
@@ -19,7 +19,7 @@
     std::optional<std::vector<LinkNumber>> subscribed(LinkNumber link, const messages::Subscribe& subscribe, Time now);
     void left(LinkNumber link, Time now);
     // What another control node tells of its subscribers and itself.
-    void told(const Endpoint& by, messages::ProxiesTold proxies, Time now);
+    void told(const Endpoint& by, messages::ProxiesStatus proxies, Time now);
     void tick(Time now);
 
     bool is_subscriber(LinkNumber link) const { return subscribers_.count(link) > 0; }
@@ -48,7 +48,7 @@
     };
     struct Elsewhere {
         std::vector<std::string> names;
-        messages::ProxiesTold told;
+        messages::ProxiesStatus told;
         Time at, names_at;
     };
     std::map<LinkNumber, Subscriber> subscribers_;
--- a/src/roles/control/work_report.cpp
+++ b/src/roles/control/work_report.cpp
@@ -17,18 +17,18 @@
 struct KindOf {
     WorkKind operator()(const messages::PeerHello&) const { return WorkKind::proxies; }
     WorkKind operator()(const messages::ConsensusMessage&) const { return WorkKind::consensus; }
-    WorkKind operator()(const messages::HostsTold&) const { return WorkKind::hosts; }
-    WorkKind operator()(const messages::HostsConfirmed&) const { return WorkKind::hosts; }
-    WorkKind operator()(const messages::HostsHeard&) const { return WorkKind::hosts; }
-    WorkKind operator()(const messages::ProxiesTold&) const { return WorkKind::proxies; }
+    WorkKind operator()(const messages::HostsUpdate&) const { return WorkKind::hosts; }
+    WorkKind operator()(const messages::HostsConfirmation&) const { return WorkKind::hosts; }
+    WorkKind operator()(const messages::HostHeartbeats&) const { return WorkKind::hosts; }
+    WorkKind operator()(const messages::ProxiesStatus&) const { return WorkKind::proxies; }
     WorkKind operator()(const messages::Subscribe&) const { return WorkKind::subscriptions; }
     WorkKind operator()(const leases::LeaseAsk&) const { return WorkKind::lease_asks; }
     WorkKind operator()(const leases::LeaseReply&) const { return WorkKind::lease_replies; }
     WorkKind operator()(const leases::ConfigurationLeaseAsk&) const { return WorkKind::subscriptions; }
     WorkKind operator()(const leases::ConfigurationLeaseReply&) const { return WorkKind::subscriptions; }
-    WorkKind operator()(const messages::ConfigurationTold&) const { return WorkKind::subscriptions; }
-    WorkKind operator()(const messages::FleetTold&) const { return WorkKind::subscriptions; }
-    WorkKind operator()(const messages::RolloutsTold&) const { return WorkKind::subscriptions; }
+    WorkKind operator()(const messages::ConfigurationUpdate&) const { return WorkKind::subscriptions; }
+    WorkKind operator()(const messages::FleetStatus&) const { return WorkKind::subscriptions; }
+    WorkKind operator()(const messages::RolloutsUpdate&) const { return WorkKind::subscriptions; }
     WorkKind operator()(const rollout::Ballot&) const { return WorkKind::ballots; }
 };
 
--- a/src/roles/proxy/admission.cpp
+++ b/src/roles/proxy/admission.cpp
@@ -72,7 +72,7 @@
     ask();
 }
 
-void Admission::fleet_told(const messages::FleetTold& told) {
+void Admission::fleet_told(const messages::FleetStatus& told) {
     if (told.current && !control_is_current_) {
         leases_.hurry();   // there is a leader again
         ask();
--- a/src/roles/proxy/admission.hpp
+++ b/src/roles/proxy/admission.hpp
@@ -38,7 +38,7 @@
 
     void configured();   // there is another route table
     void connected(bool is_up);
-    void fleet_told(const messages::FleetTold& told);
+    void fleet_told(const messages::FleetStatus& told);
     void apply(const leases::LeaseReply& reply);
     void woke();
     void ask();   // where an ask is due
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -122,10 +122,10 @@
 }
 
 Subscription::Events Proxy::subscription_events() {
-    return {[this](const messages::ConfigurationTold& told) { configured(told); },
-            [this](const messages::HostsTold& told) { services_.hosts_told(told); },
-            [this](const messages::RolloutsTold& told) { services_.rollouts_told(told); },
-            [this](const messages::FleetTold& told) { fleet_told(told); },
+    return {[this](const messages::ConfigurationUpdate& told) { configured(told); },
+            [this](const messages::HostsUpdate& told) { services_.hosts_told(told); },
+            [this](const messages::RolloutsUpdate& told) { services_.rollouts_told(told); },
+            [this](const messages::FleetStatus& told) { fleet_told(told); },
             [this](const leases::LeaseReply& reply) { admission_.apply(reply); },
             [this](const leases::ConfigurationLeaseReply& reply) { configuration_lease_.apply(reply); },
             [this](bool is_up) {
@@ -357,7 +357,7 @@
         subscription_.ask(std::move(ballot));
 }
 
-void Proxy::configured(const messages::ConfigurationTold& told) {
+void Proxy::configured(const messages::ConfigurationUpdate& told) {
     if (context_.table && told.version <= context_.table->configuration().version) return;
     auto checked = configuration::read_configuration(told.body.text());
     if (const auto* findings = std::get_if<Findings>(&checked)) {
@@ -376,7 +376,7 @@
     if (const auto ask = configuration_lease_.ask(context_.home.now())) subscription_.ask(*ask);
 }
 
-void Proxy::fleet_told(const messages::FleetTold& told) {
+void Proxy::fleet_told(const messages::FleetStatus& told) {
     if (told.current) rollouts_.heard_current(context_.now());
     admission_.fleet_told(told);
     context_.proxies = told.proxies;
--- a/src/roles/proxy/proxy.hpp
+++ b/src/roles/proxy/proxy.hpp
@@ -53,9 +53,9 @@
     size_t open_at_serving(const std::string& service);   // requests under way there
 
     // The control role.
-    void configured(const messages::ConfigurationTold& told);
+    void configured(const messages::ConfigurationUpdate& told);
     void ask_for_configuration_lease();   // where an ask is due
-    void fleet_told(const messages::FleetTold& told);
+    void fleet_told(const messages::FleetStatus& told);
 
     // What the parts tell.
     Front::Events front_events();
--- a/src/roles/proxy/quota_report.cpp
+++ b/src/roles/proxy/quota_report.cpp
@@ -52,7 +52,7 @@
     }
 }
 
-void QuotaReport::fleet_told(const messages::FleetTold& told, Time now) {
+void QuotaReport::fleet_told(const messages::FleetStatus& told, Time now) {
     told_at_ = now;
     proxies_.set(static_cast<double>(told.proxies));
     current_.set(told.current ? 1 : 0);
--- a/src/roles/proxy/quota_report.hpp
+++ b/src/roles/proxy/quota_report.hpp
@@ -33,7 +33,7 @@
     void configured(const std::vector<configuration::Tenant>& tenants);
 
     // What the control role told of the fleet.
-    void fleet_told(const messages::FleetTold& told, Time now);
+    void fleet_told(const messages::FleetStatus& told, Time now);
 
     // A request of the tenant that cost so many units. Tenants that the configuration does not name are passed over.
     void note_granted(std::string_view tenant, double units);
--- a/src/roles/proxy/service_directory.cpp
+++ b/src/roles/proxy/service_directory.cpp
@@ -73,7 +73,7 @@
     update_candidates();
 }
 
-void ServiceDirectory::hosts_told(const messages::HostsTold& told) {
+void ServiceDirectory::hosts_told(const messages::HostsUpdate& told) {
     hosts_known_ = true;
     for (const auto& host : told.hosts)
         if (table_.merge(host, context_.now())) tell(*table_.find(host.id));
@@ -81,7 +81,7 @@
     update_candidates();
 }
 
-void ServiceDirectory::rollouts_told(const messages::RolloutsTold& told) {
+void ServiceDirectory::rollouts_told(const messages::RolloutsUpdate& told) {
     const auto before = watcher_.rollouts();
     if (!watcher_.told(told.rollouts, context_.now())) return;
     for (const auto& rollout : watcher_.rollouts().all) {
@@ -216,7 +216,7 @@
            is_loaded(known->second.turn(sent));
 }
 
-void ServiceDirectory::placed(const messages::FleetTold& fleet) {
+void ServiceDirectory::placed(const messages::FleetStatus& fleet) {
     pools_.placed(static_cast<int>(fleet.place), static_cast<int>(fleet.proxies));
 }
 
--- a/src/roles/proxy/service_directory.hpp
+++ b/src/roles/proxy/service_directory.hpp
@@ -35,9 +35,9 @@
     ServicePool* find(size_t number) { return pools_.find(number); }
 
     void configured();   // there is another route table
-    void hosts_told(const messages::HostsTold& told);
-    void rollouts_told(const messages::RolloutsTold& told);
-    void placed(const messages::FleetTold& fleet);
+    void hosts_told(const messages::HostsUpdate& told);
+    void rollouts_told(const messages::RolloutsUpdate& told);
+    void placed(const messages::FleetStatus& fleet);
     // Retires pools of services that nothing uses; called several times a second.
     void tick(const RequestTable& requests);
 
--- a/src/roles/proxy/subscriber.cpp
+++ b/src/roles/proxy/subscriber.cpp
@@ -70,14 +70,14 @@
     if (link_ != Link::open) return;
     heard_ = now;
     outputs_.push_back(Told{message});
-    const auto* fleet = std::get_if<messages::FleetTold>(&message);
+    const auto* fleet = std::get_if<messages::FleetStatus>(&message);
     if (!fleet) return;
     hear_contact(*fleet, now);
     for (const auto& node : fleet->controls) know(node);
     if (fleet->move_to) move(*fleet->move_to, now);
 }
 
-void Subscriber::hear_contact(const messages::FleetTold& fleet, Time now) {
+void Subscriber::hear_contact(const messages::FleetStatus& fleet, Time now) {
     if (fleet.current) patience_ = least_patience;
     if (fleet.current || !fleet.current_elsewhere)
         out_of_touch_since_ = long_ago;
--- a/src/roles/proxy/subscriber.hpp
+++ b/src/roles/proxy/subscriber.hpp
@@ -71,7 +71,7 @@
     void leave(memory::Why why, Time now);
     Node& know(const messages::ControlNode& told);
     void forget_one();
-    void hear_contact(const messages::FleetTold& fleet, Time now);
+    void hear_contact(const messages::FleetStatus& fleet, Time now);
     void move(const messages::ControlNode& to, Time now);
     void open(const Endpoint& to, Time now);
 
--- a/src/roles/proxy/subscription.cpp
+++ b/src/roles/proxy/subscription.cpp
@@ -111,13 +111,13 @@
 }
 
 void Subscription::take(const messages::Message& message) {
-    if (const auto* configuration = std::get_if<messages::ConfigurationTold>(&message))
+    if (const auto* configuration = std::get_if<messages::ConfigurationUpdate>(&message))
         events_.configuration(*configuration);
-    else if (const auto* hosts = std::get_if<messages::HostsTold>(&message))
+    else if (const auto* hosts = std::get_if<messages::HostsUpdate>(&message))
         events_.hosts(*hosts);
-    else if (const auto* rollouts = std::get_if<messages::RolloutsTold>(&message))
+    else if (const auto* rollouts = std::get_if<messages::RolloutsUpdate>(&message))
         events_.rollouts(*rollouts);
-    else if (const auto* fleet = std::get_if<messages::FleetTold>(&message))
+    else if (const auto* fleet = std::get_if<messages::FleetStatus>(&message))
         events_.fleet(*fleet);
     else if (const auto* reply = std::get_if<leases::LeaseReply>(&message))
         events_.leases(*reply);
--- a/src/roles/proxy/subscription.hpp
+++ b/src/roles/proxy/subscription.hpp
@@ -11,10 +11,10 @@
 class Subscription : public memory::Owner {
 public:
     struct Events {
-        std::function<void(const messages::ConfigurationTold&)> configuration;
-        std::function<void(const messages::HostsTold&)> hosts;
-        std::function<void(const messages::RolloutsTold&)> rollouts;
-        std::function<void(const messages::FleetTold&)> fleet;
+        std::function<void(const messages::ConfigurationUpdate&)> configuration;
+        std::function<void(const messages::HostsUpdate&)> hosts;
+        std::function<void(const messages::RolloutsUpdate&)> rollouts;
+        std::function<void(const messages::FleetStatus&)> fleet;
         std::function<void(const leases::LeaseReply&)> leases;
         std::function<void(const leases::ConfigurationLeaseReply&)> configuration_lease;
         std::function<void(bool)> connected;   // whether there is a connection to a control node now
--- a/tests/system/bounds_test.cpp
+++ b/tests/system/bounds_test.cpp
@@ -127,7 +127,7 @@
     constexpr int at_once = 30, kept = 24;
     ProxyWorld world(1);
     world.tell(ProxyWorld::route("idempotent"));
-    world.say(messages::HostsTold{{roomy_host(0, registry::HostState::ready, 2)}});
+    world.say(messages::HostsUpdate{{roomy_host(0, registry::HostState::ready, 2)}});
     ask_at_once(world, at_once);
     REQUIRE(open_ends(*world.hosts[0]) == at_once);
     CHECK(answer_all(world) == at_once);
@@ -140,7 +140,7 @@
     constexpr int at_once = 20;
     ProxyWorld world(2, [](auto& settings) { settings.descriptors = 64; });   // connections of every kind
     world.tell(ProxyWorld::route("idempotent"));
-    world.say(messages::HostsTold{
+    world.say(messages::HostsUpdate{
         {roomy_host(0, registry::HostState::ready, 2), roomy_host(1, registry::HostState::gone, 2)}});
     ask_at_once(world, at_once);
     CHECK(answer_all(world) == at_once);
@@ -148,7 +148,7 @@
     REQUIRE(open_ends(*world.hosts[0]) == at_once);   // idle, while their clients stay connected
     auto other = roomy_host(1, registry::HostState::ready, 1);
     other.id = "i-anew";
-    world.say(messages::HostsTold{{roomy_host(0, registry::HostState::draining, 3), other}});
+    world.say(messages::HostsUpdate{{roomy_host(0, registry::HostState::draining, 3), other}});
     world.pass(Span{0.1});
     const auto clients = ask_at_once(world, at_once - 2);   // 38 clients, 18 connections to the other host
     CHECK(answer_all(world) == at_once - 2);
@@ -268,7 +268,7 @@
     control.disk_works = false;
     constexpr uint64_t owed = 1024, asked = owed + 7;
     for (uint64_t number = 1; number <= asked; ++number) {
-        messages::HostsTold told;
+        messages::HostsUpdate told;
         told.hosts.push_back(
             {"i-" + std::to_string(number), "s", "10.9.0.1:80", "north", 8, registry::HostState::draining, 1});
         told.confirm = number;
@@ -280,7 +280,8 @@
     control.disk_works = true;
     control.pass(Span{0.3});
     size_t confirmed = 0;
-    for (const auto& message : control.to_peers) confirmed += std::holds_alternative<messages::HostsConfirmed>(message);
+    for (const auto& message : control.to_peers)
+        confirmed += std::holds_alternative<messages::HostsConfirmation>(message);
     CHECK(confirmed == owed);
 }
 
@@ -314,7 +315,7 @@
     reader.connect(at);
     reader.non_blocking(true);
     std::string read(256 * 1024, ' ');
-    const messages::ConfigurationTold told{1, testing::random_text(1 << 20)};
+    const messages::ConfigurationUpdate told{1, testing::random_text(1 << 20)};
     constexpr size_t most_sent = 200;
     size_t sent = 0;
     for (; sent < most_sent && network.slow_readers() == 0; ++sent) {
--- a/tests/system/configuration_lease_test.cpp
+++ b/tests/system/configuration_lease_test.cpp
@@ -151,16 +151,16 @@
         : world(1, [closed](configuration::NodeSettings& settings) {
               if (closed) settings.revocation_bound = bound;
           }) {
-        messages::FleetTold fleet;
+        messages::FleetStatus fleet;
         fleet.current = true;
         world.say(fleet);
         const std::string route = R"("timeoutMs":6000,"kind":"idempotent","service":"s","hostname":"h.example")";
-        world.say(messages::ConfigurationTold{
+        world.say(messages::ConfigurationUpdate{
             1, R"({"version":1,"services":[{"name":"s","healthCheck":"/health"}],"routes":[{"pathPrefix":"/a/",)" +
                    route + R"(},{"pathPrefix":"/open/","public":true,)" + route +
                    R"(}],"tenants":[{"name":"acme","apiKeys":["key-one"]}]})"});
         world.say(
-            messages::HostsTold{{{"i-0", "s", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}, 0, true});
+            messages::HostsUpdate{{{"i-0", "s", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}, 0, true});
         world.pass(Span{0.1});
     }
     // The number of the newest ask that the control node has had; 0 where there is none.
@@ -178,7 +178,7 @@
     }
     void wait(Span span) {   // the control node speaks on, and says nothing of the configuration
         for (double passed = 0; passed < span.s; passed += 0.5) {
-            messages::FleetTold fleet;
+            messages::FleetStatus fleet;
             fleet.current = true;
             world.say(fleet);
             world.pass(Span{0.5});
--- a/tests/system/control_node.hpp
+++ b/tests/system/control_node.hpp
@@ -74,7 +74,7 @@
                 if (auto* link = std::get_if<ToLink>(&output)) {
                     to_proxy.push_back(link->message);
                     sent_on[link->link].push_back(link->message);
-                    hosts_told += std::holds_alternative<messages::HostsTold>(link->message);
+                    hosts_told += std::holds_alternative<messages::HostsUpdate>(link->message);
                 }
                 if (auto* peer = std::get_if<ToPeer>(&output)) to_peers.push_back(peer->message);
                 if (const auto* wanted = std::get_if<Write>(&output)) unwritten = std::max(unwritten, wanted->number);
@@ -104,7 +104,7 @@
     std::optional<uint64_t> configuration_told() {
         std::optional<uint64_t> version;
         for (const auto& message : to_proxy)
-            if (const auto* told = std::get_if<messages::ConfigurationTold>(&message)) {
+            if (const auto* told = std::get_if<messages::ConfigurationUpdate>(&message)) {
                 const auto checked = configuration::read_configuration(told->body.text());
                 version = std::get<configuration::Configuration>(checked).version;
                 CHECK(version == told->version);
--- a/tests/system/control_test.cpp
+++ b/tests/system/control_test.cpp
@@ -41,7 +41,7 @@
         control.pass(Span{0.1});
     }
     const auto is_configuration = [](const auto& message) {
-        return std::holds_alternative<messages::ConfigurationTold>(message);
+        return std::holds_alternative<messages::ConfigurationUpdate>(message);
     };
     const auto copies = std::count_if(control.to_proxy.begin(), control.to_proxy.end(), is_configuration);
     CHECK(copies >= 6);
@@ -58,7 +58,7 @@
     const auto copies = [&] {
         size_t count = 0;
         for (LinkNumber link = 1; link <= subscribers; ++link)
-            count += control.count_on<messages::ConfigurationTold>(link);
+            count += control.count_on<messages::ConfigurationUpdate>(link);
         return count;
     };
     const auto padding = testing::random_text(120000, " \t\r\n");   // 40 KB on the wire
@@ -83,14 +83,14 @@
     control.ask("PUT", "/instances/i-1", "", heartbeat);
     control.pass(Span{3});
     CHECK(control.sent_on[Control::proxy_link].size() == before);
-    CHECK(control.count_on<messages::ConfigurationTold>(anew) == 1);
-    CHECK(control.count_on<messages::HostsTold>(anew) >= 1);
+    CHECK(control.count_on<messages::ConfigurationUpdate>(anew) == 1);
+    CHECK(control.count_on<messages::HostsUpdate>(anew) >= 1);
     // What comes late on the old connection takes nothing from the new one.
     control.subscribe(0, Control::proxy_link);
     CHECK(control.status(control.ask("PUT", "/config", "3", document(4))) == 200);
     control.pass(Span{1});
     CHECK(control.sent_on[Control::proxy_link].size() == before);
-    CHECK(control.count_on<messages::ConfigurationTold>(anew) == 2);
+    CHECK(control.count_on<messages::ConfigurationUpdate>(anew) == 2);
 }
 
 TEST_CASE("orders are judged by the version that they build on, and one sent again is taken again") {
@@ -147,7 +147,7 @@
     CHECK(control.status(control.ask("DELETE", "/instances/i-1")) == 200);
     std::vector<registry::HostState> states;
     for (const auto& message : control.to_proxy)
-        if (const auto* told = std::get_if<messages::HostsTold>(&message))
+        if (const auto* told = std::get_if<messages::HostsUpdate>(&message))
             for (const auto& host : told->hosts) states.push_back(host.state);
     using registry::HostState;
     CHECK(states == std::vector<HostState>{HostState::ready, HostState::draining, HostState::gone});
@@ -162,7 +162,7 @@
     control.node->received(second_link, messages::PeerHello{{second.peer, 0}, second, true, {}}, control.now);
     const auto again = control.ask("PUT", "/instances/i-1", "", drain);
     CHECK(control.status(again) == 0);
-    control.node->received(second_link, messages::HostsConfirmed{2}, control.now);
+    control.node->received(second_link, messages::HostsConfirmation{2}, control.now);
     control.carry_out();
     CHECK(control.status(again) == 200);
 }
@@ -195,18 +195,19 @@
     const auto confirmations = [&] {
         size_t count = 0;
         for (const auto& message : control.to_peers)
-            if (const auto* confirmed = std::get_if<messages::HostsConfirmed>(&message))
+            if (const auto* confirmed = std::get_if<messages::HostsConfirmation>(&message))
                 count += confirmed->confirm == 7;
         return count;
     };
     control.disk_works = false;
-    control.node->received(second_link, messages::HostsTold{{leaving}, 7, false}, control.now);
+    control.node->received(second_link, messages::HostsUpdate{{leaving}, 7, false}, control.now);
     control.carry_out();
     CHECK(confirmations() == 0);
     control.disk_works = true;
     control.carry_out();
     CHECK(confirmations() == 1);
-    control.node->received(second_link, messages::HostsTold{{leaving}, 7, false}, control.now);   // it is there already
+    control.node->received(second_link, messages::HostsUpdate{{leaving}, 7, false},
+                           control.now);   // it is there already
     control.carry_out();
     CHECK(confirmations() == 2);
 }
@@ -318,7 +319,7 @@
     CHECK(control.configuration_told() == std::nullopt);
     CHECK(control.hosts_told == 0);
     const registry::Host leaving{"i-1", "s", "10.9.0.1:80", "north", 1, registry::HostState::draining, 2};
-    control.node->received(second_link, messages::HostsTold{{leaving}, 0, true}, control.now);
+    control.node->received(second_link, messages::HostsUpdate{{leaving}, 0, true}, control.now);
     for (int i = 0; i < 5; ++i) {
         control.pass(Span{0.1});
         cluster.answer();
@@ -337,7 +338,7 @@
         state.version = 4;
         state.configuration = document(4);
         append_.state = state;
-        cluster.control.node->received(second_link, messages::HostsTold{{}, 0, true}, cluster.control.now);
+        cluster.control.node->received(second_link, messages::HostsUpdate{{}, 0, true}, cluster.control.now);
     }
     void pass(Span span) {
         auto& control = cluster.control;
--- a/tests/system/lending_load_test.cpp
+++ b/tests/system/lending_load_test.cpp
@@ -190,7 +190,7 @@
         const auto number = ++told_;
         const registry::Host leaving{"i-" + std::to_string(number), "s",   "10.9.0.1:80", "north", 1,
                                      registry::HostState::draining, number};
-        control_.node->received(second_link, messages::HostsTold{{leaving}, number, false}, control_.now);
+        control_.node->received(second_link, messages::HostsUpdate{{leaving}, number, false}, control_.now);
         control_.carry_out();
     }
 
--- a/tests/system/metrics_answer_test.cpp
+++ b/tests/system/metrics_answer_test.cpp
@@ -112,11 +112,11 @@
 }
 
 void tell_tenants(ProxyWorld& world) {
-    messages::FleetTold fleet;
+    messages::FleetStatus fleet;
     fleet.current = true;
     fleet.proxies = 3;
-    world.say(messages::ConfigurationTold{2, tenant_document});
-    world.say(messages::HostsTold{});
+    world.say(messages::ConfigurationUpdate{2, tenant_document});
+    world.say(messages::HostsUpdate{});
     world.say(fleet);
     world.pass(Span{0.1});
 }
--- a/tests/system/packed_text_test.cpp
+++ b/tests/system/packed_text_test.cpp
@@ -67,13 +67,13 @@
 
 TEST_CASE("a long configuration goes packed in messages and records, and one of before is read") {
     const auto long_text = std::string(5000, 'x');
-    const auto message = messages::encode(messages::ConfigurationTold{3, long_text});
+    const auto message = messages::encode(messages::ConfigurationUpdate{3, long_text});
     CHECK(message.size() < 300);
     const auto read = messages::decode(message);
     REQUIRE(read);
-    CHECK(std::get<messages::ConfigurationTold>(*read).body.text() == long_text);
+    CHECK(std::get<messages::ConfigurationUpdate>(*read).body.text() == long_text);
     const auto before = messages::decode(R"({"kind":"configuration","version":3,"body":")" + long_text + R"("})");
     REQUIRE(before);
-    CHECK(std::get<messages::ConfigurationTold>(*before).body.text() == long_text);
+    CHECK(std::get<messages::ConfigurationUpdate>(*before).body.text() == long_text);
     CHECK_FALSE(messages::decode(R"({"kind":"configuration","version":3,"body":{"zlib":"9:!"}})"));
 }
--- a/tests/system/protocol_test.cpp
+++ b/tests/system/protocol_test.cpp
@@ -13,7 +13,7 @@
 bool contains(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
 
 // A configuration with two tenants, one of which has a rank of its own, a public route and narrow bounds on requests.
-messages::ConfigurationTold with_tenants() {
+messages::ConfigurationUpdate with_tenants() {
     return {
         1,
         R"({"version":1,"routes":[)"
@@ -29,11 +29,11 @@
     ProxyWorld world{1};
 
     Fleet() {
-        messages::FleetTold fleet;
+        messages::FleetStatus fleet;
         fleet.current = true;
         world.say(fleet);
         world.say(with_tenants());
-        world.say(messages::HostsTold{{{"i-0", "s", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}});
+        world.say(messages::HostsUpdate{{{"i-0", "s", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}});
         world.pass(Span{0.1});
     }
     static std::string request(const std::string& path, const std::string& fields, const std::string& body = "x") {
@@ -88,7 +88,7 @@
     ProxyWorld world(1);
     auto& client = world.client();   // before there is a configuration
     world.say(with_tenants());
-    world.say(messages::HostsTold{{{"i-0", "s", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}});
+    world.say(messages::HostsUpdate{{{"i-0", "s", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}});
     world.pass(Span{0.1});
     const auto answer_to = [&](size_t body) {
         client.send(Fleet::request("/open/b", "", std::string(body, 'b')));
--- a/tests/system/proxy_test.cpp
+++ b/tests/system/proxy_test.cpp
@@ -437,15 +437,15 @@
     };
     for (int n = 1; n <= services; ++n) {
         const auto version = std::to_string(n);
-        messages::FleetTold fleet;
+        messages::FleetStatus fleet;
         fleet.current = true;
         world.say(fleet);
-        world.say(messages::ConfigurationTold{
+        world.say(messages::ConfigurationUpdate{
             static_cast<uint64_t>(n),
             R"({"version":)" + version +
                 R"(,"routes":[{"hostname":"h.example","pathPrefix":"/a/","kind":"idempotent",)" +
                 R"("timeoutMs":6000,"service":"s)" + version + R"("}],"services":[{"name":"s)" + version + R"("}]})"});
-        messages::HostsTold told;
+        messages::HostsUpdate told;
         told.hosts.push_back(host(n, registry::HostState::ready, 1));
         if (n > 2) told.hosts.push_back(host(n - 2, registry::HostState::gone, 2));
         world.say(told);
@@ -473,14 +473,15 @@
         return "s" + std::to_string(n);
     };
     for (int n = 1; n <= services; ++n) {
-        world.say(messages::ConfigurationTold{static_cast<uint64_t>(n),
-                                              R"({"version":)" + std::to_string(n) +
-                                                  R"(,"routes":[{"hostname":"h.example","pathPrefix":"/a/","kind":)" +
-                                                  R"("idempotent","timeoutMs":6000,"service":")" + name(n) +
-                                                  R"("}],"services":[{"name":")" + name(n) + R"("}]})"});
+        world.say(messages::ConfigurationUpdate{static_cast<uint64_t>(n),
+                                                R"({"version":)" + std::to_string(n) +
+                                                    R"(,"routes":[{"hostname":"h.example","pathPrefix":"/a/","kind":)" +
+                                                    R"("idempotent","timeoutMs":6000,"service":")" + name(n) +
+                                                    R"("}],"services":[{"name":")" + name(n) + R"("}]})"});
         world.pass(Span{0.03});   // over thirty a second
     }
-    world.say(messages::HostsTold{{{"i-0", name(services), "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}});
+    world.say(
+        messages::HostsUpdate{{{"i-0", name(services), "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}});
     world.pass(Span{0.1});
     world.client().send("POST /a/a HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r1\r\nContent-Length: 0\r\n\r\n");
     world.pass(Span{0.05});
@@ -498,9 +499,9 @@
     }
     routes.pop_back();
     services.pop_back();
-    world.say(
-        messages::ConfigurationTold{1, R"({"version":1,"routes":[)" + routes + R"(],"services":[)" + services + "]}"});
-    messages::HostsTold told;
+    world.say(messages::ConfigurationUpdate{
+        1, R"({"version":1,"routes":[)" + routes + R"(],"services":[)" + services + "]}"});
+    messages::HostsUpdate told;
     told.hosts.push_back({"i-0", "t0", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1});
     world.say(told);
     world.pass(Span{0.1});
@@ -522,7 +523,7 @@
 TEST_CASE("a service that found no pool knows its hosts as soon as there is room, though nothing is told anew") {
     ProxyWorld world(1);
     const auto configuration = [](int version, const std::string& services) {
-        return messages::ConfigurationTold{
+        return messages::ConfigurationUpdate{
             static_cast<uint64_t>(version),
             R"({"version":)" + std::to_string(version) +
                 R"(,"routes":[{"hostname":"h.example","pathPrefix":"/late/","kind":"idempotent","timeoutMs":6000,)" +
@@ -531,7 +532,7 @@
     std::string many;
     for (size_t n = 0; n < proxy::ServicePools::most; ++n) many += R"({"name":"t)" + std::to_string(n) + R"("},)";
     world.say(configuration(1, many));
-    world.say(messages::HostsTold{{{"i-0", "late", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}});
+    world.say(messages::HostsUpdate{{{"i-0", "late", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}});
     world.pass(Span{0.1});
     world.say(configuration(2, ""));   // there is no room yet: the pools that go have just been used
     world.pass(Span{5});
@@ -551,7 +552,7 @@
         CHECK(contains(client.take(), "HTTP/1.1 50"));
     }
     world.hosts.push_back(std::make_unique<testing::ScriptedListener>(world.net, 10, Endpoint{"10.9.0.1", 80}));
-    world.say(messages::HostsTold{{{"i-0", "s", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}});
+    world.say(messages::HostsUpdate{{{"i-0", "s", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}});
     world.pass(Span{0.1});
     world.client().send(ProxyWorld::request("idempotent", "served", std::string(100 * 1024, 'b')));
     world.pass(Span{0.2});
--- a/tests/system/proxy_world.hpp
+++ b/tests/system/proxy_world.hpp
@@ -106,11 +106,11 @@
     void tell(const std::string& routes, uint64_t version = 1) {
         const std::string body = R"({"version":)" + std::to_string(version) + R"(,"routes":[)" + routes +
                                  R"(],"services":[{"name":"s","healthCheck":"/health"}]})";
-        messages::FleetTold fleet;
+        messages::FleetStatus fleet;
         fleet.current = true;
         say(fleet);
-        say(messages::ConfigurationTold{version, body});
-        messages::HostsTold told;
+        say(messages::ConfigurationUpdate{version, body});
+        messages::HostsUpdate told;
         for (size_t i = 0; i < hosts.size(); ++i)
             told.hosts.push_back(
                 {"i-" + std::to_string(i), "s", host_address(i).text(), "north", 8, registry::HostState::ready, 1});
--- a/tests/system/quota_report_test.cpp
+++ b/tests/system/quota_report_test.cpp
@@ -35,7 +35,7 @@
         return registry.render();
     }
     void told(size_t proxies = 12, bool current = true) {
-        messages::FleetTold fleet;
+        messages::FleetStatus fleet;
         fleet.current = current;
         fleet.proxies = proxies;
         report.fleet_told(fleet, now);
--- a/tests/system/rollout_order_test.cpp
+++ b/tests/system/rollout_order_test.cpp
@@ -56,7 +56,7 @@
     // As the proxy was told last.
     Stage stage() {
         for (const auto& message : control.to_proxy)
-            if (const auto* told = std::get_if<messages::RolloutsTold>(&message))
+            if (const auto* told = std::get_if<messages::RolloutsUpdate>(&message))
                 if (!told->rollouts.all.empty()) told_ = told->rollouts.all[0].stage;
         control.to_proxy.clear();
         return told_;
@@ -156,8 +156,8 @@
     control.subscribe();
     bool rollouts_told = false;
     for (const auto& message : control.to_proxy) {
-        rollouts_told = rollouts_told || std::holds_alternative<messages::RolloutsTold>(message);
-        if (std::holds_alternative<messages::HostsTold>(message)) CHECK(rollouts_told);
+        rollouts_told = rollouts_told || std::holds_alternative<messages::RolloutsUpdate>(message);
+        if (std::holds_alternative<messages::HostsUpdate>(message)) CHECK(rollouts_told);
     }
     CHECK(rollouts_told);
 }
--- a/tests/system/rollout_proxy_test.cpp
+++ b/tests/system/rollout_proxy_test.cpp
@@ -18,22 +18,22 @@
 class RolloutWorld {
 public:
     explicit RolloutWorld(size_t each) : each_(each), world(2 * each) {
-        messages::FleetTold fleet;
+        messages::FleetStatus fleet;
         fleet.current = true;
         world.say(fleet);
-        world.say(messages::ConfigurationTold{1, R"({"version":1,"routes":[)" + ProxyWorld::route("idempotent") +
-                                                     R"(],"services":[{"name":"s","healthCheck":"/health"}]})"});
+        world.say(messages::ConfigurationUpdate{1, R"({"version":1,"routes":[)" + ProxyWorld::route("idempotent") +
+                                                       R"(],"services":[{"name":"s","healthCheck":"/health"}]})"});
     }
     void tell(Stage stage) {
         Rollouts rollouts{++revision_, {}};
         rollouts.all.push_back({1, "s", "v2", 12, stage, {}});
         if (stage == Stage::rolled_back) rollouts.all[0].rejected = {"v2"};
-        world.say(messages::RolloutsTold{rollouts});
+        world.say(messages::RolloutsUpdate{rollouts});
         world.pass(Span{0.1});
     }
     // The first hosts up to that number; those that were told before are not told again.
     void tell_hosts(size_t count) {
-        messages::HostsTold told;
+        messages::HostsUpdate told;
         for (size_t i = std::exchange(told_, count); i < count; ++i)
             told.hosts.push_back({"i-" + std::to_string(i), "s", "10.9.0." + std::to_string(i + 1) + ":80", "north", 8,
                                   registry::HostState::ready, 1, i < each_ ? "v1" : "v2"});
@@ -43,7 +43,7 @@
     // Time passes in which a control node with a quorum speaks.
     void stay(Span span) {
         for (double passed = 0; passed < span.s; passed += 0.25) {
-            messages::FleetTold fleet;
+            messages::FleetStatus fleet;
             fleet.current = speaks;
             world.say(fleet);
             world.pass(Span{0.25});
@@ -199,7 +199,7 @@
     rollout.tell_hosts(16);
     rollout.tell(Stage::rolled_back);
     Rollouts older{1, {{1, "s", "v2", 12, Stage::moving, {}}}};
-    rollout.world.say(messages::RolloutsTold{older});
+    rollout.world.say(messages::RolloutsUpdate{older});
     rollout.serve(20);
     CHECK(rollout.at_candidates == 0);
 }
--- a/tests/system/subscriber_test.cpp
+++ b/tests/system/subscriber_test.cpp
@@ -20,8 +20,8 @@
     return {{address, 7500}, {address, 8367}, zone};
 }
 
-messages::FleetTold fleet(bool current, bool elsewhere = false) {
-    messages::FleetTold told;
+messages::FleetStatus fleet(bool current, bool elsewhere = false) {
+    messages::FleetStatus told;
     told.current = current;
     told.current_elsewhere = elsewhere;
     return told;
@@ -53,12 +53,12 @@
         subscriber.tick(now);
         carry_out();
     }
-    void hear(const messages::FleetTold& told) {
+    void hear(const messages::FleetStatus& told) {
         subscriber.received(told, now);
         carry_out();
     }
     // Several times a second, for so long.
-    void hear_for(const messages::FleetTold& told, Span span) {
+    void hear_for(const messages::FleetStatus& told, Span span) {
         for (const Time end = now + span; now < end;) {
             hear(told);
             step(Span{0.2});
@@ -300,7 +300,7 @@
     control::ProxyDirectory directory;
     const Endpoint other{"10.0.0.2", 7500};
     Time now{100};
-    messages::ProxiesTold told;
+    messages::ProxiesStatus told;
     told.current = true;
     told.weight = 100;
     told.proxies = {"edge-9"};
