--- a/src/messages/messages.cpp
+++ b/src/messages/messages.cpp
@@ -318,12 +318,14 @@
     if (!read) throw std::runtime_error("no consensus message");
     m.message = std::move(*read);
 }
-void to_json(Json& j, const HostsUpdate& m) { j = {{"hosts", m.hosts}, {"confirm", m.confirm}, {"all", m.all}}; }
+void to_json(Json& j, const HostsUpdate& m) {
+    j = {{"hosts", m.hosts}, {"confirm", m.confirmation_id}, {"all", m.complete}};
+}
 void from_json(const Json& j, HostsUpdate& m) {
-    j.at("hosts").get_to(m.hosts), j.at("confirm").get_to(m.confirm), j.at("all").get_to(m.all);
+    j.at("hosts").get_to(m.hosts), j.at("confirm").get_to(m.confirmation_id), j.at("all").get_to(m.complete);
 }
-void to_json(Json& j, const HostsConfirmation& m) { j = {{"confirm", m.confirm}}; }
-void from_json(const Json& j, HostsConfirmation& m) { j.at("confirm").get_to(m.confirm); }
+void to_json(Json& j, const HostsConfirmation& m) { j = {{"confirm", m.confirmation_id}}; }
+void from_json(const Json& j, HostsConfirmation& m) { j.at("confirm").get_to(m.confirmation_id); }
 void to_json(Json& j, const HostHeartbeats& m) { j = {{"sequences", m.sequences}}; }
 void from_json(const Json& j, HostHeartbeats& m) { j.at("sequences").get_to(m.sequences); }
 void to_json(Json& j, const ProxiesStatus& m) {
@@ -347,14 +349,15 @@
 void to_json(Json& j, const FleetStatus& m) {
     j = {{"current", m.current},
          {"current_elsewhere", m.current_elsewhere},
-         {"place", m.place},
-         {"proxies", m.proxies},
-         {"controls", m.controls}};
+         {"place", m.proxy_index},
+         {"proxies", m.proxy_count},
+         {"controls", m.control_nodes}};
     if (m.move_to) j["move_to"] = *m.move_to;
 }
 void from_json(const Json& j, FleetStatus& m) {
     j.at("current").get_to(m.current), j.at("current_elsewhere").get_to(m.current_elsewhere);
-    j.at("place").get_to(m.place), j.at("proxies").get_to(m.proxies), j.at("controls").get_to(m.controls);
+    j.at("place").get_to(m.proxy_index), j.at("proxies").get_to(m.proxy_count),
+        j.at("controls").get_to(m.control_nodes);
     if (j.contains("move_to")) m.move_to = j.at("move_to").get<ControlNode>();
 }
 
--- a/src/messages/messages.hpp
+++ b/src/messages/messages.hpp
@@ -42,11 +42,11 @@
 // Hosts that are new or have changed. Where `confirm` is not 0 the receiver tells when it has them on disk.
 struct HostsUpdate {
     std::vector<registry::Host> hosts;
-    uint64_t confirm = 0;
-    bool all = false;   // these are all that the sender knows of
+    uint64_t confirmation_id = 0;
+    bool complete = false;   // these are all that the sender knows of
 };
 struct HostsConfirmation {
-    uint64_t confirm = 0;
+    uint64_t confirmation_id = 0;
 };
 
 // Heartbeats heard of hosts that have not changed.
@@ -83,9 +83,9 @@
 struct FleetStatus {
     bool current = false;             // the sender is in touch with a leader that has a quorum
     bool current_elsewhere = false;   // it is not, and another control node may be
-    size_t place = 0;                 // of the receiver among the proxies
-    size_t proxies = 1;
-    std::vector<ControlNode> controls;
+    size_t proxy_index = 0;           // of the receiver among the proxies
+    size_t proxy_count = 1;
+    std::vector<ControlNode> control_nodes;
     std::optional<ControlNode> move_to;   // where the receiver should subscribe instead
 };
 
--- a/src/roles/control/host_service.cpp
+++ b/src/roles/control/host_service.cpp
@@ -113,12 +113,12 @@
     for (const auto& host : hosts.hosts)
         if (table_.merge(host, now)) changed.push_back(*table_.find(host.id));
     if (!changed.empty()) spread_.tell_subscribers(changed);
-    if (!hosts.confirm) return;
+    if (!hosts.confirmation_id) return;
     if (owed_.size() >= most_owed) {
         ++bounds_.confirmations;
         return;
     }
-    owed_.push_back({by, hosts.confirm, spread_.write()});
+    owed_.push_back({by, hosts.confirmation_id, spread_.write()});
     settle_written();
 }
 
--- a/src/roles/control/node.cpp
+++ b/src/roles/control/node.cpp
@@ -204,12 +204,12 @@
     const auto from = links_.find(link);
     if (from == links_.end()) return;
     hosts_.told(from->second.replica, hosts, now);
-    if (hosts.all) hosts_from_.insert(from->second.replica);
+    if (hosts.complete) hosts_from_.insert(from->second.replica);
 }
 
 void Node::handle(LinkNumber link, const messages::HostsConfirmation& confirmed, Time) {
     if (const auto from = links_.find(link); from != links_.end())
-        hosts_.confirmed(from->second.replica, confirmed.confirm);
+        hosts_.confirmed(from->second.replica, confirmed.confirmation_id);
 }
 
 void Node::handle(LinkNumber, const messages::HostHeartbeats& heard, Time now) { hosts_.heard(heard, now); }
@@ -223,7 +223,7 @@
     if (!earlier) return;
     for (const auto ended : *earlier) end_subscription(ended);
     auto fleet = fleet_for(link, proxies_.names(), now);
-    fleet.controls = controls();
+    fleet.control_nodes = controls();
     outputs_.push_back(ToLink{link, std::move(fleet)});
     new_subscriptions_.add(link, subscribe.version, now);
     fanout_.left(link);   // until the subscription has begun
@@ -320,8 +320,8 @@
     fleet.current = replica_.is_current(now);
     fleet.current_elsewhere = !fleet.current && may_be_current_elsewhere(now);
     const auto at = std::lower_bound(names.begin(), names.end(), proxies_.name(link));
-    fleet.place = static_cast<size_t>(at - names.begin());
-    fleet.proxies = std::max<size_t>(1, names.size());
+    fleet.proxy_index = static_cast<size_t>(at - names.begin());
+    fleet.proxy_count = std::max<size_t>(1, names.size());
     return fleet;
 }
 
@@ -512,7 +512,7 @@
         const auto names = proxies_.names();
         for (const auto link : proxies_.subscribers()) {
             auto fleet = fleet_for(link, names, now);
-            if (with_controls) fleet.controls = controls();
+            if (with_controls) fleet.control_nodes = controls();
             outputs_.push_back(ToLink{link, std::move(fleet)});
         }
     }
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -379,8 +379,8 @@
 void Proxy::fleet_told(const messages::FleetStatus& told) {
     if (told.current) rollouts_.heard_current(context_.now());
     admission_.fleet_told(told);
-    context_.proxies = told.proxies;
-    context_.fleet_size.told(told.proxies, context_.now());
+    context_.proxies = told.proxy_count;
+    context_.fleet_size.told(told.proxy_count, context_.now());
     services_.placed(told);
 }
 
--- a/src/roles/proxy/quota_report.cpp
+++ b/src/roles/proxy/quota_report.cpp
@@ -54,7 +54,7 @@
 
 void QuotaReport::fleet_told(const messages::FleetStatus& told, Time now) {
     told_at_ = now;
-    proxies_.set(static_cast<double>(told.proxies));
+    proxies_.set(static_cast<double>(told.proxy_count));
     current_.set(told.current ? 1 : 0);
 }
 
--- a/src/roles/proxy/service_directory.cpp
+++ b/src/roles/proxy/service_directory.cpp
@@ -217,7 +217,7 @@
 }
 
 void ServiceDirectory::placed(const messages::FleetStatus& fleet) {
-    pools_.placed(static_cast<int>(fleet.place), static_cast<int>(fleet.proxies));
+    pools_.placed(static_cast<int>(fleet.proxy_index), static_cast<int>(fleet.proxy_count));
 }
 
 // A pool is in use while the configuration names its service, a host belongs to it or a request is under way there.
--- a/src/roles/proxy/subscriber.cpp
+++ b/src/roles/proxy/subscriber.cpp
@@ -73,7 +73,7 @@
     const auto* fleet = std::get_if<messages::FleetStatus>(&message);
     if (!fleet) return;
     hear_contact(*fleet, now);
-    for (const auto& node : fleet->controls) know(node);
+    for (const auto& node : fleet->control_nodes) know(node);
     if (fleet->move_to) move(*fleet->move_to, now);
 }
 
--- a/tests/system/bounds_test.cpp
+++ b/tests/system/bounds_test.cpp
@@ -271,7 +271,7 @@
         messages::HostsUpdate told;
         told.hosts.push_back(
             {"i-" + std::to_string(number), "s", "10.9.0.1:80", "north", 8, registry::HostState::draining, 1});
-        told.confirm = number;
+        told.confirmation_id = number;
         control.node->received(second_link, told, control.now);
     }
     control.carry_out();
--- a/tests/system/control_test.cpp
+++ b/tests/system/control_test.cpp
@@ -196,7 +196,7 @@
         size_t count = 0;
         for (const auto& message : control.to_peers)
             if (const auto* confirmed = std::get_if<messages::HostsConfirmation>(&message))
-                count += confirmed->confirm == 7;
+                count += confirmed->confirmation_id == 7;
         return count;
     };
     control.disk_works = false;
--- a/tests/system/metrics_answer_test.cpp
+++ b/tests/system/metrics_answer_test.cpp
@@ -114,7 +114,7 @@
 void tell_tenants(ProxyWorld& world) {
     messages::FleetStatus fleet;
     fleet.current = true;
-    fleet.proxies = 3;
+    fleet.proxy_count = 3;
     world.say(messages::ConfigurationUpdate{2, tenant_document});
     world.say(messages::HostsUpdate{});
     world.say(fleet);
--- a/tests/system/quota_report_test.cpp
+++ b/tests/system/quota_report_test.cpp
@@ -37,7 +37,7 @@
     void told(size_t proxies = 12, bool current = true) {
         messages::FleetStatus fleet;
         fleet.current = current;
-        fleet.proxies = proxies;
+        fleet.proxy_count = proxies;
         report.fleet_told(fleet, now);
     }
     // The allocator lends that much, in reply to an ask for a request that waits.
--- a/tests/system/subscriber_test.cpp
+++ b/tests/system/subscriber_test.cpp
@@ -143,7 +143,7 @@
     World world({node(0)});
     auto told = fleet(true);
     for (int number = 1; number <= 300; ++number) {
-        told.controls = {node(number)};
+        told.control_nodes = {node(number)};
         world.hear(told);
     }
     CHECK(world.subscriber.nodes() == Subscriber::most_nodes);
