--- a/src/base/line_limit.hpp
+++ b/src/base/log_rate_limiter.hpp
@@ -7,11 +7,11 @@
 
 namespace myrtleroute {
 
-class LineLimit {
+class LogRateLimiter {
 public:
     // How many lines were left out since the last one, where a line may be written now; it counts as written. Nothing: this
     // one is left out as well.
-    std::optional<unsigned> take(Time now) {
+    std::optional<unsigned> try_log(Time now) {
         constexpr Span line_every{1};
         if (now - written_ < line_every) {
             ++left_out_;
--- a/src/roles/proxy/cut_report.cpp
+++ b/src/roles/proxy/cut_report.cpp
@@ -24,7 +24,7 @@
 void CutReport::note(CutCause cause, std::string_view request_id, Span after, Time now) {
     const auto number = static_cast<size_t>(cause);
     answers_[number].add();
-    const auto left_out = lines_[number].take(now);
+    const auto left_out = lines_[number].try_log(now);
     if (!left_out) return;
     std::ostringstream line;
     line.precision(3);
--- a/src/roles/proxy/cut_report.hpp
+++ b/src/roles/proxy/cut_report.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "base/line_limit.hpp"
+#include "base/log_rate_limiter.hpp"
 #include "base/metrics.hpp"
 #include "time.hpp"
 
@@ -37,7 +37,7 @@
     Log log_;
     // By cause.
     std::array<metrics::Counter, cut_causes.size()> answers_;
-    std::array<LineLimit, cut_causes.size()> lines_;
+    std::array<LogRateLimiter, cut_causes.size()> lines_;
 };
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/front_report.cpp
+++ b/src/roles/proxy/front_report.cpp
@@ -47,7 +47,7 @@
 void FrontReport::closed_over_unread(ConnectionEnd cause, Span ended_for, Span rested, Time now) {
     const auto number = static_cast<size_t>(cause);
     unread_[number].add();
-    if (!lines_[number].take(now)) return;
+    if (!lines_[number].try_log(now)) return;
     std::ostringstream line;
     line.precision(3);
     line << "a client's connection is closed over unread bytes: " << to_string(cause) << ", " << std::fixed
--- a/src/roles/proxy/front_report.hpp
+++ b/src/roles/proxy/front_report.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "base/line_limit.hpp"
+#include "base/log_rate_limiter.hpp"
 #include "base/metrics.hpp"
 #include "time.hpp"
 
@@ -56,7 +56,7 @@
     std::array<metrics::Counter, request_ends.size()> ended_;
     // By cause.
     std::array<metrics::Counter, connection_ends.size()> connections_, unread_;
-    std::array<LineLimit, connection_ends.size()> lines_;
+    std::array<LogRateLimiter, connection_ends.size()> lines_;
 };
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/quota_report.cpp
+++ b/src/roles/proxy/quota_report.cpp
@@ -72,7 +72,7 @@
     figures->refused_units.add(units);
     figures->refused_requests[static_cast<size_t>(cause)].add();
     figures->refused_since += units;
-    if (lines_[static_cast<size_t>(cause)].take(now)) log_refusal(tenant, *figures, cause, leases, now);
+    if (lines_[static_cast<size_t>(cause)].try_log(now)) log_refusal(tenant, *figures, cause, leases, now);
 }
 
 void QuotaReport::refresh(const leases::Holder& leases, Time now) {
--- a/src/roles/proxy/quota_report.hpp
+++ b/src/roles/proxy/quota_report.hpp
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/line_limit.hpp"
+#include "base/log_rate_limiter.hpp"
 #include "base/metrics.hpp"
 #include "configuration/configuration.hpp"
 #include "leases/holder.hpp"
@@ -65,7 +65,7 @@
     std::map<std::string, Figures, std::less<>> figures_;
     metrics::Gauge proxies_, current_, told_age_, reply_age_;
     Time told_at_ = long_ago;
-    std::array<LineLimit, leases::refusal_causes.size()> lines_;   // by cause
+    std::array<LogRateLimiter, leases::refusal_causes.size()> lines_;   // by cause
 };
 
 }   // namespace myrtleroute::proxy
