--- a/src/base/findings.hpp
+++ b/src/base/findings.hpp
@@ -9,8 +9,8 @@
 
 // One fault: where it is (a file and line, or a path inside a document) and what is wrong there.
 struct Finding {
-    std::string place;
-    std::string text;
+    std::string location;
+    std::string message;
     bool operator==(const Finding&) const = default;
 };
 
@@ -18,14 +18,14 @@
 
 // Either the value that was read, or all that is wrong with its source.
 template <class Value>
-using Checked = std::variant<Value, Findings>;
+using ParseResult = std::variant<Value, Findings>;
 
 // All findings as one line: `place: text; place: text`.
-inline std::string one_line(const Findings& findings) {
+inline std::string join_findings(const Findings& findings) {
     std::string line;
     for (const auto& finding : findings) {
         if (!line.empty()) line += "; ";
-        line += finding.place + ": " + finding.text;
+        line += finding.location + ": " + finding.message;
     }
     return line;
 }
--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -136,7 +136,7 @@
 
 }   // namespace
 
-Checked<Configuration> read_configuration(std::string_view json) {
+ParseResult<Configuration> read_configuration(std::string_view json) {
     static const rapidjson::SchemaDocument schema = compile_schema(configuration_schema());
     rapidjson::Document document;
     if (auto findings = parse_document(json, schema, document); !findings.empty()) return findings;
--- a/src/configuration/configuration.hpp
+++ b/src/configuration/configuration.hpp
@@ -64,6 +64,6 @@
 };
 
 // Whether a version is newer than the current one is the caller's to check.
-Checked<Configuration> read_configuration(std::string_view json);
+ParseResult<Configuration> read_configuration(std::string_view json);
 
 }   // namespace myrtleroute::configuration
--- a/src/configuration/node_settings.cpp
+++ b/src/configuration/node_settings.cpp
@@ -146,7 +146,7 @@
 
 }   // namespace
 
-Checked<NodeSettings> read_node_settings(std::string_view text, const std::string& file) {
+ParseResult<NodeSettings> read_node_settings(std::string_view text, const std::string& file) {
     constexpr double milliseconds = 1e-3;
     Reader reader(text, file);
     NodeSettings settings;
--- a/src/configuration/node_settings.hpp
+++ b/src/configuration/node_settings.hpp
@@ -60,6 +60,6 @@
 };
 
 // Reads settings; `file` names them in findings.
-Checked<NodeSettings> read_node_settings(std::string_view text, const std::string& file);
+ParseResult<NodeSettings> read_node_settings(std::string_view text, const std::string& file);
 
 }   // namespace myrtleroute::configuration
--- a/src/configuration/patch.cpp
+++ b/src/configuration/patch.cpp
@@ -171,7 +171,7 @@
 
 }   // namespace
 
-Checked<Patched> apply_patch(std::string_view current, std::string_view patch) {
+ParseResult<Patched> apply_patch(std::string_view current, std::string_view patch) {
     static const rapidjson::SchemaDocument schema = compile_schema(patch_schema());
     Document change;
     if (auto findings = parse_document(patch, schema, change); !findings.empty()) return findings;
@@ -190,7 +190,7 @@
     Patched patched{change["version"].GetUint64(), written(result)};
     auto checked = read_configuration(patched.document);
     if (auto* faults = std::get_if<Findings>(&checked)) {
-        for (auto& fault : *faults) fault.place = place_in_patch(fault.place, lists);
+        for (auto& fault : *faults) fault.location = place_in_patch(fault.location, lists);
         return std::move(*faults);
     }
     return patched;
--- a/src/configuration/patch.hpp
+++ b/src/configuration/patch.hpp
@@ -21,6 +21,6 @@
 
 // `current`: a valid configuration, or empty where there is none yet. Places of findings are those of the patch where it
 // brings the fault in, else of the result (an item that is left and names one that is deleted).
-Checked<Patched> apply_patch(std::string_view current, std::string_view patch);
+ParseResult<Patched> apply_patch(std::string_view current, std::string_view patch);
 
 }   // namespace myrtleroute::configuration
--- a/src/roles/control/configuration_service.cpp
+++ b/src/roles/control/configuration_service.cpp
@@ -40,7 +40,7 @@
 
 Answer findings_answer(RequestNumber request, const Findings& findings) {
     auto list = nlohmann::json::array();
-    for (const auto& finding : findings) list.push_back({{"place", finding.place}, {"fault", finding.text}});
+    for (const auto& finding : findings) list.push_back({{"place", finding.location}, {"fault", finding.message}});
     const nlohmann::json body{{"findings", std::move(list)}};
     return {request, 400, body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace), {}};
 }
@@ -97,8 +97,8 @@
     return order.kind == Kind::put ? digest(order.body) : digest(std::string(patch_mark) + order.body);
 }
 
-Checked<configuration::Patched> ConfigurationService::result_of(const Order& order,
-                                                                const consensus::ClusterState& state) {
+ParseResult<configuration::Patched> ConfigurationService::result_of(const Order& order,
+                                                                    const consensus::ClusterState& state) {
     if (order.kind == Kind::patch) return configuration::apply_patch(state.configuration.text(), order.body);
     auto checked = configuration::read_configuration(order.body);
     if (auto* findings = std::get_if<Findings>(&checked)) return std::move(*findings);
--- a/src/roles/control/configuration_service.hpp
+++ b/src/roles/control/configuration_service.hpp
@@ -53,7 +53,7 @@
     void wait_for_barrier(Order order, Answer answer, Time now);
     void propose(Order order, configuration::Patched result, const std::string& digest, Time now);
     // What the order makes of the current configuration.
-    static Checked<configuration::Patched> result_of(const Order& order, const consensus::ClusterState& state);
+    static ParseResult<configuration::Patched> result_of(const Order& order, const consensus::ClusterState& state);
     static std::string digest_of(const Order& order);
     void finish(Time now);
 
--- a/src/roles/control/runtime.cpp
+++ b/src/roles/control/runtime.cpp
@@ -128,7 +128,7 @@
                 return true;
             }
             const auto& fault = std::get<storage::FilesFault>(opened);
-            log_error() << "dataDir: " << fault.finding.place << ": " << fault.finding.text;
+            log_error() << "dataDir: " << fault.finding.location << ": " << fault.finding.message;
             if (!fault.passing) return false;
             std::this_thread::sleep_for(disk_retry);
         }
--- a/src/roles/main.cpp
+++ b/src/roles/main.cpp
@@ -32,7 +32,7 @@
     return text;
 }
 
-Checked<configuration::NodeSettings> read_settings(const std::string& path) {
+ParseResult<configuration::NodeSettings> read_settings(const std::string& path) {
     if (path.empty()) return Findings{{settings_variable, "is not set, and there is no --settings"}};
     const auto text = read_file(path);
     if (!text) return Findings{{path, "can't be read"}};
@@ -49,7 +49,7 @@
     const auto reread = [path]() -> std::optional<configuration::NodeSettings> {
         auto checked = read_settings(path);
         if (auto* findings = std::get_if<Findings>(&checked)) {
-            log_error() << "settings stay as they were: " << one_line(*findings);
+            log_error() << "settings stay as they were: " << join_findings(*findings);
             return {};
         }
         return std::get<configuration::NodeSettings>(std::move(checked));
@@ -74,7 +74,7 @@
         auto checked = configuration::read_node_settings(*text, path);
         if (auto* found = std::get_if<Findings>(&checked)) findings = std::move(*found);
     }
-    for (const auto& finding : findings) std::cout << finding.place << ": " << finding.text << '\n';
+    for (const auto& finding : findings) std::cout << finding.location << ": " << finding.message << '\n';
     if (findings.empty()) std::cout << path << ": sound\n";
     return findings.empty() ? exit_well : exit_findings;
 }
@@ -82,7 +82,7 @@
 int run_role(const std::string& role, const std::string& path) {
     auto checked = read_settings(path);
     if (const auto* findings = std::get_if<Findings>(&checked)) {
-        log_error() << one_line(*findings);
+        log_error() << join_findings(*findings);
         return exit_fault;
     }
     const auto& settings = std::get<configuration::NodeSettings>(checked);
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -361,7 +361,7 @@
     if (context_.table && told.version <= context_.table->configuration().version) return;
     auto checked = configuration::read_configuration(told.body.text());
     if (const auto* findings = std::get_if<Findings>(&checked)) {
-        log_error() << "configuration " << told.version << ": " << one_line(*findings);
+        log_error() << "configuration " << told.version << ": " << join_findings(*findings);
         return;
     }
     context_.table = std::make_shared<routing::RouteTable>(std::get<configuration::Configuration>(std::move(checked)));
--- a/src/rollout/order.cpp
+++ b/src/rollout/order.cpp
@@ -17,7 +17,7 @@
 
 }   // namespace
 
-Checked<Order> read_order(std::string_view json) {
+ParseResult<Order> read_order(std::string_view json) {
     static const rapidjson::SchemaDocument schema = configuration::compile_schema(order_schema);
     rapidjson::Document document;
     if (auto findings = configuration::parse_document(json, schema, document); !findings.empty()) return findings;
--- a/src/rollout/order.hpp
+++ b/src/rollout/order.hpp
@@ -13,6 +13,6 @@
 };
 
 // Reads the body of `POST /rollouts`; what is wrong with it, with its place as a JSON pointer.
-Checked<Order> read_order(std::string_view json);
+ParseResult<Order> read_order(std::string_view json);
 
 }   // namespace myrtleroute::rollout
--- a/tests/system/configuration_test.cpp
+++ b/tests/system/configuration_test.cpp
@@ -27,7 +27,7 @@
 
 std::string fault_of(const std::string& text) {
     const auto checked = read_configuration(text);
-    return checked.index() == 0 ? "" : one_line(std::get<Findings>(checked));
+    return checked.index() == 0 ? "" : join_findings(std::get<Findings>(checked));
 }
 
 }   // namespace
@@ -59,7 +59,7 @@
         CAPTURE(value);
         const auto checked = read_node_settings(sound_settings + "metrics=" + value + "\n", "f");
         REQUIRE(checked.index() == 1);
-        CHECK(one_line(std::get<1>(checked)) ==
+        CHECK(join_findings(std::get<1>(checked)) ==
               "f:10: metrics must be a port and a path, PORT/PATH, not '" + value + "'");
     }
 }
@@ -74,7 +74,7 @@
     CHECK(std::get<0>(relayed).reached_at() == "10.9.0.1");
     const auto unsound = read_node_settings(sound_settings + "advertise.address=nowhere\n", "f");
     REQUIRE(unsound.index() == 1);
-    CHECK(one_line(std::get<1>(unsound)).find("advertise.address must be an IPv4 address, not 'nowhere'") !=
+    CHECK(join_findings(std::get<1>(unsound)).find("advertise.address must be an IPv4 address, not 'nowhere'") !=
           std::string::npos);
 }
 
@@ -84,7 +84,7 @@
         "bounds.graceS=soon\nbootstrap=perhaps\nno equals sign\n",
         "f");
     REQUIRE(checked.index() == 1);
-    const auto text = one_line(std::get<1>(checked));
+    const auto text = join_findings(std::get<1>(checked));
     CHECK(text.find("f:4: listen.front must be an address and port, not 'nowhere'") != text.npos);
     CHECK(text.find("f:5: internalPorts must be two ports") != text.npos);
     CHECK(text.find("f:6: seeds must be addresses with ports, not 'a'") != text.npos);
@@ -96,7 +96,7 @@
 TEST_CASE("a missing key is named") {
     const auto checked = read_node_settings("ip=10.1.0.3\n", "f");
     REQUIRE(checked.index() == 1);
-    CHECK(one_line(std::get<1>(checked)).find("f: nodeName is missing") == 0);
+    CHECK(join_findings(std::get<1>(checked)).find("f: nodeName is missing") == 0);
 }
 
 TEST_CASE("a sound configuration") {
--- a/tests/system/patch_test.cpp
+++ b/tests/system/patch_test.cpp
@@ -48,7 +48,7 @@
     const auto* findings = std::get_if<Findings>(&checked);
     if (!findings) return {};
     std::string all;
-    for (const auto& finding : *findings) all += (all.empty() ? "" : " ") + finding.place;
+    for (const auto& finding : *findings) all += (all.empty() ? "" : " ") + finding.location;
     return all;
 }
 
@@ -130,7 +130,7 @@
     CHECK(places({{"upsert", json::object()}}) == "/");
     const auto cut_short = apply_patch(base_document().dump(), R"({"version":9,"upsert":{"rou)");
     REQUIRE(cut_short.index() == 1);
-    CHECK(std::get<Findings>(cut_short).front().place.starts_with("byte "));
+    CHECK(std::get<Findings>(cut_short).front().location.starts_with("byte "));
 }
 
 TEST_CASE("a name that several items of the configuration have stands for none of them") {
