--- a/src/base/bounds.hpp
+++ b/src/base/bounds.hpp
@@ -7,7 +7,7 @@
 namespace myrtleroute {
 
 // The counter of that table. docs/bounds.md tells what happens at each bound.
-inline metrics::Counter bound_counter(metrics::Registry& registry, const std::string& table) {
+inline metrics::Counter bound_reached_counter(metrics::Registry& registry, const std::string& table) {
     return registry.counter("myrtleroute_bound_reached_total", "Times that a bounded table was full, by table.",
                             {{"table", table}});
 }
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -101,7 +101,7 @@
         const auto known = family->second.series.find(key);
         if (known != family->second.series.end()) return known->second;
     }
-    if (series_ >= options_.most_series) return refused();
+    if (series_ >= options_.max_series) return refused();
     auto& series = families_.try_emplace(name, Family{kind, help, {}}).first->second.series;
     ++series_;
     return series[key] = std::make_shared<double>(0);
--- a/src/base/metrics.hpp
+++ b/src/base/metrics.hpp
@@ -48,7 +48,7 @@
 };
 
 struct RegistryOptions {
-    size_t most_series = 4096;   // further ones are counted, and not shown
+    size_t max_series = 4096;   // further ones are counted, and not shown
 };
 
 class Registry {
--- a/src/base/packed_text.hpp
+++ b/src/base/packed_text.hpp
@@ -21,7 +21,7 @@
 
     // Whether it is long enough for its packed form to be sent and stored in its place; and the bytes that this takes.
     bool is_worth_packing() const { return size() >= least_packed; }
-    size_t sent_size() const { return is_worth_packing() ? packed().size() : size(); }
+    size_t encoded_size() const { return is_worth_packing() ? packed().size() : size(); }
 
     // Compressed by zlib and written in base64, with the length of the text in front. May be called from several threads.
     const std::string& packed() const;
--- a/src/configuration/configuration.hpp
+++ b/src/configuration/configuration.hpp
@@ -31,7 +31,7 @@
     bool is_public = false;   // needs no key
     bool sticky = false;      // prompts with shared parts
     bool resumable = false;   // a stream that may go on at another host
-    bool repeatable() const { return kind == RouteKind::idempotent || (kind == RouteKind::streaming && resumable); }
+    bool is_retryable() const { return kind == RouteKind::idempotent || (kind == RouteKind::streaming && resumable); }
 };
 
 struct Service {
--- a/src/configuration/node_settings.cpp
+++ b/src/configuration/node_settings.cpp
@@ -165,17 +165,17 @@
     settings.tolerated_machines = static_cast<int>(reader.number("faultTolerance.machines", 1));
     settings.data_directory = reader.text("dataDir", false);
     settings.memory_megabytes = static_cast<size_t>(reader.number("limits.memoryMb", 256));
-    settings.descriptors = static_cast<size_t>(reader.number("limits.maxFds", 1024));
+    settings.max_descriptors = static_cast<size_t>(reader.number("limits.maxFds", 1024));
     settings.link_megabits = reader.number("limits.linkMbps", 1000);
     settings.heartbeat = Span{reader.number("heartbeatMs", 1200) * milliseconds};
     settings.contact = Span{reader.number("bounds.contactMs", 3000) * milliseconds};
     settings.drain = Span{reader.number("bounds.drainMs", 2000) * milliseconds};
-    settings.grace = Span{reader.number("bounds.graceS", 8)};
+    settings.termination_grace = Span{reader.number("bounds.graceS", 8)};
     settings.retry_budget_ratio = reader.number("bounds.retryBudgetRatio", settings.retry_budget_ratio);
-    settings.budget_window = Span{reader.number("bounds.budgetWindowS", 10)};
-    settings.budget_slack = reader.number("bounds.budgetSlack", 0);
+    settings.retry_budget_window = Span{reader.number("bounds.budgetWindowS", 10)};
+    settings.retry_budget_slack = reader.number("bounds.budgetSlack", 0);
     settings.quota_window = Span{reader.number("bounds.quotaWindowS", 8)};
-    settings.quota_over = reader.number("bounds.quotaOver", 0);
+    settings.quota_tolerance = reader.number("bounds.quotaOver", 0);
     settings.quota_slack = reader.number("bounds.quotaSlack", 0);
     if (reader.truth("bounds.closed", false))
         settings.revocation_bound = Span{reader.number("bounds.revokeMs", 5000) * milliseconds};
--- a/src/configuration/node_settings.hpp
+++ b/src/configuration/node_settings.hpp
@@ -39,24 +39,24 @@
     int tolerated_machines = 1;   // that count for the quorum and may be lost at once
     std::string data_directory;   // empty: this machine has no disk
     size_t memory_megabytes = 256;
-    size_t descriptors = 1024;
+    size_t max_descriptors = 1024;
     double link_megabits = 1000;       // Mbit/s of the machine's own link
     Span heartbeat{1.2};               // between a host's heartbeats
     Span contact{3};                   // trouble older than this no longer excuses
     Span drain{2};                     // from a drain's acknowledgement to the last request sent there
-    Span grace{8};                     // from SIGTERM to SIGKILL
+    Span termination_grace{8};         // from SIGTERM to SIGKILL
     double retry_budget_ratio = 0.2;   // repeats for each request
-    Span budget_window{10};
-    double budget_slack = 0;   // repeats beyond the ratio, of all proxies together
+    Span retry_budget_window{10};
+    double retry_budget_slack = 0;   // repeats beyond the ratio, of all proxies together
     Span quota_window{8};
-    double quota_over = 0;    // tolerated share above a tenant's quota
-    double quota_slack = 0;   // tokens that all proxies together may use beyond it
+    double quota_tolerance = 0;   // tolerated share above a tenant's quota
+    double quota_slack = 0;       // tokens that all proxies together may use beyond it
     // An API key is served for so long at most after its removal was acknowledged, also by a proxy that can't know of it;
     // nothing: there is no such bound.
     std::optional<Span> revocation_bound;
 
     // The address that others are told.
-    const std::string& reached_at() const { return advertised_address ? *advertised_address : address; }
+    const std::string& reachable_address() const { return advertised_address ? *advertised_address : address; }
 };
 
 // Reads settings; `file` names them in findings.
--- a/src/messages/messages.cpp
+++ b/src/messages/messages.cpp
@@ -27,7 +27,7 @@
         t = j.get<std::string>();
         return;
     }
-    auto unpacked = PackedText::unpack(j.at("zlib").get_ref<const std::string&>(), messages::most_frame);
+    auto unpacked = PackedText::unpack(j.at("zlib").get_ref<const std::string&>(), messages::max_frame_bytes);
     if (!unpacked) throw std::runtime_error("no packed text");
     t = std::move(*unpacked);
 }
@@ -410,7 +410,7 @@
     uint32_t length = 0;
     for (size_t i = 0; i < head; ++i)
         length |= static_cast<uint32_t>(static_cast<unsigned char>(buffer_[taken_ + i])) << (8 * i);
-    if (length > most_frame) {
+    if (length > max_frame_bytes) {
         broken_ = true;
         return {};
     }
--- a/src/messages/messages.hpp
+++ b/src/messages/messages.hpp
@@ -109,15 +109,15 @@
 std::string encode_record(const Record& record);
 std::optional<Record> decode_record(std::string_view json);
 
-constexpr size_t most_frame = 16 << 20;
+constexpr size_t max_frame_bytes = 16 << 20;
 std::string frame(std::string_view json);
 
 // Cuts a stream of bytes into frames.
 class FrameReader {
 public:
     void feed(std::string_view bytes) { buffer_.append(bytes); }
-    std::optional<std::string> next();        // a frame's JSON, nothing until one is whole
-    bool broken() const { return broken_; }   // a frame is longer than any may be
+    std::optional<std::string> next();                // a frame's JSON, nothing until one is whole
+    bool frame_too_long() const { return broken_; }   // a frame is longer than any may be
 
 private:
     std::string buffer_;
--- a/src/roles/control/configuration_fanout.cpp
+++ b/src/roles/control/configuration_fanout.cpp
@@ -46,7 +46,7 @@
 
 Span ConfigurationFanout::pause(size_t waiting) const {
     if (link_megabits_ <= 0) return {};
-    const Span copy{static_cast<double>(body_.sent_size()) * bits_a_byte / bits_a_megabit / link_megabits_};
+    const Span copy{static_cast<double>(body_.encoded_size()) * bits_a_byte / bits_a_megabit / link_megabits_};
     const Span for_all = all_within * (1.0 / static_cast<double>(waiting));
     return std::clamp(for_all, copy * (1 / most_share), copy * (1 / usual_share));
 }
--- a/src/roles/control/node_figures.cpp
+++ b/src/roles/control/node_figures.cpp
@@ -26,7 +26,7 @@
         {"control_nodes", &BoundsReached::control_nodes},
         {"queued_bytes", &BoundsReached::queued_bytes},
     };
-    for (const auto& [table, reached] : tables) bounds_.push_back({reached, bound_counter(registry, table)});
+    for (const auto& [table, reached] : tables) bounds_.push_back({reached, bound_reached_counter(registry, table)});
 }
 
 void NodeFigures::show(const NodeState& state) {
--- a/src/roles/control/peer_network.cpp
+++ b/src/roles/control/peer_network.cpp
@@ -51,7 +51,7 @@
             if (message && self->on_message) self->on_message(*message, began);
             if (self->closed_) return;
         }
-        if (self->reader_.broken()) return self->closed();
+        if (self->reader_.frame_too_long()) return self->closed();
         self->read();
     });
 }
--- a/src/roles/control/runtime.cpp
+++ b/src/roles/control/runtime.cpp
@@ -127,9 +127,9 @@
                 });
                 return true;
             }
-            const auto& fault = std::get<storage::FilesFault>(opened);
+            const auto& fault = std::get<storage::FileError>(opened);
             log_error() << "dataDir: " << fault.finding.location << ": " << fault.finding.message;
-            if (!fault.passing) return false;
+            if (!fault.transient) return false;
             std::this_thread::sleep_for(disk_retry);
         }
     }
@@ -192,7 +192,7 @@
         signals_.async_wait([this](asio::error_code error, int number) {
             if (error) return;
             if (number == SIGHUP) return hear_signals();   // nothing of the control role changes while it runs
-            leave_until_ = now() + std::min(leave_within, settings_.grace * (1.0 / 3));
+            leave_until_ = now() + std::min(leave_within, settings_.termination_grace * (1.0 / 3));
             leave();
         });
     }
--- a/src/roles/control/start.cpp
+++ b/src/roles/control/start.cpp
@@ -12,12 +12,12 @@
     NodeOptions options;
     auto control = *settings.control;
     if (settings.advertised_address) control.address = *settings.advertised_address;
-    options.self = {peer_endpoint(settings, settings.reached_at()), control, settings.zone};
+    options.self = {peer_endpoint(settings, settings.reachable_address()), control, settings.zone};
     for (const auto& seed : settings.seeds) options.seeds.push_back({peer_endpoint(settings, seed.address), seed, ""});
     options.may_vote = options.replica.counts = settings.counts_for_quorum;
     options.replica.least_voters = 2 * static_cast<size_t>(settings.tolerated_machines) + 1;
     options.hosts.lost_after = settings.heartbeat * 3.7;
-    options.limit_rule = {settings.quota_slack, settings.quota_over, settings.quota_window};
+    options.limit_rule = {settings.quota_slack, settings.quota_tolerance, settings.quota_window};
     options.link_megabits = settings.link_megabits;
     options.seed = seed;
     return options;
@@ -28,7 +28,7 @@
 // The first start of the whole system: the seeds are the voters, and all of them begin with the same entry.
 StoredState first_state(const configuration::NodeSettings& settings, uint64_t fresh_disk) {
     StoredState state;
-    const auto self = peer_endpoint(settings, settings.reached_at());
+    const auto self = peer_endpoint(settings, settings.reachable_address());
     consensus::ClusterState cluster;
     for (const auto& seed : settings.seeds) cluster.voters.push_back({peer_endpoint(settings, seed.address), 0});
     std::sort(cluster.voters.begin(), cluster.voters.end());
--- a/src/roles/proxy/admission.cpp
+++ b/src/roles/proxy/admission.cpp
@@ -34,7 +34,7 @@
       leases_({context.settings.node_name, life}, {}, context.started),
       report_(context.metrics, [](const std::string& line) { log_info() << line; }),
       used_units_were_lent_(context.invariants.named("used_units_were_lent")),
-      without_room_(bound_counter(context.metrics, "leases")) {}
+      without_room_(bound_reached_counter(context.metrics, "leases")) {}
 
 leases::Decision Admission::decide(const Request& request) {
     if (!request.tenant || request.tenant->rate_per_second <= 0) return {};
--- a/src/roles/proxy/context.hpp
+++ b/src/roles/proxy/context.hpp
@@ -38,7 +38,7 @@
     Time now() const { return loop.now(); }
     size_t most_connections() const {
         constexpr size_t kept_back = 64;
-        const size_t allowed = std::min(settings.descriptors, home.most_descriptors());
+        const size_t allowed = std::min(settings.max_descriptors, home.most_descriptors());
         return allowed > 2 * kept_back ? allowed - kept_back : kept_back;
     }
 };
--- a/src/roles/proxy/hosts.cpp
+++ b/src/roles/proxy/hosts.cpp
@@ -50,8 +50,8 @@
 Hosts::Hosts(Context& context, Events events)
     : context_(context),
       events_(std::move(events)),
-      idle_beyond_(bound_counter(context.metrics, "idle_connections_of_a_host")),
-      shed_(bound_counter(context.metrics, "connections")) {}
+      idle_beyond_(bound_reached_counter(context.metrics, "idle_connections_of_a_host")),
+      shed_(bound_reached_counter(context.metrics, "connections")) {}
 
 HostRecord& Hosts::record(const registry::Host& host) {
     const ServerId id = fnv1a(host.id) | 1;   // never 0
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -49,8 +49,8 @@
                                    "Requests with keys refused since the configuration may be old.")),
       subscription_(context_, subscription_events()),
       metrics_listener_(context_, [this] { return figures(); }),
-      hosts_evicted_(bound_counter(context_.metrics, "hosts")),
-      shutdown_(context_.settings.grace) {}
+      hosts_evicted_(bound_reached_counter(context_.metrics, "hosts")),
+      shutdown_(context_.settings.termination_grace) {}
 
 Front::Events Proxy::front_events() {
     return {[this](Client& client, RequestReader& reader) { arrived(client, reader); },
--- a/src/roles/proxy/request_table.cpp
+++ b/src/roles/proxy/request_table.cpp
@@ -6,7 +6,7 @@
 
 RequestTable::RequestTable(Bounds bounds, metrics::Registry& registry, Invariants& invariants)
     : bounds_(bounds),
-      refused_(bound_counter(registry, "requests")),
+      refused_(bound_reached_counter(registry, "requests")),
       held_(registry.gauge("myrtleroute_requests_held", "Requests of clients that are held.")),
       held_bytes_cover_bodies_(invariants.named("held_bytes_cover_bodies")) {}
 
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -54,7 +54,7 @@
     Product product;
     product.slo = route.target_latency;
     product.client_timeout = route.timeout;
-    product.repeat = route.repeatable() ? Repeat::idempotent : Repeat::non_idempotent;
+    product.repeat = route.is_retryable() ? Repeat::idempotent : Repeat::non_idempotent;
     product.tardy_value = late_worth;
     product.attempts = std::min(route.max_attempts, most_attempts);
     product.name = std::to_string(static_cast<int>(route.kind)) + "/" + std::to_string(route.resumable) + "/" +
--- a/src/roles/proxy/service_pools.cpp
+++ b/src/roles/proxy/service_pools.cpp
@@ -44,8 +44,8 @@
     for (const auto& [number, entry] : pools_)
         if (entry.pool->name() == service) return entry.pool->budget();
     const auto& settings = context_.settings;
-    const routing::RetryBudgetOptions options{settings.retry_budget_ratio, settings.budget_window,
-                                              settings.budget_slack};
+    const routing::RetryBudgetOptions options{settings.retry_budget_ratio, settings.retry_budget_window,
+                                              settings.retry_budget_slack};
     return std::make_shared<routing::RetryBudget>(options, context_.started);
 }
 
--- a/src/roles/proxy/subscription.cpp
+++ b/src/roles/proxy/subscription.cpp
@@ -28,9 +28,9 @@
 Subscription::Subscription(Context& context, Events events)
     : context_(context),
       events_(std::move(events)),
-      subscriber_(
-          {context.settings.node_name, context.settings.reached_at(), context.settings.zone, context.chance.next()}),
-      forgotten_nodes_(bound_counter(context.metrics, "control_nodes")) {
+      subscriber_({context.settings.node_name, context.settings.reachable_address(), context.settings.zone,
+                   context.chance.next()}),
+      forgotten_nodes_(bound_reached_counter(context.metrics, "control_nodes")) {
     add_seeds();
 }
 
@@ -107,7 +107,7 @@
     while (auto json = link.reader.next())
         if (auto message = messages::decode(*json)) subscriber_.received(*message, context_.now());
     carry_out();
-    if (link.open() && (link.ended || link.error || link.reader.broken())) broke(link, ECONNRESET);
+    if (link.open() && (link.ended || link.error || link.reader.frame_too_long())) broke(link, ECONNRESET);
 }
 
 void Subscription::take(const messages::Message& message) {
--- a/src/storage/posix_files.cpp
+++ b/src/storage/posix_files.cpp
@@ -46,7 +46,7 @@
     int descriptor_;
 };
 
-FilesFault fault(const std::string& path) {
+FileError fault(const std::string& path) {
     const int error = errno;
     const bool lasting = error == ENOENT || error == ENOTDIR || error == EACCES || error == EPERM || error == EROFS;
     return {{path, std::strerror(error)}, !lasting};
@@ -63,8 +63,8 @@
 
 }   // namespace
 
-std::variant<std::vector<std::unique_ptr<File>>, FilesFault> open_files(const std::string& directory, size_t count,
-                                                                        uint64_t bytes) {
+std::variant<std::vector<std::unique_ptr<File>>, FileError> open_files(const std::string& directory, size_t count,
+                                                                       uint64_t bytes) {
     if (::mkdir(directory.c_str(), 0755) != 0 && errno != EEXIST) return fault(directory);
     std::vector<std::unique_ptr<File>> files;
     bool made = false;
--- a/src/storage/posix_files.hpp
+++ b/src/storage/posix_files.hpp
@@ -12,11 +12,11 @@
 
 // Makes what is missing and gives every file its full length. A finding names the path and the system's reason; with
 // `passing` the fault may pass (a disk that is full or in trouble), so that trying again makes sense.
-struct FilesFault {
+struct FileError {
     Finding finding;
-    bool passing = false;
+    bool transient = false;
 };
-std::variant<std::vector<std::unique_ptr<File>>, FilesFault> open_files(const std::string& directory, size_t count,
-                                                                        uint64_t bytes);
+std::variant<std::vector<std::unique_ptr<File>>, FileError> open_files(const std::string& directory, size_t count,
+                                                                       uint64_t bytes);
 
 }   // namespace myrtleroute::storage
--- a/tests/system/bounds_test.cpp
+++ b/tests/system/bounds_test.cpp
@@ -138,7 +138,7 @@
 
 TEST_CASE("where descriptors lack, a connection to a host takes the place of one that is idle") {
     constexpr int at_once = 20;
-    ProxyWorld world(2, [](auto& settings) { settings.descriptors = 64; });   // connections of every kind
+    ProxyWorld world(2, [](auto& settings) { settings.max_descriptors = 64; });   // connections of every kind
     world.tell(ProxyWorld::route("idempotent"));
     world.say(messages::HostsUpdate{
         {roomy_host(0, registry::HostState::ready, 2), roomy_host(1, registry::HostState::gone, 2)}});
--- a/tests/system/configuration_test.cpp
+++ b/tests/system/configuration_test.cpp
@@ -67,11 +67,11 @@
 TEST_CASE("a machine is reached at the address that it advertises, else at its own") {
     const auto own = read_node_settings(sound_settings, "f");
     REQUIRE(own.index() == 0);
-    CHECK(std::get<0>(own).reached_at() == "10.1.0.3");
+    CHECK(std::get<0>(own).reachable_address() == "10.1.0.3");
     const auto relayed = read_node_settings(sound_settings + "advertise.address=10.9.0.1\n", "f");
     REQUIRE(relayed.index() == 0);
     CHECK(std::get<0>(relayed).address == "10.1.0.3");
-    CHECK(std::get<0>(relayed).reached_at() == "10.9.0.1");
+    CHECK(std::get<0>(relayed).reachable_address() == "10.9.0.1");
     const auto unsound = read_node_settings(sound_settings + "advertise.address=nowhere\n", "f");
     REQUIRE(unsound.index() == 1);
     CHECK(join_findings(std::get<1>(unsound)).find("advertise.address must be an IPv4 address, not 'nowhere'") !=
@@ -112,7 +112,7 @@
     CHECK(configuration.version == 7);
     REQUIRE(configuration.routes.size() == 1);
     CHECK(configuration.routes[0].backends.size() == 2);
-    CHECK(configuration.routes[0].repeatable());
+    CHECK(configuration.routes[0].is_retryable());
     CHECK(configuration.services[1].is_engine);
     CHECK(configuration.tenants[0].counts_tokens);
     CHECK(configuration.tenants[0].api_keys.size() == 2);
--- a/tests/system/messages_test.cpp
+++ b/tests/system/messages_test.cpp
@@ -105,7 +105,7 @@
     FrameReader reader;
     reader.feed("\xff\xff\xff\xff");
     CHECK_FALSE(reader.next());
-    CHECK(reader.broken());
+    CHECK(reader.frame_too_long());
 }
 
 TEST_CASE("a record on disk is read as it was written") {
--- a/tests/system/metrics_test.cpp
+++ b/tests/system/metrics_test.cpp
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE("series beyond the bound are counted in the overflow and not shown") {
-    metrics::Registry registry({.most_series = 2});
+    metrics::Registry registry({.max_series = 2});
     registry.counter("a_total", "", {{"l", "1"}});
     registry.counter("a_total", "", {{"l", "2"}});
     auto refused = registry.counter("a_total", "", {{"l", "3"}});
@@ -79,7 +79,7 @@
 }
 
 TEST_CASE("a removed series makes room, and its handle stays harmless") {
-    metrics::Registry registry({.most_series = 1});
+    metrics::Registry registry({.max_series = 1});
     auto first = registry.counter("a_total", "", {{"l", "1"}});
     registry.remove("a_total", {{"l", "1"}});
     registry.remove("a_total", {{"l", "unknown"}});
--- a/tests/system/packed_text_test.cpp
+++ b/tests/system/packed_text_test.cpp
@@ -47,7 +47,7 @@
         routes += R"({"hostname":"h.example","pathPrefix":"/)" + testing::random_text(7) +
                   std::to_string(routes.size()) +
                   R"(/","kind":"idempotent","timeoutMs":1000,"targetLatencyMs":100,"priority":1,"service":"s"},)";
-    CHECK(PackedText(routes).sent_size() < 40000);
+    CHECK(PackedText(routes).encoded_size() < 40000);
 }
 
 TEST_CASE("what is no packed text is refused, also one that tells another length or a longer one than may be") {
--- a/tests/system/pool_test.cpp
+++ b/tests/system/pool_test.cpp
@@ -51,8 +51,8 @@
         0,
         7,
         std::make_shared<routing::RetryBudget>(
-            routing::RetryBudgetOptions{context.settings.retry_budget_ratio, context.settings.budget_window,
-                                        context.settings.budget_slack},
+            routing::RetryBudgetOptions{context.settings.retry_budget_ratio, context.settings.retry_budget_window,
+                                        context.settings.retry_budget_slack},
             context.started),
         {[this](CallId, ServerId server, Span) { sent.push_back(server); }, [](CallId, int) {},
          [this](CallId, Span) { ++refused; }, [](CallId) {}, [](ServerId) {},
@@ -68,7 +68,7 @@
     }
     static configuration::NodeSettings settings() {
         configuration::NodeSettings node;
-        node.budget_slack = 100;
+        node.retry_budget_slack = 100;
         return node;
     }
     void tell(const std::string& id, ServerId server, HostState state) {
--- a/tests/system/proxy_world.hpp
+++ b/tests/system/proxy_world.hpp
@@ -90,7 +90,7 @@
         settings.metrics = configuration::MetricsAddress{metrics_port, "/figures"};
         settings.first_internal_port = internal_port;
         settings.seeds = {{"10.0.0.2", control_port}};
-        settings.budget_slack = 50;
+        settings.retry_budget_slack = 50;
         if (change) change(settings);
         proxy_ = std::make_unique<proxy::Proxy>(settings, home_, 1, [] { return std::nullopt; });
         started_ = proxy_->start();
--- a/tests/system/soak_test.cpp
+++ b/tests/system/soak_test.cpp
@@ -323,7 +323,7 @@
     CHECK(read.version == 3);
     CHECK(read.tenants.size() == tenants().size());
     CHECK(read.routes.size() == std::size(routes));
-    for (size_t i = 0; i < read.routes.size(); ++i) CHECK(read.routes[i].repeatable() == routes[i].repeatable);
+    for (size_t i = 0; i < read.routes.size(); ++i) CHECK(read.routes[i].is_retryable() == routes[i].repeatable);
 }
 
 TEST_CASE("a body is a host's only if it is whole and of the request") {
