--- a/src/configuration/configuration.hpp
+++ b/src/configuration/configuration.hpp
@@ -31,7 +31,7 @@
     bool is_public = false;   // needs no key
     bool sticky = false;      // prompts with shared parts
     bool resumable = false;   // a stream that may go on at another host
-    bool repeatable() const { return kind == RouteKind::idempotent || (kind == RouteKind::streaming && resumable); }
+    bool is_retryable() const { return kind == RouteKind::idempotent || (kind == RouteKind::streaming && resumable); }
 };
 
 struct Service {
@@ -64,6 +64,6 @@
 };
 
 // Whether a version is newer than the current one is the caller's to check.
-Checked<Configuration> read_configuration(std::string_view json);
+ParseResult<Configuration> read_configuration(std::string_view json);
 
 }   // namespace myrtleroute::configuration
--- a/src/messages/messages.hpp
+++ b/src/messages/messages.hpp
@@ -40,22 +40,22 @@
 };
 
 // Hosts that are new or have changed. Where `confirm` is not 0 the receiver tells when it has them on disk.
-struct HostsTold {
+struct HostsUpdate {
     std::vector<registry::Host> hosts;
-    uint64_t confirm = 0;
-    bool all = false;   // these are all that the sender knows of
+    uint64_t confirmation_id = 0;
+    bool complete = false;   // these are all that the sender knows of
 };
-struct HostsConfirmed {
-    uint64_t confirm = 0;
+struct HostsConfirmation {
+    uint64_t confirmation_id = 0;
 };
 
 // Heartbeats heard of hosts that have not changed.
-struct HostsHeard {
+struct HostHeartbeats {
     std::vector<std::pair<std::string, uint64_t>> sequences;   // by host id
 };
 
 // Proxies subscribed at the sender, and how it stands. Told several times a second.
-struct ProxiesTold {
+struct ProxiesStatus {
     std::optional<std::vector<std::string>> proxies;   // by node name; nothing: those that were told last
     size_t subscribers = 0;
     bool current = false;   // the sender is in touch with a leader that has a quorum
@@ -69,32 +69,32 @@
     std::string zone;
 };
 
-struct ConfigurationTold {
+struct ConfigurationUpdate {
     uint64_t version = 0;
     PackedText body;   // as the operator sent it
 };
 
 // The rollouts as they were last committed; told before the hosts, whose versions they are about.
-struct RolloutsTold {
+struct RolloutsUpdate {
     rollout::Rollouts rollouts;
 };
 
 // Told to each subscriber several times a second.
-struct FleetTold {
+struct FleetStatus {
     bool current = false;             // the sender is in touch with a leader that has a quorum
     bool current_elsewhere = false;   // it is not, and another control node may be
-    size_t place = 0;                 // of the receiver among the proxies
-    size_t proxies = 1;
-    std::vector<ControlNode> controls;
+    size_t proxy_index = 0;           // of the receiver among the proxies
+    size_t proxy_count = 1;
+    std::vector<ControlNode> control_nodes;
     std::optional<ControlNode> move_to;   // where the receiver should subscribe instead
 };
 
 // Proxies ask for leases at the control node to which they subscribe; asks and replies go by way of it to the leader and
 // back, and so do ballots.
 using Message =
-    std::variant<PeerHello, ConsensusMessage, HostsTold, HostsConfirmed, HostsHeard, ProxiesTold, Subscribe,
+    std::variant<PeerHello, ConsensusMessage, HostsUpdate, HostsConfirmation, HostHeartbeats, ProxiesStatus, Subscribe,
                  leases::LeaseAsk, leases::LeaseReply, leases::ConfigurationLeaseAsk, leases::ConfigurationLeaseReply,
-                 ConfigurationTold, FleetTold, RolloutsTold, rollout::Ballot>;
+                 ConfigurationUpdate, FleetStatus, RolloutsUpdate, rollout::Ballot>;
 
 std::string encode(const Message& message);             // the JSON, without a frame
 std::optional<Message> decode(std::string_view json);   // nothing where it is no sound message
@@ -109,15 +109,15 @@
 std::string encode_record(const Record& record);
 std::optional<Record> decode_record(std::string_view json);
 
-constexpr size_t most_frame = 16 << 20;
+constexpr size_t max_frame_bytes = 16 << 20;
 std::string frame(std::string_view json);
 
 // Cuts a stream of bytes into frames.
 class FrameReader {
 public:
     void feed(std::string_view bytes) { buffer_.append(bytes); }
-    std::optional<std::string> next();        // a frame's JSON, nothing until one is whole
-    bool broken() const { return broken_; }   // a frame is longer than any may be
+    std::optional<std::string> next();                // a frame's JSON, nothing until one is whole
+    bool frame_too_long() const { return broken_; }   // a frame is longer than any may be
 
 private:
     std::string buffer_;
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -49,8 +49,8 @@
                                    "Requests with keys refused since the configuration may be old.")),
       subscription_(context_, subscription_events()),
       metrics_listener_(context_, [this] { return figures(); }),
-      hosts_evicted_(bound_counter(context_.metrics, "hosts")),
-      shutdown_(context_.settings.grace) {}
+      hosts_evicted_(bound_reached_counter(context_.metrics, "hosts")),
+      shutdown_(context_.settings.termination_grace) {}
 
 Front::Events Proxy::front_events() {
     return {[this](Client& client, RequestReader& reader) { arrived(client, reader); },
@@ -122,10 +122,10 @@
 }
 
 Subscription::Events Proxy::subscription_events() {
-    return {[this](const messages::ConfigurationTold& told) { configured(told); },
-            [this](const messages::HostsTold& told) { services_.hosts_told(told); },
-            [this](const messages::RolloutsTold& told) { services_.rollouts_told(told); },
-            [this](const messages::FleetTold& told) { fleet_told(told); },
+    return {[this](const messages::ConfigurationUpdate& told) { configured(told); },
+            [this](const messages::HostsUpdate& told) { services_.hosts_told(told); },
+            [this](const messages::RolloutsUpdate& told) { services_.rollouts_told(told); },
+            [this](const messages::FleetStatus& told) { fleet_told(told); },
             [this](const leases::LeaseReply& reply) { admission_.apply(reply); },
             [this](const leases::ConfigurationLeaseReply& reply) { configuration_lease_.apply(reply); },
             [this](bool is_up) {
@@ -357,11 +357,11 @@
         subscription_.ask(std::move(ballot));
 }
 
-void Proxy::configured(const messages::ConfigurationTold& told) {
+void Proxy::configured(const messages::ConfigurationUpdate& told) {
     if (context_.table && told.version <= context_.table->configuration().version) return;
     auto checked = configuration::read_configuration(told.body.text());
     if (const auto* findings = std::get_if<Findings>(&checked)) {
-        log_error() << "configuration " << told.version << ": " << one_line(*findings);
+        log_error() << "configuration " << told.version << ": " << join_findings(*findings);
         return;
     }
     context_.table = std::make_shared<routing::RouteTable>(std::get<configuration::Configuration>(std::move(checked)));
@@ -376,11 +376,11 @@
     if (const auto ask = configuration_lease_.ask(context_.home.now())) subscription_.ask(*ask);
 }
 
-void Proxy::fleet_told(const messages::FleetTold& told) {
+void Proxy::fleet_told(const messages::FleetStatus& told) {
     if (told.current) rollouts_.heard_current(context_.now());
     admission_.fleet_told(told);
-    context_.proxies = told.proxies;
-    context_.fleet_size.told(told.proxies, context_.now());
+    context_.proxies = told.proxy_count;
+    context_.fleet_size.told(told.proxy_count, context_.now());
     services_.placed(told);
 }
 
--- a/src/roles/proxy/quota_report.cpp
+++ b/src/roles/proxy/quota_report.cpp
@@ -52,9 +52,9 @@
     }
 }
 
-void QuotaReport::fleet_told(const messages::FleetTold& told, Time now) {
+void QuotaReport::fleet_told(const messages::FleetStatus& told, Time now) {
     told_at_ = now;
-    proxies_.set(static_cast<double>(told.proxies));
+    proxies_.set(static_cast<double>(told.proxy_count));
     current_.set(told.current ? 1 : 0);
 }
 
@@ -72,7 +72,7 @@
     figures->refused_units.add(units);
     figures->refused_requests[static_cast<size_t>(cause)].add();
     figures->refused_since += units;
-    if (lines_[static_cast<size_t>(cause)].take(now)) log_refusal(tenant, *figures, cause, leases, now);
+    if (lines_[static_cast<size_t>(cause)].try_log(now)) log_refusal(tenant, *figures, cause, leases, now);
 }
 
 void QuotaReport::refresh(const leases::Holder& leases, Time now) {
--- a/src/roles/proxy/subscription.cpp
+++ b/src/roles/proxy/subscription.cpp
@@ -28,9 +28,9 @@
 Subscription::Subscription(Context& context, Events events)
     : context_(context),
       events_(std::move(events)),
-      subscriber_(
-          {context.settings.node_name, context.settings.reached_at(), context.settings.zone, context.chance.next()}),
-      forgotten_nodes_(bound_counter(context.metrics, "control_nodes")) {
+      subscriber_({context.settings.node_name, context.settings.reachable_address(), context.settings.zone,
+                   context.chance.next()}),
+      forgotten_nodes_(bound_reached_counter(context.metrics, "control_nodes")) {
     add_seeds();
 }
 
@@ -107,17 +107,17 @@
     while (auto json = link.reader.next())
         if (auto message = messages::decode(*json)) subscriber_.received(*message, context_.now());
     carry_out();
-    if (link.open() && (link.ended || link.error || link.reader.broken())) broke(link, ECONNRESET);
+    if (link.open() && (link.ended || link.error || link.reader.frame_too_long())) broke(link, ECONNRESET);
 }
 
 void Subscription::take(const messages::Message& message) {
-    if (const auto* configuration = std::get_if<messages::ConfigurationTold>(&message))
+    if (const auto* configuration = std::get_if<messages::ConfigurationUpdate>(&message))
         events_.configuration(*configuration);
-    else if (const auto* hosts = std::get_if<messages::HostsTold>(&message))
+    else if (const auto* hosts = std::get_if<messages::HostsUpdate>(&message))
         events_.hosts(*hosts);
-    else if (const auto* rollouts = std::get_if<messages::RolloutsTold>(&message))
+    else if (const auto* rollouts = std::get_if<messages::RolloutsUpdate>(&message))
         events_.rollouts(*rollouts);
-    else if (const auto* fleet = std::get_if<messages::FleetTold>(&message))
+    else if (const auto* fleet = std::get_if<messages::FleetStatus>(&message))
         events_.fleet(*fleet);
     else if (const auto* reply = std::get_if<leases::LeaseReply>(&message))
         events_.leases(*reply);
--- a/tests/system/configuration_test.cpp
+++ b/tests/system/configuration_test.cpp
@@ -27,7 +27,7 @@
 
 std::string fault_of(const std::string& text) {
     const auto checked = read_configuration(text);
-    return checked.index() == 0 ? "" : one_line(std::get<Findings>(checked));
+    return checked.index() == 0 ? "" : join_findings(std::get<Findings>(checked));
 }
 
 }   // namespace
@@ -59,7 +59,7 @@
         CAPTURE(value);
         const auto checked = read_node_settings(sound_settings + "metrics=" + value + "\n", "f");
         REQUIRE(checked.index() == 1);
-        CHECK(one_line(std::get<1>(checked)) ==
+        CHECK(join_findings(std::get<1>(checked)) ==
               "f:10: metrics must be a port and a path, PORT/PATH, not '" + value + "'");
     }
 }
@@ -67,14 +67,14 @@
 TEST_CASE("a machine is reached at the address that it advertises, else at its own") {
     const auto own = read_node_settings(sound_settings, "f");
     REQUIRE(own.index() == 0);
-    CHECK(std::get<0>(own).reached_at() == "10.1.0.3");
+    CHECK(std::get<0>(own).reachable_address() == "10.1.0.3");
     const auto relayed = read_node_settings(sound_settings + "advertise.address=10.9.0.1\n", "f");
     REQUIRE(relayed.index() == 0);
     CHECK(std::get<0>(relayed).address == "10.1.0.3");
-    CHECK(std::get<0>(relayed).reached_at() == "10.9.0.1");
+    CHECK(std::get<0>(relayed).reachable_address() == "10.9.0.1");
     const auto unsound = read_node_settings(sound_settings + "advertise.address=nowhere\n", "f");
     REQUIRE(unsound.index() == 1);
-    CHECK(one_line(std::get<1>(unsound)).find("advertise.address must be an IPv4 address, not 'nowhere'") !=
+    CHECK(join_findings(std::get<1>(unsound)).find("advertise.address must be an IPv4 address, not 'nowhere'") !=
           std::string::npos);
 }
 
@@ -84,7 +84,7 @@
         "bounds.graceS=soon\nbootstrap=perhaps\nno equals sign\n",
         "f");
     REQUIRE(checked.index() == 1);
-    const auto text = one_line(std::get<1>(checked));
+    const auto text = join_findings(std::get<1>(checked));
     CHECK(text.find("f:4: listen.front must be an address and port, not 'nowhere'") != text.npos);
     CHECK(text.find("f:5: internalPorts must be two ports") != text.npos);
     CHECK(text.find("f:6: seeds must be addresses with ports, not 'a'") != text.npos);
@@ -96,7 +96,7 @@
 TEST_CASE("a missing key is named") {
     const auto checked = read_node_settings("ip=10.1.0.3\n", "f");
     REQUIRE(checked.index() == 1);
-    CHECK(one_line(std::get<1>(checked)).find("f: nodeName is missing") == 0);
+    CHECK(join_findings(std::get<1>(checked)).find("f: nodeName is missing") == 0);
 }
 
 TEST_CASE("a sound configuration") {
@@ -112,7 +112,7 @@
     CHECK(configuration.version == 7);
     REQUIRE(configuration.routes.size() == 1);
     CHECK(configuration.routes[0].backends.size() == 2);
-    CHECK(configuration.routes[0].repeatable());
+    CHECK(configuration.routes[0].is_retryable());
     CHECK(configuration.services[1].is_engine);
     CHECK(configuration.tenants[0].counts_tokens);
     CHECK(configuration.tenants[0].api_keys.size() == 2);
--- a/tests/system/messages_test.cpp
+++ b/tests/system/messages_test.cpp
@@ -32,18 +32,18 @@
             ConsensusMessage{77, consensus::Departure{3}},
             ConsensusMessage{77, consensus::ReadRequest{3, 12}},
             ConsensusMessage{77, consensus::ReadReply{3, 12, 6}},
-            HostsTold{{host}, 4, true},
-            HostsConfirmed{4},
-            HostsHeard{{{"i-1", 13}}},
-            ProxiesTold{std::vector<std::string>{"edge-1", "edge-2"}, 2, true, 100},
-            ProxiesTold{std::nullopt, 2, false, 0.5},
+            HostsUpdate{{host}, 4, true},
+            HostsConfirmation{4},
+            HostHeartbeats{{{"i-1", 13}}},
+            ProxiesStatus{std::vector<std::string>{"edge-1", "edge-2"}, 2, true, 100},
+            ProxiesStatus{std::nullopt, 2, false, 0.5},
             Subscribe{"edge-1", 8, "north"},
             leases::LeaseAsk{{"edge-1", 77}, 5, 4, 3, 1.25, {{"t", {50, 40, 3, 2, 1, 7, 0.5}}}},
             leases::LeaseReply{{"edge-1", 77}, 5, 3, true, {{"t", {500, 400, 30, 20, 10, 1.25}}}},
-            ConfigurationTold{9, "{}"},
-            FleetTold{true, false, 2, 12, {node}, std::nullopt},
-            FleetTold{false, true, 2, 12, {}, node},
-            RolloutsTold{{4, {{3, "s", "v2", 12.5, rollout::Stage::moving, {"v0"}}}}},
+            ConfigurationUpdate{9, "{}"},
+            FleetStatus{true, false, 2, 12, {node}, std::nullopt},
+            FleetStatus{false, true, 2, 12, {}, node},
+            RolloutsUpdate{{4, {{3, "s", "v2", 12.5, rollout::Stage::moving, {"v0"}}}}},
             rollout::Ballot{"edge-1", "north", 77, 5, 3, 1.25, 1, 2, {{"r", {40, 1}, {{"i-1", {3, 2}}}}}}};
 }
 
@@ -105,7 +105,7 @@
     FrameReader reader;
     reader.feed("\xff\xff\xff\xff");
     CHECK_FALSE(reader.next());
-    CHECK(reader.broken());
+    CHECK(reader.frame_too_long());
 }
 
 TEST_CASE("a record on disk is read as it was written") {
--- a/tests/system/quota_report_test.cpp
+++ b/tests/system/quota_report_test.cpp
@@ -35,9 +35,9 @@
         return registry.render();
     }
     void told(size_t proxies = 12, bool current = true) {
-        messages::FleetTold fleet;
+        messages::FleetStatus fleet;
         fleet.current = current;
-        fleet.proxies = proxies;
+        fleet.proxy_count = proxies;
         report.fleet_told(fleet, now);
     }
     // The allocator lends that much, in reply to an ask for a request that waits.
