--- a/src/lab/control/callers.cpp
+++ b/src/lab/control/callers.cpp
@@ -433,7 +433,7 @@
                 network_.close(std::exchange(connection_, 0), process_);
                 leases_->connected(false);
             } else {
-                take(std::get<proxy::Told>(output).message);
+                take(std::get<proxy::MessageReceived>(output).message);
             }
         }
 }
--- a/src/roles/control/metrics_server.cpp
+++ b/src/roles/control/metrics_server.cpp
@@ -16,7 +16,7 @@
     static constexpr bool use_connection_count_limiter = true;
 };
 
-void respond(const restinio::request_handle_t& request, MetricsAnswer answer) {
+void respond(const restinio::request_handle_t& request, MetricsResponse answer) {
     const bool found = answer.status == 200;
     auto response = request->create_response(found ? restinio::status_ok() : restinio::status_not_found());
     if (found) response.append_header(restinio::http_field::content_type, std::string(metrics::content_type));
@@ -36,7 +36,7 @@
     : server_(std::make_unique<Server>()) {
     auto handler = [path = std::move(path), render = std::move(render)](const restinio::request_handle_t& request) {
         const auto& header = request->header();
-        respond(request, answer_metrics(header.method().c_str(), header.request_target(), path, render));
+        respond(request, respond_to_scrape(header.method().c_str(), header.request_target(), path, render));
         return restinio::request_accepted();
     };
     using std::chrono::seconds;
--- a/src/roles/proxy/metrics_listener.cpp
+++ b/src/roles/proxy/metrics_listener.cpp
@@ -23,7 +23,7 @@
 constexpr Span linger{1};            // for the other end to close, once the answer is written
 constexpr Span accept_again{0.1};
 
-std::string head(const MetricsAnswer& answer) {
+std::string head(const MetricsResponse& answer) {
     std::string text = answer.status == 200 ? "HTTP/1.1 200 OK\r\n" : "HTTP/1.1 404 Not Found\r\n";
     if (answer.status == 200) text.append("Content-Type: ").append(metrics::content_type).append("\r\n");
     text.append("Content-Length: ").append(std::to_string(answer.body.size())).append("\r\n");
@@ -112,9 +112,10 @@
 void MetricsListener::answer(Scrape& scrape) {
     scrape.answered = true;
     scrape.in.drop(scrape.in.size());
-    MetricsAnswer answer;
+    MetricsResponse answer;
     if (!scrape.http.fault())
-        answer = answer_metrics(scrape.reader.method, scrape.reader.target, context_.settings.metrics->path, render_);
+        answer =
+            respond_to_scrape(scrape.reader.method, scrape.reader.target, context_.settings.metrics->path, render_);
     const auto text = head(answer);
     if (text.size() + answer.body.size() > most_out) return end(scrape, Why::bad_answer);
     scrape.out.push(text);
--- a/src/roles/proxy/subscriber.cpp
+++ b/src/roles/proxy/subscriber.cpp
@@ -69,7 +69,7 @@
 void Subscriber::received(const messages::Message& message, Time now) {
     if (link_ != Link::open) return;
     heard_ = now;
-    outputs_.push_back(Told{message});
+    outputs_.push_back(MessageReceived{message});
     const auto* fleet = std::get_if<messages::FleetTold>(&message);
     if (!fleet) return;
     hear_contact(*fleet, now);
--- a/src/roles/proxy/subscriber.hpp
+++ b/src/roles/proxy/subscriber.hpp
@@ -26,10 +26,10 @@
     memory::Why why = memory::Why::told_to_close;
 };
 // What the control node has said.
-struct Told {
+struct MessageReceived {
     messages::Message message;
 };
-using SubscriberOutput = std::variant<OpenLink, SendOnLink, CloseLink, Told>;
+using SubscriberOutput = std::variant<OpenLink, SendOnLink, CloseLink, MessageReceived>;
 
 struct SubscriberOptions {
     std::string node;      // name of this proxy
--- a/src/roles/proxy/subscription.cpp
+++ b/src/roles/proxy/subscription.cpp
@@ -65,7 +65,7 @@
             else if (const auto* close = std::get_if<CloseLink>(&output))
                 end(close->why);
             else
-                take(std::get<Told>(output).message);
+                take(std::get<MessageReceived>(output).message);
         }
 }
 
--- a/tests/system/metrics_answer_test.cpp
+++ b/tests/system/metrics_answer_test.cpp
@@ -30,7 +30,7 @@
 
 TEST_CASE("a GET of the path is answered with the text, anything else with 404") {
     const auto status = [](const std::string& method, const std::string& target) {
-        return answer_metrics(method, target, "/figures", [] { return "text"; }).status;
+        return respond_to_scrape(method, target, "/figures", [] { return "text"; }).status;
     };
     CHECK(status("GET", "/figures") == 200);
     CHECK(status("GET", "/figures?all") == 200);
@@ -39,7 +39,7 @@
     CHECK(status("GET", "") == 404);
     CHECK(status("POST", "/figures") == 404);
     CHECK(status("get", "/figures") == 404);
-    CHECK(answer_metrics("GET", "/figures", "/figures", [] { return "text"; }).body == "text");
+    CHECK(respond_to_scrape("GET", "/figures", "/figures", [] { return "text"; }).body == "text");
 }
 
 TEST_CASE("the proxy serves its figures at a port of their own") {
