--- a/src/lab/control/callers.cpp
+++ b/src/lab/control/callers.cpp
@@ -5,8 +5,8 @@
 
 namespace myrtleroute::lab::control {
 
-using myrtleroute::control::Answer;
 using myrtleroute::control::HttpRequest;
+using myrtleroute::control::HttpResponse;
 
 namespace {
 
@@ -120,7 +120,7 @@
     request.path = "/config";
     if (!order_.reads) request.if_match = std::to_string(order_.base);
     request.body = body_;
-    platform_.ask(*machine, request, [this, number, at, redirects](const std::optional<Answer>& answer) {
+    platform_.ask(*machine, request, [this, number, at, redirects](const std::optional<HttpResponse>& answer) {
         if (answer && platform_.loses_answers() && chance_.yes(0.7)) return;   // a time-out follows
         if (number == call_) ended(at, answer, redirects);
     });
@@ -129,7 +129,7 @@
     });
 }
 
-void Operator::ended(size_t at, const std::optional<Answer>& answer, int redirects) {
+void Operator::ended(size_t at, const std::optional<HttpResponse>& answer, int redirects) {
     ++call_;
     auto& operation = history_[at];
     operation.answered = queue_.now();
@@ -222,7 +222,7 @@
         at_ = nullptr;
         tell(life, left - 1);
     };
-    platform_.ask(*asked, request, [this, life, phase, over, next](const std::optional<Answer>& answer) {
+    platform_.ask(*asked, request, [this, life, phase, over, next](const std::optional<HttpResponse>& answer) {
         if (*over || life != life_) return;
         if (!answer || answer->status != 200) return next();
         *over = true;
--- a/src/lab/control/callers.hpp
+++ b/src/lab/control/callers.hpp
@@ -47,7 +47,7 @@
     void draw_order();
     std::string draw_patch();
     void call(Machine* machine, int redirects);
-    void ended(size_t operation, const std::optional<myrtleroute::control::Answer>& answer, int redirects);
+    void ended(size_t operation, const std::optional<myrtleroute::control::HttpResponse>& answer, int redirects);
     void try_again();
     void done();
     Machine* choose();
--- a/src/lab/control/machine.cpp
+++ b/src/lab/control/machine.cpp
@@ -4,10 +4,10 @@
 
 namespace myrtleroute::lab::control {
 
-using myrtleroute::control::Answer;
 using myrtleroute::control::HttpRequest;
-using myrtleroute::control::ToLink;
-using myrtleroute::control::ToPeer;
+using myrtleroute::control::HttpResponse;
+using myrtleroute::control::SendToConnection;
+using myrtleroute::control::SendToPeer;
 using myrtleroute::control::Write;
 
 namespace {
@@ -102,11 +102,11 @@
 void Machine::leave(uint64_t life, Time until) {
     if (life != life_ || !node_) return;
     if (stands_still()) return held_back_.push_back([this, life, until] { leave(life, until); });
-    node_->stopping(queue_.now());
+    node_->start_shutdown(queue_.now());
     carry_out();
     queue_.in(leave_after, [this, life, until] {
         if (life != life_ || !node_) return;
-        if (!node_->may_leave() && queue_.now() < until) return leave(life, until);
+        if (!node_->may_shut_down() && queue_.now() < until) return leave(life, until);
         end(End::killed);
         stopped_();
     });
@@ -150,7 +150,7 @@
                 dialled.up = false;
                 return;
             }
-        node_->link_closed(connection, queue_.now());
+        node_->connection_closed(connection, queue_.now());
         carry_out();
     });
 }
@@ -169,13 +169,13 @@
 void Machine::carry_out() {
     if (!node_) return;
     for (auto& output : node_->take_outputs()) {
-        if (auto* peer = std::get_if<ToPeer>(&output)) {
+        if (auto* peer = std::get_if<SendToPeer>(&output)) {
             const auto dialled = dialled_.find(peer->peer);
             if (dialled != dialled_.end() && dialled->second.up)
                 network_.send(dialled->second.connection, process_, std::move(peer->message));
-        } else if (auto* link = std::get_if<ToLink>(&output)) {
-            network_.send(link->link, process_, std::move(link->message));
-        } else if (const auto* told = std::get_if<Answer>(&output)) {
+        } else if (auto* connection = std::get_if<SendToConnection>(&output)) {
+            network_.send(connection->connection, process_, std::move(connection->message));
+        } else if (const auto* told = std::get_if<HttpResponse>(&output)) {
             answer(*told);
         } else {
             write(std::get<Write>(std::move(output)));
@@ -184,7 +184,7 @@
     surroundings_.acted(*this);
 }
 
-void Machine::answer(const Answer& answer) {
+void Machine::answer(const HttpResponse& answer) {
     auto caller = callers_.extract(answer.request);
     if (caller.empty()) return;
     caller.mapped().given(answer);
@@ -222,7 +222,7 @@
         if (life != life_ || !node_) return;
         disk_.complete();
         if (!made) {
-            writes_.refused(std::move(write));
+            writes_.retry(std::move(write));
             return queue_.in(write_again, [this, life] {
                 if (life == life_ && node_) write_next();
             });
--- a/src/lab/control/machine.hpp
+++ b/src/lab/control/machine.hpp
@@ -14,7 +14,8 @@
 
 namespace myrtleroute::lab::control {
 
-using Reply = std::function<void(const std::optional<myrtleroute::control::Answer>&)>;   // nothing: no answer comes
+using Reply =
+    std::function<void(const std::optional<myrtleroute::control::HttpResponse>&)>;   // nothing: no answer comes
 
 class Machine {
 public:
@@ -76,7 +77,7 @@
     void carry_out();
     void write(myrtleroute::control::Write write);
     void write_next();
-    void answer(const myrtleroute::control::Answer& answer);
+    void answer(const myrtleroute::control::HttpResponse& answer);
 
     Queue& queue_;
     Network& network_;
@@ -97,8 +98,8 @@
     struct Caller {
         Reply given, reply;
     };
-    std::map<myrtleroute::control::RequestNumber, Caller> callers_;
-    myrtleroute::control::RequestNumber next_request_ = 1;
+    std::map<myrtleroute::control::RequestId, Caller> callers_;
+    myrtleroute::control::RequestId next_request_ = 1;
 };
 
 }   // namespace myrtleroute::lab::control
--- a/src/lab/control/rollout_caller.cpp
+++ b/src/lab/control/rollout_caller.cpp
@@ -5,8 +5,8 @@
 namespace myrtleroute::lab::control {
 namespace {
 
-using myrtleroute::control::Answer;
 using myrtleroute::control::HttpRequest;
+using myrtleroute::control::HttpResponse;
 
 constexpr Span answer_within{1};
 constexpr int most_tries = 10, most_redirects = 2;
@@ -51,7 +51,7 @@
     request.path = reads_ ? "/rollouts/s" : "/rollouts";
     if (!reads_)
         request.body = nlohmann::json{{"service", "s"}, {"targetVersion", target_version_}, {"durationS", 6}}.dump();
-    platform_.ask(*machine, request, [this, number, redirects](const std::optional<Answer>& answer) {
+    platform_.ask(*machine, request, [this, number, redirects](const std::optional<HttpResponse>& answer) {
         if (answer && platform_.loses_answers() && chance_.yes(0.7)) return;   // a time-out follows
         if (number == call_) ended(answer, redirects);
     });
@@ -60,7 +60,7 @@
     });
 }
 
-void RolloutOperator::ended(const std::optional<Answer>& answer, int redirects) {
+void RolloutOperator::ended(const std::optional<HttpResponse>& answer, int redirects) {
     ++call_;
     if (!answer || answer->status == 503) return try_again();
     if (answer->status == 307) {
@@ -73,7 +73,7 @@
     in_progress_ = in_progress_ || answer->status == 200 || answer->status == 409;
 }
 
-void RolloutOperator::read(const Answer& answer) {
+void RolloutOperator::read(const HttpResponse& answer) {
     has_read_ = true;
     auto fault = checker_.rollouts().read_nothing();
     if (answer.status == 200) {
--- a/src/lab/control/rollout_caller.hpp
+++ b/src/lab/control/rollout_caller.hpp
@@ -21,8 +21,8 @@
     void think();
     void begin_call(bool reads);
     void call(Machine* machine, int redirects);
-    void ended(const std::optional<myrtleroute::control::Answer>& answer, int redirects);
-    void read(const myrtleroute::control::Answer& answer);
+    void ended(const std::optional<myrtleroute::control::HttpResponse>& answer, int redirects);
+    void read(const myrtleroute::control::HttpResponse& answer);
     void try_again();
     Machine* choose();
 
--- a/src/lab/control/world.cpp
+++ b/src/lab/control/world.cpp
@@ -414,7 +414,7 @@
 
 // What a node answers, at the moment at which it does.
 void World::answered(Machine& by, const myrtleroute::control::HttpRequest& request,
-                     const myrtleroute::control::Answer& answer) {
+                     const myrtleroute::control::HttpResponse& answer) {
     note(by.settings().node_name + " answers " + request.method + " " + request.path + " " +
          std::to_string(answer.status));
     const bool orders = request.method == "PUT" || request.method == "PATCH";
@@ -430,7 +430,7 @@
 }
 
 void World::order_answered(Machine& by, const myrtleroute::control::HttpRequest& request,
-                           const myrtleroute::control::Answer& answer) {
+                           const myrtleroute::control::HttpResponse& answer) {
     Operation order;
     order.version = version_of(request.body);
     order.base = std::stoull(request.if_match);
--- a/src/lab/control/world.hpp
+++ b/src/lab/control/world.hpp
@@ -65,9 +65,9 @@
     size_t lost() const;
     void note_caught_up();   // tells the checker which machines no longer count as lost
     void answered(Machine& by, const myrtleroute::control::HttpRequest& request,
-                  const myrtleroute::control::Answer& answer);
+                  const myrtleroute::control::HttpResponse& answer);
     void order_answered(Machine& by, const myrtleroute::control::HttpRequest& request,
-                        const myrtleroute::control::Answer& answer);
+                        const myrtleroute::control::HttpResponse& answer);
     void acknowledged(Machine& by);   // faults that wait for this strike
     void check_drains();
     void watch_drains();
--- a/src/roles/control/barrier_batch.cpp
+++ b/src/roles/control/barrier_batch.cpp
@@ -12,7 +12,7 @@
 
 }   // namespace
 
-void BarrierBatch::remove(LinkNumber link) {
+void BarrierBatch::remove(ConnectionId link) {
     waiting_.erase(link);
     proven_.erase(link);
     for (auto& [number, connections] : asked_for_) connections.erase(link);
@@ -53,7 +53,7 @@
     return true;
 }
 
-std::map<LinkNumber, Proven> BarrierBatch::take_proven(uint64_t known_index) {
+std::map<ConnectionId, Proven> BarrierBatch::take_proven(uint64_t known_index) {
     if (known_index < proven_index_) return {};
     for (const auto& [link, proven] : proven_)
         if (const auto waiting = waiting_.find(link);
--- a/src/roles/control/barrier_batch.hpp
+++ b/src/roles/control/barrier_batch.hpp
@@ -28,17 +28,17 @@
     BarrierBatch(consensus::Replica& replica, BarrierBatchOptions options) : replica_(replica), options_(options) {}
 
     // `value` is returned with the connection; a later one of the same connection takes its place, and waits anew.
-    void add(LinkNumber link, uint64_t value, Time now) { waiting_[link] = {value, now, 0}; }
-    void remove(LinkNumber link);
-    bool is_waiting(LinkNumber link) const { return waiting_.count(link) > 0; }
+    void add(ConnectionId link, uint64_t value, Time now) { waiting_[link] = {value, now, 0}; }
+    void remove(ConnectionId link);
+    bool is_waiting(ConnectionId link) const { return waiting_.count(link) > 0; }
     void tick(Time now);   // asks for a barrier where one is wanted
     // False: the barrier is somebody else's.
     bool passed(const consensus::BarrierPassed& barrier);
     // Those that are proven, once everything up to the barrier's index is known here. They wait no longer.
-    std::map<LinkNumber, Proven> take_proven(uint64_t known_index);
+    std::map<ConnectionId, Proven> take_proven(uint64_t known_index);
 
 private:
-    using Connections = std::map<LinkNumber, Proven>;
+    using Connections = std::map<ConnectionId, Proven>;
     bool is_due(Time now) const;
     bool has_unasked() const;   // some wait for which no barrier was asked for yet
 
--- a/src/roles/control/configuration_fanout.cpp
+++ b/src/roles/control/configuration_fanout.cpp
@@ -22,8 +22,8 @@
     return true;
 }
 
-std::vector<LinkNumber> ConfigurationFanout::out_of_date() const {
-    std::vector<LinkNumber> links;
+std::vector<ConnectionId> ConfigurationFanout::out_of_date() const {
+    std::vector<ConnectionId> links;
     for (const auto& [link, held] : held_)
         if (held.version < version_) links.push_back(link);
     std::stable_sort(links.begin(), links.end(),
@@ -31,7 +31,7 @@
     return links;
 }
 
-std::vector<LinkNumber> ConfigurationFanout::take_due(Time now) {
+std::vector<ConnectionId> ConfigurationFanout::take_due(Time now) {
     next_ = std::max(next_, was_idle_ ? now : now - unused_pace);
     auto waiting = out_of_date();
     size_t taken = 0;
--- a/src/roles/control/configuration_fanout.hpp
+++ b/src/roles/control/configuration_fanout.hpp
@@ -27,11 +27,11 @@
     messages::ConfigurationTold told() const { return {version_, body_}; }
 
     // A subscription that holds this version begins, or has ended.
-    void subscribed(LinkNumber link, uint64_t version) { held_[link] = {version, long_ago}; }
-    void left(LinkNumber link) { held_.erase(link); }
+    void subscribed(ConnectionId link, uint64_t version) { held_[link] = {version, long_ago}; }
+    void left(ConnectionId link) { held_.erase(link); }
 
     // Those to send it to now; it counts as sent to them. Called at least ten times a second.
-    std::vector<LinkNumber> take_due(Time now);
+    std::vector<ConnectionId> take_due(Time now);
 
 private:
     struct Held {
@@ -39,15 +39,15 @@
         Time out_of_date_since =
             long_ago;   // where there is a newer one; since the subscription began, if that was before
     };
-    std::vector<LinkNumber> out_of_date() const;   // the longest first
-    Span pause(size_t waiting) const;              // after a copy, while so many subscribers wait
+    std::vector<ConnectionId> out_of_date() const;   // the longest first
+    Span pause(size_t waiting) const;                // after a copy, while so many subscribers wait
 
     double link_megabits_;
     uint64_t version_ = 0;
     PackedText body_;
-    std::map<LinkNumber, Held> held_;   // by subscriber
-    Time next_ = long_ago;              // when the next copy may leave
-    bool was_idle_ = true;              // nobody waited at the last call
+    std::map<ConnectionId, Held> held_;   // by subscriber
+    Time next_ = long_ago;                // when the next copy may leave
+    bool was_idle_ = true;                // nobody waited at the last call
 };
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/configuration_service.cpp
+++ b/src/roles/control/configuration_service.cpp
@@ -32,32 +32,32 @@
     return hexadecimal;
 }
 
-Answer accepted(RequestNumber request, uint64_t version) {
+HttpResponse accepted(RequestId request, uint64_t version) {
     return {request, 200, nlohmann::json{{"version", version}}.dump(), {}};
 }
 
 }   // namespace
 
-Answer findings_answer(RequestNumber request, const Findings& findings) {
+HttpResponse findings_answer(RequestId request, const Findings& findings) {
     auto list = nlohmann::json::array();
     for (const auto& finding : findings) list.push_back({{"place", finding.place}, {"fault", finding.text}});
     const nlohmann::json body{{"findings", std::move(list)}};
     return {request, 400, body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace), {}};
 }
 
-Answer refusal(RequestNumber request, int status, const std::string& fault) {
+HttpResponse refusal(RequestId request, int status, const std::string& fault) {
     return {request, status, nlohmann::json{{"fault", fault}}.dump(), {}};
 }
 
-void ConfigurationService::put(RequestNumber request, std::optional<uint64_t> if_match, std::string body, Time now) {
+void ConfigurationService::put(RequestId request, std::optional<uint64_t> if_match, std::string body, Time now) {
     take({request, Kind::put, if_match, std::move(body), now}, now);
 }
 
-void ConfigurationService::patch(RequestNumber request, std::optional<uint64_t> if_match, std::string body, Time now) {
+void ConfigurationService::patch(RequestId request, std::optional<uint64_t> if_match, std::string body, Time now) {
     take({request, Kind::patch, if_match, std::move(body), now}, now);
 }
 
-void ConfigurationService::get(RequestNumber request, Time now) { take({request, Kind::read, {}, {}, now}, now); }
+void ConfigurationService::get(RequestId request, Time now) { take({request, Kind::read, {}, {}, now}, now); }
 
 void ConfigurationService::take(Order order, Time now) {
     if (waiting_.size() >= most_waiting) {
@@ -81,8 +81,8 @@
     const auto& state = replica_.entry()->state;
     const auto request = order.request;
     if (order.kind == Kind::read) {
-        Answer answer = state.version ? Answer{request, 200, state.configuration, {}}
-                                      : refusal(request, 404, "there is no configuration yet");
+        HttpResponse answer = state.version ? HttpResponse{request, 200, state.configuration, {}}
+                                            : refusal(request, 404, "there is no configuration yet");
         return wait_for_barrier(std::move(order), std::move(answer), now);
     }
     const auto sent = digest_of(order);
@@ -141,7 +141,7 @@
     propose(std::move(order), std::move(result), sent, now);
 }
 
-void ConfigurationService::wait_for_barrier(Order order, Answer answer, Time now) {
+void ConfigurationService::wait_for_barrier(Order order, HttpResponse answer, Time now) {
     in_progress_ = InProgress{std::move(order), std::move(answer), {}, {}};
     in_progress_->barrier = replica_.barrier(consensus::BarrierAt::last, now);
     if (!in_progress_->barrier) leadership_lost();
--- a/src/roles/control/configuration_service.hpp
+++ b/src/roles/control/configuration_service.hpp
@@ -22,9 +22,9 @@
         : replica_(replica), outputs_(outputs), bounds_(bounds) {}
 
     // The caller has made sure that this replica leads. `if_match`: nothing where the header is missing or unsound.
-    void put(RequestNumber request, std::optional<uint64_t> if_match, std::string body, Time now);
-    void patch(RequestNumber request, std::optional<uint64_t> if_match, std::string body, Time now);
-    void get(RequestNumber request, Time now);
+    void put(RequestId request, std::optional<uint64_t> if_match, std::string body, Time now);
+    void patch(RequestId request, std::optional<uint64_t> if_match, std::string body, Time now);
+    void get(RequestId request, Time now);
 
     void committed(uint64_t index, Time now);
     void barrier_passed(uint64_t number, Time now);
@@ -34,7 +34,7 @@
 private:
     enum class Kind { read, put, patch };
     struct Order {
-        RequestNumber request = 0;
+        RequestId request = 0;
         Kind kind = Kind::read;
         std::optional<uint64_t> if_match;
         std::string body;
@@ -42,7 +42,7 @@
     };
     struct InProgress {
         Order order;
-        Answer answer;                     // to be given then
+        HttpResponse answer;               // to be given then
         std::optional<uint64_t> index;     // waits for this entry
         std::optional<uint64_t> barrier;   // waits for this barrier
     };
@@ -50,7 +50,7 @@
     void proceed(Time now);
     void begin(Order order, Time now);
     void decide(Order order, const std::string& digest, Time now);
-    void wait_for_barrier(Order order, Answer answer, Time now);
+    void wait_for_barrier(Order order, HttpResponse answer, Time now);
     void propose(Order order, configuration::Patched result, const std::string& digest, Time now);
     // What the order makes of the current configuration.
     static Checked<configuration::Patched> result_of(const Order& order, const consensus::ClusterState& state);
--- a/src/roles/control/disk_writer.cpp
+++ b/src/roles/control/disk_writer.cpp
@@ -41,7 +41,7 @@
         if (made) done_(next.write.number);
         lock.lock();
         if (made) continue;
-        queue_.refused(std::move(next.write));
+        queue_.retry(std::move(next.write));
         wanted_.wait_for(lock, retry_after, [this] { return ending_; });
     }
 }
--- a/src/roles/control/host_service.cpp
+++ b/src/roles/control/host_service.cpp
@@ -34,15 +34,14 @@
 
 }   // namespace
 
-void HostService::acknowledge(RequestNumber request) { outputs_.push_back(Answer{request, 200, "{}", {}}); }
+void HostService::acknowledge(RequestId request) { outputs_.push_back(HttpResponse{request, 200, "{}", {}}); }
 
 void HostService::spread(const Host& host, uint64_t confirm) {
     spread_.tell_all(messages::HostsTold{{host}, confirm});
     spread_.tell_subscribers({host});
 }
 
-void HostService::heartbeat(RequestNumber request, const std::string& id, const std::string& body, bool current,
-                            Time now) {
+void HostService::heartbeat(RequestId request, const std::string& id, const std::string& body, bool current, Time now) {
     const auto host = read_heartbeat(id, body);
     if (!host) {
         outputs_.push_back(refusal(request, 400, "a heartbeat has service, address and sequence"));
@@ -57,7 +56,7 @@
     outputs_.push_back(refusal(request, 503, "this node is not in touch with a majority, tell another one"));
 }
 
-void HostService::leave(RequestNumber request, const std::string& id, Time now) {
+void HostService::leave(RequestId request, const std::string& id, Time now) {
     Host host;
     if (const Host* known = table_.find(id)) host = *known;
     host.id = id;
@@ -66,7 +65,7 @@
     announce(request, host, now);
 }
 
-void HostService::announce(RequestNumber request, const Host& host, Time now) {
+void HostService::announce(RequestId request, const Host& host, Time now) {
     const auto number = next_confirm_++;
     unconfirmed_[number] = {request, host.id, host.state, {}, spread_.write(), now + confirm_within};
     spread(host, number);
--- a/src/roles/control/host_service.hpp
+++ b/src/roles/control/host_service.hpp
@@ -33,8 +33,8 @@
         : table_(options), outputs_(outputs), bounds_(bounds), spread_(std::move(spread)), self_(std::move(self)) {}
 
     // `current`: this node is in touch with a majority.
-    void heartbeat(RequestNumber request, const std::string& id, const std::string& body, bool current, Time now);
-    void leave(RequestNumber request, const std::string& id, Time now);
+    void heartbeat(RequestId request, const std::string& id, const std::string& body, bool current, Time now);
+    void leave(RequestId request, const std::string& id, Time now);
 
     // Hosts as they were before a restart. They count until they should have been heard of again.
     void remember(const std::vector<registry::Host>& hosts, Time now);
@@ -51,7 +51,7 @@
 
 private:
     struct Unconfirmed {
-        RequestNumber request = 0;
+        RequestId request = 0;
         std::string host;
         registry::HostState state = registry::HostState::draining;
         std::set<consensus::ReplicaId> by;   // that have it on disk
@@ -64,9 +64,9 @@
         uint64_t confirm = 0;
         uint64_t write = 0;
     };
-    void acknowledge(RequestNumber request);
+    void acknowledge(RequestId request);
     void spread(const registry::Host& host, uint64_t confirm);
-    void announce(RequestNumber request, const registry::Host& host, Time now);
+    void announce(RequestId request, const registry::Host& host, Time now);
     void settle_written();
     void settle(uint64_t number);
 
--- a/src/roles/control/http_api.cpp
+++ b/src/roles/control/http_api.cpp
@@ -33,8 +33,8 @@
 }   // namespace
 
 struct HttpApi::Server {
-    std::map<RequestNumber, restinio::request_handle_t> waiting;
-    RequestNumber next = 1;
+    std::map<RequestId, restinio::request_handle_t> waiting;
+    RequestId next = 1;
     std::unique_ptr<restinio::http_server_t<Traits>> http;
 };
 
@@ -78,7 +78,7 @@
 
 HttpApi::~HttpApi() = default;
 
-void HttpApi::answer(const Answer& answer) {
+void HttpApi::answer(const HttpResponse& answer) {
     const auto it = server_->waiting.find(answer.request);
     if (it == server_->waiting.end()) return;
     const auto handle = std::move(it->second);
--- a/src/roles/control/http_api.hpp
+++ b/src/roles/control/http_api.hpp
@@ -16,7 +16,7 @@
     HttpApi(asio::io_context& context, const Endpoint& at, std::function<void(const HttpRequest&)> on_request,
             std::function<void(const std::string&)> on_failed);
     ~HttpApi();
-    void answer(const Answer& answer);
+    void answer(const HttpResponse& answer);
 
 private:
     struct Server;
--- a/src/roles/control/node.cpp
+++ b/src/roles/control/node.cpp
@@ -35,7 +35,7 @@
               [this](const std::set<consensus::ReplicaId>& present) { return is_majority(present); },
               [this] { return write_hosts(); },
               [this](const consensus::ReplicaId& to, const messages::Message& message) {
-                  outputs_.push_back(ToPeer{to.endpoint, message});
+                  outputs_.push_back(SendToPeer{to.endpoint, message});
               }},
              replica_.self()),
       lending_(replica_, options_.limit_rule, bounds_),
@@ -132,7 +132,8 @@
         outputs_.push_back(refusal(request.number, 503, "no leader is known, try again"));
         return;
     }
-    outputs_.push_back(Answer{request.number, 307, "{}", "http://" + known->second.control.text() + request.path});
+    outputs_.push_back(
+        HttpResponse{request.number, 307, "{}", "http://" + known->second.control.text() + request.path});
 }
 
 void Node::instance_request(const HttpRequest& request, Time now) {
@@ -151,31 +152,31 @@
 
 void Node::connected(const Endpoint& peer, Time now) {
     outputs_.push_back(
-        ToPeer{peer, messages::PeerHello{replica_.self(), options_.self, options_.may_vote, controls()}});
-    outputs_.push_back(ToPeer{peer, messages::HostsTold{hosts_.all(), 0, true}});
-    outputs_.push_back(ToPeer{peer, own_proxies(true, now)});
+        SendToPeer{peer, messages::PeerHello{replica_.self(), options_.self, options_.may_vote, controls()}});
+    outputs_.push_back(SendToPeer{peer, messages::HostsTold{hosts_.all(), 0, true}});
+    outputs_.push_back(SendToPeer{peer, own_proxies(true, now)});
 }
 
-void Node::received(LinkNumber link, const messages::Message& message, Time now) {
+void Node::received(ConnectionId link, const messages::Message& message, Time now) {
     if (const auto from = links_.find(link); from != links_.end())
         replica_.met(from->second.replica, from->second.may_vote, now);
     std::visit([&](const auto& typed) { handle(link, typed, now); }, message);
     carry_out(now);
 }
 
-void Node::link_closed(LinkNumber link, Time now) {
+void Node::connection_closed(ConnectionId link, Time now) {
     if (const auto from = links_.extract(link); !from.empty()) replica_.disconnected(from.mapped().replica, now);
-    proxies_.left(link, now);
+    proxies_.remove_subscriber(link, now);
     end_subscription(link);
 }
 
-void Node::end_subscription(LinkNumber link) {
+void Node::end_subscription(ConnectionId link) {
     new_subscriptions_.remove(link);
     configuration_leases_.remove(link);
     fanout_.left(link);
 }
 
-void Node::handle(LinkNumber link, const messages::PeerHello& hello, Time now) {
+void Node::handle(ConnectionId link, const messages::PeerHello& hello, Time now) {
     links_[link] = {hello.replica, hello.node.peer, hello.may_vote};
     known_[hello.node.peer] = hello.node;
     for (const auto& node : hello.known) note_control_node(node);
@@ -194,37 +195,38 @@
         ++bounds_.control_nodes;
 }
 
-void Node::handle(LinkNumber link, const messages::ConsensusMessage& message, Time now) {
+void Node::handle(ConnectionId link, const messages::ConsensusMessage& message, Time now) {
     const auto from = links_.find(link);
     if (from == links_.end() || message.to_disk != disk_) return;
     replica_.received(from->second.replica, message.message, now);
 }
 
-void Node::handle(LinkNumber link, const messages::HostsTold& hosts, Time now) {
+void Node::handle(ConnectionId link, const messages::HostsTold& hosts, Time now) {
     const auto from = links_.find(link);
     if (from == links_.end()) return;
     hosts_.told(from->second.replica, hosts, now);
     if (hosts.all) hosts_from_.insert(from->second.replica);
 }
 
-void Node::handle(LinkNumber link, const messages::HostsConfirmed& confirmed, Time) {
+void Node::handle(ConnectionId link, const messages::HostsConfirmed& confirmed, Time) {
     if (const auto from = links_.find(link); from != links_.end())
         hosts_.confirmed(from->second.replica, confirmed.confirm);
 }
 
-void Node::handle(LinkNumber, const messages::HostsHeard& heard, Time now) { hosts_.heard(heard, now); }
+void Node::handle(ConnectionId, const messages::HostsHeard& heard, Time now) { hosts_.heard(heard, now); }
 
-void Node::handle(LinkNumber link, const messages::ProxiesTold& proxies, Time now) {
-    if (const auto from = links_.find(link); from != links_.end()) proxies_.told(from->second.peer, proxies, now);
+void Node::handle(ConnectionId link, const messages::ProxiesTold& proxies, Time now) {
+    if (const auto from = links_.find(link); from != links_.end())
+        proxies_.update_peer(from->second.peer, proxies, now);
 }
 
-void Node::handle(LinkNumber link, const messages::Subscribe& subscribe, Time now) {
-    const auto earlier = proxies_.subscribed(link, subscribe, now);
+void Node::handle(ConnectionId link, const messages::Subscribe& subscribe, Time now) {
+    const auto earlier = proxies_.add_subscriber(link, subscribe, now);
     if (!earlier) return;
     for (const auto ended : *earlier) end_subscription(ended);
     auto fleet = fleet_for(link, proxies_.names(), now);
     fleet.controls = controls();
-    outputs_.push_back(ToLink{link, std::move(fleet)});
+    outputs_.push_back(SendToConnection{link, std::move(fleet)});
     new_subscriptions_.add(link, subscribe.version, now);
     fanout_.left(link);   // until the subscription has begun
     begin_subscriptions(now);
@@ -240,17 +242,17 @@
     if (!proven.empty()) tell_configuration(now);
 }
 
-void Node::begin_subscription(LinkNumber link, const Proven& proven, Time now) {
+void Node::begin_subscription(ConnectionId link, const Proven& proven, Time now) {
     if (!proxies_.is_subscriber(link)) return;
     if (const Span waited = now - proven.since; waited > long_wait && log_.size() < most_log_lines)
         log_.push_back("the subscription of " + proxies_.name(link) + " began after " + std::to_string(waited.s) +
                        " s and " + std::to_string(proven.asked) + " barriers");
     fanout_.subscribed(link, proven.value);
-    outputs_.push_back(ToLink{link, messages::RolloutsTold{rollouts_.known()}});
-    outputs_.push_back(ToLink{link, messages::HostsTold{hosts_.all(), 0, true}});
+    outputs_.push_back(SendToConnection{link, messages::RolloutsTold{rollouts_.known()}});
+    outputs_.push_back(SendToConnection{link, messages::HostsTold{hosts_.all(), 0, true}});
 }
 
-void Node::handle(LinkNumber link, const leases::ConfigurationLeaseAsk& ask, Time now) {
+void Node::handle(ConnectionId link, const leases::ConfigurationLeaseAsk& ask, Time now) {
     if (!proxies_.is_subscriber(link)) return;
     configuration_leases_.add(link, ask.number, now);
     renew_configuration_leases(now);
@@ -260,7 +262,7 @@
 void Node::renew_configuration_leases(Time now) {
     configuration_leases_.tick(now);
     for (const auto& [link, proven] : configuration_leases_.take_proven(told_index_))
-        outputs_.push_back(ToLink{link, leases::ConfigurationLeaseReply{proven.value, fanout_.version()}});
+        outputs_.push_back(SendToConnection{link, leases::ConfigurationLeaseReply{proven.value, fanout_.version()}});
 }
 
 bool Node::knows_hosts() const {
@@ -270,20 +272,20 @@
 }
 
 // To the leader, which lends; back by way of the control node that the proxy subscribes to.
-void Node::handle(LinkNumber link, const leases::LeaseAsk& ask, Time now) {
+void Node::handle(ConnectionId link, const leases::LeaseAsk& ask, Time now) {
     const auto from = links_.find(link);
     if (auto reply = lending_.ask(ask, now)) {
         if (from != links_.end())
-            outputs_.push_back(ToPeer{from->second.peer, std::move(*reply)});
+            outputs_.push_back(SendToPeer{from->second.peer, std::move(*reply)});
         else
-            outputs_.push_back(ToLink{link, std::move(*reply)});
+            outputs_.push_back(SendToConnection{link, std::move(*reply)});
     } else if (replica_.role() == consensus::Role::leader) {
         if (waiting_asks_.size() < most_waiting_asks)
             waiting_asks_.emplace_back(link, ask);
         else
             ++bounds_.lease_asks;
     } else if (from == links_.end() && replica_.leader()) {
-        outputs_.push_back(ToPeer{replica_.leader()->endpoint, ask});
+        outputs_.push_back(SendToPeer{replica_.leader()->endpoint, ask});
     }
 }
 
@@ -293,29 +295,29 @@
     for (const auto& [link, ask] : std::exchange(waiting_asks_, {})) handle(link, ask, now);
 }
 
-void Node::handle(LinkNumber, const leases::LeaseReply& reply, Time) {
-    if (const auto link = proxies_.link_of(reply.holder.node)) outputs_.push_back(ToLink{*link, reply});
+void Node::handle(ConnectionId, const leases::LeaseReply& reply, Time) {
+    if (const auto link = proxies_.link_of(reply.holder.node)) outputs_.push_back(SendToConnection{*link, reply});
 }
 
 // To the leader, which judges.
-void Node::handle(LinkNumber link, const rollout::Ballot& ballot, Time now) {
+void Node::handle(ConnectionId link, const rollout::Ballot& ballot, Time now) {
     rollouts_.ballot(ballot, now);
     const bool is_from_proxy = links_.count(link) == 0;
     if (is_from_proxy && replica_.role() != consensus::Role::leader && replica_.leader())
-        outputs_.push_back(ToPeer{replica_.leader()->endpoint, ballot});
+        outputs_.push_back(SendToPeer{replica_.leader()->endpoint, ballot});
 }
 
 void Node::tell_all(const messages::Message& message) {
-    for (const auto& [endpoint, node] : known_) outputs_.push_back(ToPeer{endpoint, message});
+    for (const auto& [endpoint, node] : known_) outputs_.push_back(SendToPeer{endpoint, message});
 }
 
 void Node::tell_hosts(const std::vector<registry::Host>& hosts) {
     for (const auto link : proxies_.subscribers())
         if (!new_subscriptions_.is_waiting(link))
-            outputs_.push_back(ToLink{link, messages::HostsTold{hosts, 0, false}});
+            outputs_.push_back(SendToConnection{link, messages::HostsTold{hosts, 0, false}});
 }
 
-messages::FleetTold Node::fleet_for(LinkNumber link, const std::vector<std::string>& names, Time now) const {
+messages::FleetTold Node::fleet_for(ConnectionId link, const std::vector<std::string>& names, Time now) const {
     messages::FleetTold fleet;
     fleet.current = replica_.is_current(now);
     fleet.current_elsewhere = !fleet.current && may_be_current_elsewhere(now);
@@ -359,9 +361,9 @@
     const NodeLoad self{options_.self, own_proxies(false, now).weight, 0};
     const auto names = proxies_.names();
     for (const auto& move : proxies_.plan_moves(self, known_, now)) {
-        auto fleet = fleet_for(move.link, names, now);
+        auto fleet = fleet_for(move.connection, names, now);
         fleet.move_to = move.to;
-        outputs_.push_back(ToLink{move.link, std::move(fleet)});
+        outputs_.push_back(SendToConnection{move.connection, std::move(fleet)});
     }
 }
 
@@ -375,7 +377,7 @@
             lending_.configured(fanout_.body());
     }
     tell_rollouts(now);
-    for (const auto link : fanout_.take_due(now)) outputs_.push_back(ToLink{link, fanout_.told()});
+    for (const auto link : fanout_.take_due(now)) outputs_.push_back(SendToConnection{link, fanout_.told()});
 }
 
 void Node::tell_rollouts(Time now) {
@@ -384,7 +386,7 @@
     if (!rollouts_.committed(entry->state.rollouts, now)) return;
     for (const auto link : proxies_.subscribers())
         if (!new_subscriptions_.is_waiting(link))
-            outputs_.push_back(ToLink{link, messages::RolloutsTold{rollouts_.known()}});
+            outputs_.push_back(SendToConnection{link, messages::RolloutsTold{rollouts_.known()}});
 }
 
 // The replica.
@@ -405,8 +407,8 @@
     for (auto asked = replica_.take_outputs(); !asked.empty(); asked = replica_.take_outputs())
         for (auto& output : asked) {
             if (auto* message = std::get_if<consensus::SendTo>(&output))
-                outputs_.push_back(ToPeer{message->to.endpoint,
-                                          messages::ConsensusMessage{message->to.disk, std::move(message->message)}});
+                outputs_.push_back(SendToPeer{
+                    message->to.endpoint, messages::ConsensusMessage{message->to.disk, std::move(message->message)}});
             else if (const auto* persist = std::get_if<consensus::Persist>(&output))
                 write(*persist);
             else if (const auto* committed = std::get_if<consensus::Committed>(&output))
@@ -478,12 +480,12 @@
     return 2 * static_cast<size_t>(count) > voters.size();
 }
 
-void Node::stopping(Time now) {
+void Node::start_shutdown(Time now) {
     replica_.depart(now);
     carry_out(now);
 }
 
-bool Node::may_leave() const { return replica_.role() != consensus::Role::leader && replica_.is_copied(); }
+bool Node::may_shut_down() const { return replica_.role() != consensus::Role::leader && replica_.is_copied(); }
 
 void Node::tick(Time now) {
     replica_.tick(now);
@@ -513,7 +515,7 @@
         for (const auto link : proxies_.subscribers()) {
             auto fleet = fleet_for(link, names, now);
             if (with_controls) fleet.controls = controls();
-            outputs_.push_back(ToLink{link, std::move(fleet)});
+            outputs_.push_back(SendToConnection{link, std::move(fleet)});
         }
     }
     if (now >= hosts_at_) {
--- a/src/roles/control/node.hpp
+++ b/src/roles/control/node.hpp
@@ -18,7 +18,7 @@
 #include "roles/control/configuration_service.hpp"
 #include "roles/control/host_service.hpp"
 #include "roles/control/lending_service.hpp"
-#include "roles/control/node_figures.hpp"
+#include "roles/control/node_metrics.hpp"
 #include "roles/control/outputs.hpp"
 #include "roles/control/proxy_directory.hpp"
 #include "roles/control/rollout_service.hpp"
@@ -45,7 +45,7 @@
 };
 
 struct HttpRequest {
-    RequestNumber number = 0;
+    RequestId number = 0;
     std::string method, path, if_match, body;
 };
 
@@ -55,12 +55,12 @@
 
     void request(const HttpRequest& request, Time now);
     void connected(const Endpoint& peer, Time now);   // the connection that this node keeps to a peer is up
-    void received(LinkNumber link, const messages::Message& message, Time now);
-    void link_closed(LinkNumber link, Time now);
+    void received(ConnectionId link, const messages::Message& message, Time now);
+    void connection_closed(ConnectionId link, Time now);
     void persisted(uint64_t number, Time now);   // the writes up to that number are safe
     void tick(Time now);
-    void stopping(Time now);   // hands leadership over, or tells the leader that this node leaves
-    bool may_leave() const;    // once it is stopping: it does not lead, and others hold what it holds
+    void start_shutdown(Time now);   // hands leadership over, or tells the leader that this node leaves
+    bool may_shut_down() const;      // once it is stopping: it does not lead, and others hold what it holds
 
     Outputs take_outputs() { return std::exchange(outputs_, {}); }
     std::vector<Endpoint> peers() const;   // to keep connections to
@@ -75,21 +75,21 @@
         Endpoint peer;
         bool may_vote = false;
     };
-    void handle(LinkNumber link, const messages::PeerHello& hello, Time now);
-    void handle(LinkNumber link, const messages::ConsensusMessage& message, Time now);
-    void handle(LinkNumber link, const messages::HostsTold& hosts, Time now);
-    void handle(LinkNumber link, const messages::HostsConfirmed& confirmed, Time now);
-    void handle(LinkNumber link, const messages::HostsHeard& heard, Time now);
-    void handle(LinkNumber link, const messages::ProxiesTold& proxies, Time now);
-    void handle(LinkNumber link, const messages::Subscribe& subscribe, Time now);
-    void handle(LinkNumber link, const leases::LeaseAsk& ask, Time now);
-    void handle(LinkNumber link, const leases::LeaseReply& reply, Time now);
-    void handle(LinkNumber link, const leases::ConfigurationLeaseAsk& ask, Time now);
-    void handle(LinkNumber, const leases::ConfigurationLeaseReply&, Time) {}   // for proxies only
-    void handle(LinkNumber, const messages::ConfigurationTold&, Time) {}
-    void handle(LinkNumber, const messages::FleetTold&, Time) {}
-    void handle(LinkNumber, const messages::RolloutsTold&, Time) {}
-    void handle(LinkNumber link, const rollout::Ballot& ballot, Time now);
+    void handle(ConnectionId link, const messages::PeerHello& hello, Time now);
+    void handle(ConnectionId link, const messages::ConsensusMessage& message, Time now);
+    void handle(ConnectionId link, const messages::HostsTold& hosts, Time now);
+    void handle(ConnectionId link, const messages::HostsConfirmed& confirmed, Time now);
+    void handle(ConnectionId link, const messages::HostsHeard& heard, Time now);
+    void handle(ConnectionId link, const messages::ProxiesTold& proxies, Time now);
+    void handle(ConnectionId link, const messages::Subscribe& subscribe, Time now);
+    void handle(ConnectionId link, const leases::LeaseAsk& ask, Time now);
+    void handle(ConnectionId link, const leases::LeaseReply& reply, Time now);
+    void handle(ConnectionId link, const leases::ConfigurationLeaseAsk& ask, Time now);
+    void handle(ConnectionId, const leases::ConfigurationLeaseReply&, Time) {}   // for proxies only
+    void handle(ConnectionId, const messages::ConfigurationTold&, Time) {}
+    void handle(ConnectionId, const messages::FleetTold&, Time) {}
+    void handle(ConnectionId, const messages::RolloutsTold&, Time) {}
+    void handle(ConnectionId link, const rollout::Ballot& ballot, Time now);
 
     void configuration_request(const HttpRequest& request, Time now);
     void rollout_request(const HttpRequest& request, Time now);
@@ -103,8 +103,8 @@
     void answer_waiting_asks(Time now);
     void tell_all(const messages::Message& message);
     void tell_hosts(const std::vector<registry::Host>& hosts);
-    messages::FleetTold fleet_for(LinkNumber link, const std::vector<std::string>& names, Time now) const;
-    void end_subscription(LinkNumber link);
+    messages::FleetTold fleet_for(ConnectionId link, const std::vector<std::string>& names, Time now) const;
+    void end_subscription(ConnectionId link);
     bool may_be_current_elsewhere(Time now) const;
     bool is_isolated(Time now) const;   // it hears no majority of the voters
     void tell_own_proxies(Time now);
@@ -113,7 +113,7 @@
     void tell_configuration(Time now);
     void tell_rollouts(Time now);         // of the last entry, where it is committed
     void begin_subscriptions(Time now);   // of proxies that wait for proof of contact
-    void begin_subscription(LinkNumber link, const Proven& proven, Time now);
+    void begin_subscription(ConnectionId link, const Proven& proven, Time now);
     void renew_configuration_leases(Time now);
     messages::ProxiesTold own_proxies(bool with_names, Time now) const;
     void carry_out(Time now);   // what the replica asks for
@@ -138,9 +138,9 @@
     HostService hosts_;
     LendingService lending_;
     ProxyDirectory proxies_;
-    std::vector<std::pair<LinkNumber, leases::LeaseAsk>> waiting_asks_;   // until this node lends
+    std::vector<std::pair<ConnectionId, leases::LeaseAsk>> waiting_asks_;   // until this node lends
     std::map<Endpoint, messages::ControlNode> known_;   // control nodes, by peer endpoint; not this one
-    std::map<LinkNumber, Link> links_;                  // of other control nodes
+    std::map<ConnectionId, Link> links_;                // of other control nodes
     uint64_t told_index_ = 0;                           // of the newest committed entry that was looked at whole
     ConfigurationFanout fanout_;                        // of the last configuration that was committed here
     std::vector<registry::Host> hosts_written_;         // or being written
--- a/src/roles/control/node_figures.cpp
+++ b/src/roles/control/node_metrics.cpp
@@ -1,11 +1,11 @@
-#include "roles/control/node_figures.hpp"
+#include "roles/control/node_metrics.hpp"
 
 #include "base/bounds.hpp"
 #include "roles/log.hpp"
 
 namespace myrtleroute::control {
 
-NodeFigures::NodeFigures(metrics::Registry& registry)
+NodeMetrics::NodeMetrics(metrics::Registry& registry)
     : proxies_(registry.gauge("myrtleroute_control_proxies", "Proxies of the fleet that this node knows of.")),
       subscribers_(registry.gauge("myrtleroute_control_subscribers", "Proxies that subscribe to this node.")),
       leads_(registry.gauge("myrtleroute_control_leads", "1: this node leads; else 0.")),
@@ -29,7 +29,7 @@
     for (const auto& [table, reached] : tables) bounds_.push_back({reached, bound_counter(registry, table)});
 }
 
-void NodeFigures::show(const NodeState& state) {
+void NodeMetrics::update(const NodeState& state) {
     proxies_.set(static_cast<double>(state.proxies));
     subscribers_.set(static_cast<double>(state.subscribers));
     leads_.set(state.leads ? 1 : 0);
--- a/src/roles/control/node_figures.hpp
+++ b/src/roles/control/node_metrics.hpp
@@ -23,10 +23,10 @@
     BoundsReached bounds;
 };
 
-class NodeFigures {
+class NodeMetrics {
 public:
-    explicit NodeFigures(metrics::Registry& registry);
-    void show(const NodeState& state);
+    explicit NodeMetrics(metrics::Registry& registry);
+    void update(const NodeState& state);
 
 private:
     // How often one table was full.
--- a/src/roles/control/outputs.hpp
+++ b/src/roles/control/outputs.hpp
@@ -10,23 +10,23 @@
 
 namespace myrtleroute::control {
 
-using RequestNumber = uint64_t;   // of an HTTP request that waits for its answer
-using LinkNumber = uint64_t;      // of a connection that another process has opened to this one
+using RequestId = uint64_t;      // of an HTTP request that waits for its answer
+using ConnectionId = uint64_t;   // of a connection that another process has opened to this one
 
 // To another control node, on the connection that this one keeps to it; dropped where there is none.
-struct ToPeer {
+struct SendToPeer {
     Endpoint peer;
     messages::Message message;
 };
 
 // To a process that has connected to this one.
-struct ToLink {
-    LinkNumber link = 0;
+struct SendToConnection {
+    ConnectionId connection = 0;
     messages::Message message;
 };
 
-struct Answer {
-    RequestNumber request = 0;
+struct HttpResponse {
+    RequestId request = 0;
     int status = 200;
     std::string body;       // JSON
     std::string location;   // of a 307
@@ -39,12 +39,12 @@
     messages::Record change, whole;
 };
 
-using Output = std::variant<ToPeer, ToLink, Answer, Write>;
+using Output = std::variant<SendToPeer, SendToConnection, HttpResponse, Write>;
 using Outputs = std::vector<Output>;
 
 // An answer that names a fault.
-Answer refusal(RequestNumber request, int status, const std::string& fault);
+HttpResponse refusal(RequestId request, int status, const std::string& fault);
 // 400, with each fault and its place.
-Answer findings_answer(RequestNumber request, const Findings& findings);
+HttpResponse findings_answer(RequestId request, const Findings& findings);
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/peer_network.cpp
+++ b/src/roles/control/peer_network.cpp
@@ -119,7 +119,7 @@
             };
             connection->on_closed = [this, number] {
                 links_.erase(number);
-                events_.link_closed(number);
+                events_.connection_closed(number);
             };
             links_[number] = connection;
             connection->start();
@@ -183,7 +183,7 @@
     if (it != dialed_.end() && it->second.up && it->second.connection) it->second.connection->send(message);
 }
 
-void PeerNetwork::send(LinkNumber link, const messages::Message& message) {
+void PeerNetwork::send(ConnectionId link, const messages::Message& message) {
     const auto it = links_.find(link);
     if (it == links_.end()) return;
     const auto connection = it->second;   // sending may close it
--- a/src/roles/control/peer_network.hpp
+++ b/src/roles/control/peer_network.hpp
@@ -48,8 +48,9 @@
 public:
     struct Events {
         // `began`: when the message's bytes began to be read.
-        std::function<void(LinkNumber, const messages::Message&, std::chrono::steady_clock::time_point began)> received;
-        std::function<void(LinkNumber)> link_closed;
+        std::function<void(ConnectionId, const messages::Message&, std::chrono::steady_clock::time_point began)>
+            received;
+        std::function<void(ConnectionId)> connection_closed;
         std::function<void(const Endpoint&)> connected;
     };
     PeerNetwork(asio::io_context& context, Events events)
@@ -58,7 +59,7 @@
     void listen(const Endpoint& at);                           // throws asio::system_error
     void keep_connected(const std::vector<Endpoint>& peers);   // called again and again
     void send(const Endpoint& peer, const messages::Message& message);
-    void send(LinkNumber link, const messages::Message& message);
+    void send(ConnectionId link, const messages::Message& message);
     uint64_t slow_readers() const { return slow_readers_; }   // connections given up since the start
 
 private:
@@ -74,9 +75,9 @@
     asio::io_context& context_;
     asio::ip::tcp::acceptor acceptor_;
     Events events_;
-    std::map<LinkNumber, std::shared_ptr<FramedConnection>> links_;
+    std::map<ConnectionId, std::shared_ptr<FramedConnection>> links_;
     std::map<Endpoint, Dialed> dialed_;
-    LinkNumber next_link_ = 1;
+    ConnectionId next_link_ = 1;
     uint64_t slow_readers_ = 0;
 };
 
--- a/src/roles/control/proxy_directory.cpp
+++ b/src/roles/control/proxy_directory.cpp
@@ -13,9 +13,10 @@
 
 }   // namespace
 
-std::optional<std::vector<LinkNumber>> ProxyDirectory::subscribed(LinkNumber link, const messages::Subscribe& subscribe,
-                                                                  Time now) {
-    std::vector<LinkNumber> earlier;
+std::optional<std::vector<ConnectionId>> ProxyDirectory::add_subscriber(ConnectionId link,
+                                                                        const messages::Subscribe& subscribe,
+                                                                        Time now) {
+    std::vector<ConnectionId> earlier;
     for (const auto& [known, subscriber] : subscribers_) {
         if (subscriber.node != subscribe.node || known == link) continue;
         if (known > link) return {};
@@ -27,14 +28,14 @@
     return earlier;
 }
 
-void ProxyDirectory::left(LinkNumber link, Time now) {
+void ProxyDirectory::remove_subscriber(ConnectionId link, Time now) {
     const auto subscriber = subscribers_.extract(link);
     const auto moving = moving_.extract(link);
     if (subscriber.empty() || moving.empty() || now - moving.mapped() > move_grace) return;
     moved_[subscriber.mapped().node] = now;
 }
 
-void ProxyDirectory::told(const Endpoint& by, messages::ProxiesTold proxies, Time now) {
+void ProxyDirectory::update_peer(const Endpoint& by, messages::ProxiesTold proxies, Time now) {
     auto& known = elsewhere_[by];
     if (proxies.proxies) {
         known.names = std::move(*proxies.proxies);
@@ -53,13 +54,13 @@
     std::erase_if(moving_, [&](const auto& known) { return now - known.second > move_grace; });
 }
 
-std::vector<LinkNumber> ProxyDirectory::subscribers() const {
-    std::vector<LinkNumber> links;
+std::vector<ConnectionId> ProxyDirectory::subscribers() const {
+    std::vector<ConnectionId> links;
     for (const auto& [link, subscriber] : subscribers_) links.push_back(link);
     return links;
 }
 
-std::optional<LinkNumber> ProxyDirectory::link_of(const std::string& node) const {
+std::optional<ConnectionId> ProxyDirectory::link_of(const std::string& node) const {
     const auto is_it = [&](const auto& known) {
         return known.second.node == node;
     };
@@ -108,7 +109,7 @@
     for (const auto& [link, subscriber] : subscribers_)
         proxies.push_back({link, subscriber.zone, now - subscriber.since});
     auto moves = control::plan_moves(self, others, proxies);
-    for (const auto& move : moves) moving_[move.link] = now;
+    for (const auto& move : moves) moving_[move.connection] = now;
     return moves;
 }
 
--- a/src/roles/control/proxy_directory.hpp
+++ b/src/roles/control/proxy_directory.hpp
@@ -16,22 +16,23 @@
 public:
     // A proxy that subscribes here. One that does so again has only its newest subscription: the links of earlier ones are
     // returned. Nothing: there is a newer one already.
-    std::optional<std::vector<LinkNumber>> subscribed(LinkNumber link, const messages::Subscribe& subscribe, Time now);
-    void left(LinkNumber link, Time now);
+    std::optional<std::vector<ConnectionId>> add_subscriber(ConnectionId link, const messages::Subscribe& subscribe,
+                                                            Time now);
+    void remove_subscriber(ConnectionId link, Time now);
     // What another control node tells of its subscribers and itself.
-    void told(const Endpoint& by, messages::ProxiesTold proxies, Time now);
+    void update_peer(const Endpoint& by, messages::ProxiesTold proxies, Time now);
     void tick(Time now);
 
-    bool is_subscriber(LinkNumber link) const { return subscribers_.count(link) > 0; }
-    std::vector<LinkNumber> subscribers() const;
-    std::optional<LinkNumber> link_of(const std::string& node) const;
+    bool is_subscriber(ConnectionId link) const { return subscribers_.count(link) > 0; }
+    std::vector<ConnectionId> subscribers() const;
+    std::optional<ConnectionId> link_of(const std::string& node) const;
     size_t subscriber_count() const { return subscribers_.size(); }
     // Names of the subscribers here, and of those that have just been moved to another node and are not known there yet.
     std::vector<std::string> own_names() const;
 
     // Sorted names of all proxies, the same at every control node that has heard of the same ones.
     std::vector<std::string> names() const;
-    const std::string& name(LinkNumber link) const { return subscribers_.at(link).node; }
+    const std::string& name(ConnectionId link) const { return subscribers_.at(link).node; }
 
     // Whether that node has told of itself lately; and that it is current.
     bool hears(const Endpoint& peer, Time now) const;
@@ -51,9 +52,9 @@
         messages::ProxiesTold told;
         Time at, names_at;
     };
-    std::map<LinkNumber, Subscriber> subscribers_;
-    std::map<std::string, Time> moved_;   // by name: when a proxy that was told to move has left
-    std::map<LinkNumber, Time> moving_;   // when they were told to
+    std::map<ConnectionId, Subscriber> subscribers_;
+    std::map<std::string, Time> moved_;     // by name: when a proxy that was told to move has left
+    std::map<ConnectionId, Time> moving_;   // when they were told to
     std::map<Endpoint, Elsewhere> elsewhere_;
 };
 
--- a/src/roles/control/rollout_service.cpp
+++ b/src/roles/control/rollout_service.cpp
@@ -29,7 +29,7 @@
 constexpr uint64_t least_to_lean = 10;
 constexpr double least_room = 0.7;   // candidates, of the hosts that serve
 
-Answer state_answer(RequestNumber request, const Rollout& rollout) {
+HttpResponse state_answer(RequestId request, const Rollout& rollout) {
     const nlohmann::json body{{"state", rollout::state_name(rollout.stage)}, {"targetVersion", rollout.target_version}};
     return {request, 200, body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace), {}};
 }
@@ -43,7 +43,7 @@
 
 }   // namespace
 
-void RolloutService::order(RequestNumber request, const std::string& body, Time now) {
+void RolloutService::order(RequestId request, const std::string& body, Time now) {
     const auto checked = rollout::read_order(body);
     if (const auto* findings = std::get_if<Findings>(&checked)) {
         outputs_.push_back(findings_answer(request, *findings));
@@ -69,7 +69,7 @@
     begin(request, order, now);
 }
 
-void RolloutService::begin(RequestNumber request, const rollout::Order& order, Time now) {
+void RolloutService::begin(RequestId request, const rollout::Order& order, Time now) {
     auto rollouts =
         rollout::begun(replica_.entry()->state.rollouts, order.service, order.target_version, order.duration);
     const auto answer = state_answer(request, *rollouts.find(order.service));
@@ -80,7 +80,7 @@
     waiting_.push_back({answer, replica_.entry()->position.index, {}, now});
 }
 
-void RolloutService::read(RequestNumber request, const std::string& service, Time now) {
+void RolloutService::read(RequestId request, const std::string& service, Time now) {
     const auto* known = replica_.entry()->state.rollouts.find(service);
     answer_behind_barrier(known ? state_answer(request, *known)
                                 : refusal(request, 404, "there is no rollout of service '" + service + "'"),
@@ -88,7 +88,7 @@
 }
 
 // What the answer says rests on the last entry, which the barrier waits for.
-void RolloutService::answer_behind_barrier(Answer answer, Time now) {
+void RolloutService::answer_behind_barrier(HttpResponse answer, Time now) {
     if (waiting_.size() >= most_waiting) {
         ++bounds_.orders;
         outputs_.push_back(refusal(answer.request, 503, "too many orders wait"));
--- a/src/roles/control/rollout_service.hpp
+++ b/src/roles/control/rollout_service.hpp
@@ -33,8 +33,8 @@
         : replica_(replica), outputs_(outputs), bounds_(bounds), fleet_(std::move(fleet)) {}
 
     // The caller has made sure that this replica leads.
-    void order(RequestNumber request, const std::string& body, Time now);     // POST /rollouts
-    void read(RequestNumber request, const std::string& service, Time now);   // GET /rollouts/SERVICE
+    void order(RequestId request, const std::string& body, Time now);     // POST /rollouts
+    void read(RequestId request, const std::string& service, Time now);   // GET /rollouts/SERVICE
 
     void ballot(const rollout::Ballot& ballot, Time now);
     // What is committed, at any control node. True: it is newer than what was known.
@@ -49,7 +49,7 @@
 private:
     // An answer that waits for an entry or a barrier.
     struct Waiting {
-        Answer answer;
+        HttpResponse answer;
         std::optional<uint64_t> index, barrier;
         Time since;
     };
@@ -60,8 +60,8 @@
         rollout::Stage stage = rollout::Stage::observing;
         rollout::Judge judge;
     };
-    void answer_behind_barrier(Answer answer, Time now);
-    void begin(RequestNumber request, const rollout::Order& order, Time now);
+    void answer_behind_barrier(HttpResponse answer, Time now);
+    void begin(RequestId request, const rollout::Order& order, Time now);
     void log_progress(const rollout::Rollout& rollout, const Watched& watched, Time now);
     void move_on(const rollout::Rollout& rollout, const Watched& watched, Time now);
     static Span elapsed(const Watched& watched, Time now);   // since the order
--- a/src/roles/control/runtime.cpp
+++ b/src/roles/control/runtime.cpp
@@ -45,13 +45,13 @@
         : settings_(settings),
           signals_(context_, SIGTERM, SIGINT, SIGHUP),
           timer_(context_),
-          network_(context_, {[this](LinkNumber link, const messages::Message& message,
+          network_(context_, {[this](ConnectionId link, const messages::Message& message,
                                      std::chrono::steady_clock::time_point began) {
                                   node_->received(link, message, now());
                                   carry_out();
                                   work_.note(work_kind(message), now() - at(began));
                               },
-                              [this](LinkNumber link) { node_->link_closed(link, now()); },
+                              [this](ConnectionId link) { node_->connection_closed(link, now()); },
                               [this](const Endpoint& peer) {
                                   node_->connected(peer, now());
                                   carry_out();
@@ -107,7 +107,7 @@
         const auto render = [this] {
             auto state = node_->state(now());
             state.bounds.queued_bytes = network_.slow_readers();
-            figures_.show(state);
+            figures_.update(state);
             return registry_.render();
         };
         metrics_ = std::make_unique<MetricsServer>(
@@ -143,11 +143,11 @@
 
     void carry_out() {
         for (auto& output : node_->take_outputs()) {
-            if (const auto* peer = std::get_if<ToPeer>(&output))
+            if (const auto* peer = std::get_if<SendToPeer>(&output))
                 network_.send(peer->peer, peer->message);
-            else if (const auto* link = std::get_if<ToLink>(&output))
-                network_.send(link->link, link->message);
-            else if (const auto* answer = std::get_if<Answer>(&output))
+            else if (const auto* connection = std::get_if<SendToConnection>(&output))
+                network_.send(connection->connection, connection->message);
+            else if (const auto* answer = std::get_if<HttpResponse>(&output))
                 answered(*answer);
             else
                 write(std::get<Write>(std::move(output)));
@@ -155,7 +155,7 @@
     }
 
     // Orders are few and matter; heartbeats are many and go unlogged.
-    void answered(const Answer& answer) {
+    void answered(const HttpResponse& answer) {
         const auto order = orders_.extract(answer.request);
         if (!order.empty())
             log_info() << order.mapped() << ": " << answer.status << ' '
@@ -199,11 +199,11 @@
 
     // Leadership first, and then the copies: what only this disk holds would be lost with it.
     void leave() {
-        node_->stopping(now());
+        node_->start_shutdown(now());
         carry_out();
         leave_.expires_after(leave_after);
         leave_.async_wait([this](asio::error_code) {
-            if (node_->may_leave() || now() >= leave_until_) return context_.stop();
+            if (node_->may_shut_down() || now() >= leave_until_) return context_.stop();
             leave();
         });
     }
@@ -216,12 +216,12 @@
     std::unique_ptr<Node> node_;
     std::unique_ptr<HttpApi> http_;
     metrics::Registry registry_;
-    NodeFigures figures_{registry_};
+    NodeMetrics figures_{registry_};
     WorkReport work_{registry_};
     StandingLog standing_;
     std::unique_ptr<MetricsServer> metrics_;   // null: the settings name no address for figures
     std::unique_ptr<DiskWriter> disk_;
-    std::map<RequestNumber, std::string> orders_;   // that wait for their answer, for the log
+    std::map<RequestId, std::string> orders_;   // that wait for their answer, for the log
     Time leave_until_;
     int exit_code_ = 0;
 };
--- a/src/roles/control/subscriber_balance.cpp
+++ b/src/roles/control/subscriber_balance.cpp
@@ -95,7 +95,7 @@
         const bool may_move = moves.size() < to_shed || (proxy.age >= settled && moves.size() < to_zones);
         const auto* node = may_move && proxy.zone != self.node.zone ? room.take_in(proxy.zone) : nullptr;
         if (node)
-            moves.push_back({proxy.link, node->node});
+            moves.push_back({proxy.connection, node->node});
         else
             stay.push_back(&proxy);
     }
@@ -105,7 +105,7 @@
         if (moves.size() >= to_shed) break;
         const auto* node = room.take_any();
         if (!node) break;
-        moves.push_back({proxy->link, node->node});
+        moves.push_back({proxy->connection, node->node});
     }
     return moves;
 }
--- a/src/roles/control/subscriber_balance.hpp
+++ b/src/roles/control/subscriber_balance.hpp
@@ -23,13 +23,13 @@
 
 // A proxy that subscribes to the node that plans.
 struct PlacedSubscriber {
-    LinkNumber link = 0;
+    ConnectionId connection = 0;
     std::string zone;
     Span age;   // of its subscription
 };
 
 struct Move {
-    LinkNumber link = 0;
+    ConnectionId connection = 0;
     messages::ControlNode to;
 };
 
--- a/src/roles/control/write_queue.hpp
+++ b/src/roles/control/write_queue.hpp
@@ -24,7 +24,7 @@
         next_ = std::move(write);
     }
     // The disk has refused it: it is made again, or is part of what has come meanwhile.
-    void refused(Write write) {
+    void retry(Write write) {
         if (next_)
             next_->number = std::max(next_->number, write.number);
         else
--- a/tests/system/bounds_test.cpp
+++ b/tests/system/bounds_test.cpp
@@ -11,7 +11,7 @@
 #include "leases/holder.hpp"
 #include "proxy_world.hpp"
 #include "random_text.hpp"
-#include "roles/control/node_figures.hpp"
+#include "roles/control/node_metrics.hpp"
 #include "roles/control/peer_network.hpp"
 #include "roles/proxy/request_table.hpp"
 #include "routing/fleet_size.hpp"
@@ -19,9 +19,9 @@
 using namespace myrtleroute;
 using testing::Control;
 using testing::document;
+using testing::other_connection;
+using testing::other_node;
 using testing::ProxyWorld;
-using testing::second;
-using testing::second_link;
 
 namespace {
 
@@ -32,8 +32,8 @@
 // A control node's figures as they are at its metrics address.
 std::string figures(const Control& control) {
     metrics::Registry registry;
-    control::NodeFigures shown(registry);
-    shown.show(control.node->state(control.now));
+    control::NodeMetrics shown(registry);
+    shown.update(control.node->state(control.now));
     return registry.render();
 }
 
@@ -197,16 +197,16 @@
 
 TEST_CASE("as many orders wait as may; a further one gets 503 and all others their answers") {
     Control control;
-    control.ask("PUT", "/config", "0", document(1));
+    control.request("PUT", "/config", "0", document(1));
     control.disk_works = false;
-    std::vector<control::RequestNumber> orders;
-    for (int n = 0; n < 70; ++n) orders.push_back(control.ask("PUT", "/config", "1", document(2 + n)));
+    std::vector<control::RequestId> orders;
+    for (int n = 0; n < 70; ++n) orders.push_back(control.request("PUT", "/config", "1", document(2 + n)));
     size_t refused = 0;
     for (const auto order : orders) refused += control.status(order) == 503;
     CHECK(refused == 5);   // one is under way, 64 wait
     CHECK(contains(figures(control), bound("orders") + " 5\n"));
     control.disk_works = true;
-    control.pass(Span{0.5});
+    control.advance(Span{0.5});
     for (const auto order : orders) CHECK(control.status(order) != 0);
     CHECK(control.status(orders[0]) == 200);
     CHECK(control.status(orders[1]) == 412);
@@ -217,25 +217,25 @@
     constexpr int kept = 1024, accepted = kept + 3;
     for (int version = 1; version <= accepted; ++version) {
         const auto on = std::to_string(version - 1);
-        REQUIRE(control.status(control.ask("PUT", "/config", on, document(version))) == 200);
+        REQUIRE(control.status(control.request("PUT", "/config", on, document(version))) == 200);
     }
-    CHECK(control.status(control.ask("PUT", "/config", "0", document(1))) == 412);
-    CHECK(control.status(control.ask("PUT", "/config", "2", document(3))) == 412);
-    CHECK(control.status(control.ask("PUT", "/config", "3", document(4))) == 200);
-    CHECK(control.status(control.ask("PUT", "/config", std::to_string(accepted - 1), document(accepted))) == 200);
+    CHECK(control.status(control.request("PUT", "/config", "0", document(1))) == 412);
+    CHECK(control.status(control.request("PUT", "/config", "2", document(3))) == 412);
+    CHECK(control.status(control.request("PUT", "/config", "3", document(4))) == 200);
+    CHECK(control.status(control.request("PUT", "/config", std::to_string(accepted - 1), document(accepted))) == 200);
     CHECK(contains(figures(control), bound("accepted_digests") + " 3\n"));
 }
 
 TEST_CASE("of asks for leases that wait for a leader a bounded number is kept") {
     Control control;
     control.disk_works = false;   // what the leader knows is not committed, so it does not lend yet
-    control.ask("PUT", "/config", "0", document(1));
+    control.request("PUT", "/config", "0", document(1));
     constexpr int kept = 4096, asked = kept + 10;
     for (int n = 0; n < asked; ++n) {
         leases::LeaseAsk ask;
         ask.holder = {"edge-" + std::to_string(n), 1};
         ask.number = 1;
-        control.node->received(100 + static_cast<control::LinkNumber>(n), ask, control.now);
+        control.node->received(100 + static_cast<control::ConnectionId>(n), ask, control.now);
     }
     const auto text = figures(control);
     CAPTURE(text.substr(0, 600));
@@ -264,7 +264,8 @@
 
 TEST_CASE("of confirmations that another node waits for a bounded number is owed") {
     Control control({"10.0.0.2"});
-    control.node->received(second_link, messages::PeerHello{{second.peer, 0}, second, true, {}}, control.now);
+    control.node->received(other_connection, messages::PeerHello{{other_node.peer, 0}, other_node, true, {}},
+                           control.now);
     control.disk_works = false;
     constexpr uint64_t owed = 1024, asked = owed + 7;
     for (uint64_t number = 1; number <= asked; ++number) {
@@ -272,13 +273,13 @@
         told.hosts.push_back(
             {"i-" + std::to_string(number), "s", "10.9.0.1:80", "north", 8, registry::HostState::draining, 1});
         told.confirm = number;
-        control.node->received(second_link, told, control.now);
+        control.node->received(other_connection, told, control.now);
     }
     control.carry_out();
     CHECK(contains(figures(control), bound("confirmations") + " 7\n"));
     control.to_peers.clear();
     control.disk_works = true;
-    control.pass(Span{0.3});
+    control.advance(Span{0.3});
     size_t confirmed = 0;
     for (const auto& message : control.to_peers) confirmed += std::holds_alternative<messages::HostsConfirmed>(message);
     CHECK(confirmed == owed);
@@ -286,12 +287,12 @@
 
 TEST_CASE("of control nodes a bounded number is connected to") {
     Control control;
-    messages::PeerHello hello{{second.peer, 0}, second, false, {}};
+    messages::PeerHello hello{{other_node.peer, 0}, other_node, false, {}};
     for (int n = 0; n < 100; ++n) {
         const std::string address = "10.1.0." + std::to_string(n + 1);
         hello.known.push_back({{address, 7500}, {address, 8367}, "north"});
     }
-    control.node->received(second_link, hello, control.now);
+    control.node->received(other_connection, hello, control.now);
     CHECK(control.node->peers().size() == 64);
     CHECK(contains(figures(control), bound("control_nodes") + " 37\n"));
 }
@@ -300,8 +301,8 @@
     asio::io_context context;
     size_t closed = 0;
     control::PeerNetwork network(
-        context, {[](control::LinkNumber, const messages::Message&, std::chrono::steady_clock::time_point) {},
-                  [&](control::LinkNumber) { ++closed; },
+        context, {[](control::ConnectionId, const messages::Message&, std::chrono::steady_clock::time_point) {},
+                  [&](control::ConnectionId) { ++closed; },
                   [](const Endpoint&) {
                   }});
     asio::ip::tcp::acceptor free_port(context, {asio::ip::make_address("127.0.0.1"), 0});
@@ -319,7 +320,7 @@
     size_t sent = 0;
     for (; sent < most_sent && network.slow_readers() == 0; ++sent) {
         context.run_for(std::chrono::milliseconds(1));
-        network.send(control::LinkNumber{1}, told);
+        network.send(control::ConnectionId{1}, told);
         asio::error_code nothing_there;
         reader.read_some(asio::buffer(read), nothing_there);
     }
--- a/tests/system/configuration_fanout_test.cpp
+++ b/tests/system/configuration_fanout_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace myrtleroute;
 using control::ConfigurationFanout;
-using control::LinkNumber;
+using control::ConnectionId;
 
 namespace {
 
@@ -32,7 +32,7 @@
     ConfigurationFanout fanout{small_link};
     Link link{small_link};
     std::string body;
-    std::map<LinkNumber, uint64_t> held;
+    std::map<ConnectionId, uint64_t> held;
     uint64_t version = 0;
     double bytes = 0;
     Span longest_wait;         // of an answer that is sent at any moment
@@ -40,7 +40,7 @@
     Time now{100};
 
     Storm(size_t subscribers, size_t body_bytes) : body(testing::random_text(body_bytes)) {
-        for (LinkNumber number = 1; number <= subscribers; ++number) {
+        for (ConnectionId number = 1; number <= subscribers; ++number) {
             fanout.subscribed(number, 0);
             held[number] = 0;
         }
@@ -104,12 +104,12 @@
 
 TEST_CASE("copies leave one by one on a slow link, and who has waited longest is next") {
     ConfigurationFanout fanout(small_link);
-    constexpr LinkNumber subscribers = 6;
-    for (LinkNumber link = 1; link <= subscribers; ++link) fanout.subscribed(link, 0);
+    constexpr ConnectionId subscribers = 6;
+    for (ConnectionId link = 1; link <= subscribers; ++link) fanout.subscribed(link, 0);
     const std::string body = testing::random_text(40000);
     fanout.committed(1, body, Time{100});
     CHECK(fanout.take_due(Time{100}).size() == 1);
-    std::vector<LinkNumber> order;
+    std::vector<ConnectionId> order;
     uint64_t version = 1;
     for (Time now{100.05}; now < Time{101.5}; now = now + Span{0.05}) {
         fanout.committed(++version, body, now);   // nobody ever has the newest
@@ -118,8 +118,8 @@
     REQUIRE(order.size() >= 2 * subscribers);
     // Each has its turn before anybody has a second one.
     for (size_t at = 0; at + subscribers <= order.size(); ++at) {
-        std::vector<LinkNumber> turn(order.begin() + static_cast<std::ptrdiff_t>(at),
-                                     order.begin() + static_cast<std::ptrdiff_t>(at + subscribers));
+        std::vector<ConnectionId> turn(order.begin() + static_cast<std::ptrdiff_t>(at),
+                                       order.begin() + static_cast<std::ptrdiff_t>(at + subscribers));
         std::sort(turn.begin(), turn.end());
         CHECK(std::adjacent_find(turn.begin(), turn.end()) == turn.end());
     }
@@ -128,7 +128,7 @@
 TEST_CASE("a change after a quiet time leaves at once, and where nothing is known of the link all copies do") {
     ConfigurationFanout slow(small_link);
     ConfigurationFanout unknown(0);
-    for (LinkNumber link = 1; link <= 300; ++link) {
+    for (ConnectionId link = 1; link <= 300; ++link) {
         slow.subscribed(link, 0);
         unknown.subscribed(link, 0);
     }
@@ -145,9 +145,9 @@
     fanout.subscribed(1, 5);
     CHECK(fanout.take_due(Time{101}).empty());
     fanout.subscribed(2, 3);
-    CHECK(fanout.take_due(Time{102}) == std::vector<LinkNumber>{2});
+    CHECK(fanout.take_due(Time{102}) == std::vector<ConnectionId>{2});
     CHECK(fanout.take_due(Time{103}).empty());
     fanout.left(2);
     fanout.committed(6, "six", Time{104});
-    CHECK(fanout.take_due(Time{104}) == std::vector<LinkNumber>{1});
+    CHECK(fanout.take_due(Time{104}) == std::vector<ConnectionId>{1});
 }
--- a/tests/system/configuration_lease_test.cpp
+++ b/tests/system/configuration_lease_test.cpp
@@ -118,15 +118,15 @@
 
 TEST_CASE("a control node answers behind a barrier with the newest version, and only its subscribers") {
     Control control;
-    REQUIRE(control.status(control.ask("PUT", "/config", "0", testing::document(3))) == 200);
-    control.node->received(Control::proxy_link, ConfigurationLeaseAsk{1}, control.now);
+    REQUIRE(control.status(control.request("PUT", "/config", "0", testing::document(3))) == 200);
+    control.node->received(Control::proxy_connection, ConfigurationLeaseAsk{1}, control.now);
     control.carry_out();
-    CHECK(control.count_on<ConfigurationLeaseReply>(Control::proxy_link) == 0);
+    CHECK(control.count_on<ConfigurationLeaseReply>(Control::proxy_connection) == 0);
     control.subscribe();
-    control.node->received(Control::proxy_link, ConfigurationLeaseAsk{2}, control.now);
-    control.pass(Span{1});
-    REQUIRE(control.count_on<ConfigurationLeaseReply>(Control::proxy_link) == 1);
-    const auto& sent = control.sent_on[Control::proxy_link];
+    control.node->received(Control::proxy_connection, ConfigurationLeaseAsk{2}, control.now);
+    control.advance(Span{1});
+    REQUIRE(control.count_on<ConfigurationLeaseReply>(Control::proxy_connection) == 1);
+    const auto& sent = control.sent_on[Control::proxy_connection];
     const auto reply = std::find_if(sent.begin(), sent.end(), [](const auto& message) {
         return std::holds_alternative<ConfigurationLeaseReply>(message);
     });
@@ -136,9 +136,9 @@
 TEST_CASE("a control node that reaches no majority answers no ask for a lease") {
     Control control({"10.0.0.2", "10.0.0.3"}, testing::document(3));
     control.subscribe();
-    control.node->received(Control::proxy_link, ConfigurationLeaseAsk{1}, control.now);
-    control.pass(Span{5});
-    CHECK(control.count_on<ConfigurationLeaseReply>(Control::proxy_link) == 0);
+    control.node->received(Control::proxy_connection, ConfigurationLeaseAsk{1}, control.now);
+    control.advance(Span{5});
+    CHECK(control.count_on<ConfigurationLeaseReply>(Control::proxy_connection) == 0);
 }
 
 namespace {
--- a/tests/system/control_node.hpp
+++ b/tests/system/control_node.hpp
@@ -16,14 +16,14 @@
 
 namespace myrtleroute::testing {
 
-using control::Answer;
-using control::LinkNumber;
+using control::ConnectionId;
+using control::HttpResponse;
 using control::Node;
 using control::NodeOptions;
-using control::RequestNumber;
+using control::RequestId;
+using control::SendToConnection;
+using control::SendToPeer;
 using control::StoredState;
-using control::ToLink;
-using control::ToPeer;
 using control::Write;
 
 inline std::string document(int version, const std::string& route = "/a/") {
@@ -32,16 +32,16 @@
 }
 
 struct Control {
-    static constexpr LinkNumber proxy_link = 5;
+    static constexpr ConnectionId proxy_connection = 5;
     Time now{100};
     std::unique_ptr<Node> node;
     bool disk_works = true;
     uint64_t unwritten = 0;
-    std::vector<Answer> answers;
+    std::vector<HttpResponse> answers;
     std::vector<messages::Message> to_proxy, to_peers;
-    std::map<LinkNumber, std::vector<messages::Message>> sent_on;   // by link, all that was sent on it
-    size_t hosts_told = 0;                                          // messages to the proxy
-    RequestNumber next = 1;
+    std::map<ConnectionId, std::vector<messages::Message>> sent_on;   // by link, all that was sent on it
+    size_t host_updates_sent = 0;                                     // messages to the proxy
+    RequestId next = 1;
 
     explicit Control(std::vector<std::string> others = {}, const std::string& known = "", double link_megabits = 0) {
         NodeOptions options;
@@ -58,9 +58,9 @@
         }
         stored.entry = consensus::Entry{{0, 1}, cluster};
         node = std::make_unique<Node>(options, stored, now);
-        pass(Span{2});
+        advance(Span{2});
     }
-    void pass(Span span) {
+    void advance(Span span) {
         for (const Time end = now + span; now < end; now = now + Span{0.1}) {
             node->tick(now);
             carry_out();
@@ -70,13 +70,13 @@
         write();
         for (auto outputs = node->take_outputs(); !outputs.empty(); outputs = node->take_outputs()) {
             for (auto& output : outputs) {
-                if (auto* answer = std::get_if<Answer>(&output)) answers.push_back(*answer);
-                if (auto* link = std::get_if<ToLink>(&output)) {
-                    to_proxy.push_back(link->message);
-                    sent_on[link->link].push_back(link->message);
-                    hosts_told += std::holds_alternative<messages::HostsTold>(link->message);
+                if (auto* answer = std::get_if<HttpResponse>(&output)) answers.push_back(*answer);
+                if (auto* connection = std::get_if<SendToConnection>(&output)) {
+                    to_proxy.push_back(connection->message);
+                    sent_on[connection->connection].push_back(connection->message);
+                    host_updates_sent += std::holds_alternative<messages::HostsTold>(connection->message);
                 }
-                if (auto* peer = std::get_if<ToPeer>(&output)) to_peers.push_back(peer->message);
+                if (auto* peer = std::get_if<SendToPeer>(&output)) to_peers.push_back(peer->message);
                 if (const auto* wanted = std::get_if<Write>(&output)) unwritten = std::max(unwritten, wanted->number);
             }
             write();
@@ -85,23 +85,23 @@
     void write() {
         if (unwritten && disk_works) node->persisted(std::exchange(unwritten, 0), now);
     }
-    RequestNumber ask(const std::string& method, const std::string& path, const std::string& if_match = "",
+    RequestId request(const std::string& method, const std::string& path, const std::string& if_match = "",
                       const std::string& body = "") {
         node->request({next, method, path, if_match, body}, now);
         carry_out();
         return next++;
     }
-    int status(RequestNumber request) const {
+    int status(RequestId request) const {
         for (const auto& answer : answers)
             if (answer.request == request) return answer.status;
         return 0;
     }
-    std::string body(RequestNumber request) const {
+    std::string body(RequestId request) const {
         for (const auto& answer : answers)
             if (answer.request == request) return answer.body;
         return {};
     }
-    std::optional<uint64_t> configuration_told() {
+    std::optional<uint64_t> sent_configuration() {
         std::optional<uint64_t> version;
         for (const auto& message : to_proxy)
             if (const auto* told = std::get_if<messages::ConfigurationTold>(&message)) {
@@ -112,7 +112,7 @@
         to_proxy.clear();
         return version;
     }
-    void subscribe(uint64_t version = 0, LinkNumber link = proxy_link, const std::string& proxy = "edge-1") {
+    void subscribe(uint64_t version = 0, ConnectionId link = proxy_connection, const std::string& proxy = "edge-1") {
         messages::Subscribe subscribe;
         subscribe.node = proxy;
         subscribe.version = version;
@@ -120,7 +120,7 @@
         carry_out();
     }
     template <class Kind>
-    size_t count_on(LinkNumber link) const {
+    size_t count_on(ConnectionId link) const {
         const auto sent = sent_on.find(link);
         if (sent == sent_on.end()) return 0;
         return static_cast<size_t>(std::count_if(sent->second.begin(), sent->second.end(), [](const auto& message) {
@@ -129,8 +129,8 @@
     }
 };
 
-inline const messages::ControlNode second{{"10.0.0.2", 7500}, {"10.0.0.2", 8367}, "south"};
-inline constexpr LinkNumber second_link = 9;
+inline const messages::ControlNode other_node{{"10.0.0.2", 7500}, {"10.0.0.2", 8367}, "south"};
+inline constexpr ConnectionId other_connection = 9;
 
 inline constexpr auto heartbeat = R"({"service":"s","address":"10.9.0.1:80","state":"ready","sequence":1})";
 inline constexpr auto drain = R"({"service":"s","address":"10.9.0.1:80","state":"draining","sequence":2})";
--- a/tests/system/control_test.cpp
+++ b/tests/system/control_test.cpp
@@ -18,16 +18,16 @@
 using testing::document;
 using testing::drain;
 using testing::heartbeat;
-using testing::second;
-using testing::second_link;
+using testing::other_connection;
+using testing::other_node;
 
 TEST_CASE("a configuration is taken, read back as it was sent and told to a proxy") {
     Control control;
     control.subscribe();
-    CHECK(control.status(control.ask("GET", "/config")) == 404);
-    CHECK(control.status(control.ask("PUT", "/config", "0", document(3))) == 200);
-    CHECK(control.body(control.ask("GET", "/config")) == document(3));
-    CHECK(control.configuration_told() == 3);
+    CHECK(control.status(control.request("GET", "/config")) == 404);
+    CHECK(control.status(control.request("PUT", "/config", "0", document(3))) == 200);
+    CHECK(control.body(control.request("GET", "/config")) == document(3));
+    CHECK(control.sent_configuration() == 3);
 }
 
 TEST_CASE("in a storm of changes a proxy is sent no more than a part of the link carries, and then the newest") {
@@ -37,8 +37,8 @@
     int version = 0;
     for (int change = 0; change < 20; ++change) {
         const auto on = std::to_string(version);
-        CHECK(control.status(control.ask("PUT", "/config", on, document(++version))) == 200);
-        control.pass(Span{0.1});
+        CHECK(control.status(control.request("PUT", "/config", on, document(++version))) == 200);
+        control.advance(Span{0.1});
     }
     const auto is_configuration = [](const auto& message) {
         return std::holds_alternative<messages::ConfigurationTold>(message);
@@ -46,26 +46,26 @@
     const auto copies = std::count_if(control.to_proxy.begin(), control.to_proxy.end(), is_configuration);
     CHECK(copies >= 6);
     CHECK(copies <= 11);
-    control.pass(Span{0.5});
-    CHECK(control.configuration_told() == version);
+    control.advance(Span{0.5});
+    CHECK(control.sent_configuration() == version);
 }
 
 TEST_CASE("on a slow link copies of a configuration leave one by one, whoever has waited longest first") {
     constexpr double small_link = 10;   // Mbit/s
-    constexpr LinkNumber subscribers = 15;
+    constexpr ConnectionId subscribers = 15;
     Control control({}, "", small_link);
-    for (LinkNumber link = 1; link <= subscribers; ++link) control.subscribe(0, link, "edge-" + std::to_string(link));
+    for (ConnectionId link = 1; link <= subscribers; ++link) control.subscribe(0, link, "edge-" + std::to_string(link));
     const auto copies = [&] {
         size_t count = 0;
-        for (LinkNumber link = 1; link <= subscribers; ++link)
+        for (ConnectionId link = 1; link <= subscribers; ++link)
             count += control.count_on<messages::ConfigurationTold>(link);
         return count;
     };
     const auto padding = testing::random_text(120000, " \t\r\n");   // 40 KB on the wire
-    CHECK(control.status(control.ask("PUT", "/config", "0", document(1) + padding)) == 200);
+    CHECK(control.status(control.request("PUT", "/config", "0", document(1) + padding)) == 200);
     size_t before = copies(), most = before;
     for (int tick = 0; tick < 15; ++tick) {
-        control.pass(Span{0.1});
+        control.advance(Span{0.1});
         most = std::max(most, copies() - before);
         before = copies();
     }
@@ -76,75 +76,75 @@
 TEST_CASE("a proxy that subscribes anew is sent nothing more on its old connection") {
     Control control;
     control.subscribe();
-    constexpr LinkNumber anew = 8;
+    constexpr ConnectionId anew = 8;
     control.subscribe(0, anew);
-    const auto before = control.sent_on[Control::proxy_link].size();
-    CHECK(control.status(control.ask("PUT", "/config", "0", document(3))) == 200);
-    control.ask("PUT", "/instances/i-1", "", heartbeat);
-    control.pass(Span{3});
-    CHECK(control.sent_on[Control::proxy_link].size() == before);
+    const auto before = control.sent_on[Control::proxy_connection].size();
+    CHECK(control.status(control.request("PUT", "/config", "0", document(3))) == 200);
+    control.request("PUT", "/instances/i-1", "", heartbeat);
+    control.advance(Span{3});
+    CHECK(control.sent_on[Control::proxy_connection].size() == before);
     CHECK(control.count_on<messages::ConfigurationTold>(anew) == 1);
     CHECK(control.count_on<messages::HostsTold>(anew) >= 1);
     // What comes late on the old connection takes nothing from the new one.
-    control.subscribe(0, Control::proxy_link);
-    CHECK(control.status(control.ask("PUT", "/config", "3", document(4))) == 200);
-    control.pass(Span{1});
-    CHECK(control.sent_on[Control::proxy_link].size() == before);
+    control.subscribe(0, Control::proxy_connection);
+    CHECK(control.status(control.request("PUT", "/config", "3", document(4))) == 200);
+    control.advance(Span{1});
+    CHECK(control.sent_on[Control::proxy_connection].size() == before);
     CHECK(control.count_on<messages::ConfigurationTold>(anew) == 2);
 }
 
 TEST_CASE("orders are judged by the version that they build on, and one sent again is taken again") {
     Control control;
-    CHECK(control.status(control.ask("PUT", "/config", "0", document(3))) == 200);
-    CHECK(control.status(control.ask("PUT", "/config", "0", document(4))) == 412);
-    CHECK(control.status(control.ask("PUT", "/config", "3", document(3, "/b/"))) == 400);
-    CHECK(control.status(control.ask("PUT", "/config", "3", "{")) == 400);
-    CHECK(control.status(control.ask("PUT", "/config", "", document(4))) == 428);
-    CHECK(control.status(control.ask("PUT", "/config", "3", document(5))) == 200);
-    CHECK(control.status(control.ask("PUT", "/config", "0", document(3))) == 200);
-    CHECK(control.body(control.ask("GET", "/config")) == document(5));
-    CHECK(control.status(control.ask("DELETE", "/config")) == 405);
-    CHECK(control.status(control.ask("GET", "/other")) == 404);
+    CHECK(control.status(control.request("PUT", "/config", "0", document(3))) == 200);
+    CHECK(control.status(control.request("PUT", "/config", "0", document(4))) == 412);
+    CHECK(control.status(control.request("PUT", "/config", "3", document(3, "/b/"))) == 400);
+    CHECK(control.status(control.request("PUT", "/config", "3", "{")) == 400);
+    CHECK(control.status(control.request("PUT", "/config", "", document(4))) == 428);
+    CHECK(control.status(control.request("PUT", "/config", "3", document(5))) == 200);
+    CHECK(control.status(control.request("PUT", "/config", "0", document(3))) == 200);
+    CHECK(control.body(control.request("GET", "/config")) == document(5));
+    CHECK(control.status(control.request("DELETE", "/config")) == 405);
+    CHECK(control.status(control.request("GET", "/other")) == 404);
 }
 
 TEST_CASE("of two orders on the same version one is taken, also while the first is still being written") {
     Control control;
-    control.ask("PUT", "/config", "0", document(3));
+    control.request("PUT", "/config", "0", document(3));
     control.disk_works = false;
-    const auto first = control.ask("PUT", "/config", "3", document(5));
-    const auto second = control.ask("PUT", "/config", "3", document(6));
+    const auto first = control.request("PUT", "/config", "3", document(5));
+    const auto second = control.request("PUT", "/config", "3", document(6));
     CHECK(control.status(first) == 0);
     CHECK(control.status(second) == 0);
     control.disk_works = true;
-    control.pass(Span{0.3});
+    control.advance(Span{0.3});
     CHECK(control.status(first) == 200);
     CHECK(control.status(second) == 412);
 }
 
 TEST_CASE("an order that is not safe is neither acknowledged nor told, not even to a proxy that comes then") {
     Control control;
-    control.ask("PUT", "/config", "0", document(3));
+    control.request("PUT", "/config", "0", document(3));
     control.disk_works = false;
-    const auto order = control.ask("PUT", "/config", "3", document(5));
+    const auto order = control.request("PUT", "/config", "3", document(5));
     control.subscribe();
-    CHECK(control.configuration_told() == 3);
-    control.pass(Span{4});
+    CHECK(control.sent_configuration() == 3);
+    control.advance(Span{4});
     CHECK(control.status(order) == 503);
-    CHECK(control.configuration_told() == std::nullopt);
+    CHECK(control.sent_configuration() == std::nullopt);
     control.disk_works = true;
-    control.pass(Span{0.3});
-    CHECK(control.configuration_told() == 5);
+    control.advance(Span{0.3});
+    CHECK(control.sent_configuration() == 5);
 }
 
 TEST_CASE("heartbeats are acknowledged, and what they say is told to a proxy") {
     Control control;
     control.subscribe();
     control.to_proxy.clear();
-    CHECK(control.status(control.ask("PUT", "/instances/i-1", "", heartbeat)) == 200);
-    CHECK(control.status(control.ask("PUT", "/instances/i-1", "", drain)) == 200);
-    CHECK(control.status(control.ask("PUT", "/instances/i-1", "", "{}")) == 400);
-    CHECK(control.status(control.ask("GET", "/instances/i-1")) == 405);
-    CHECK(control.status(control.ask("DELETE", "/instances/i-1")) == 200);
+    CHECK(control.status(control.request("PUT", "/instances/i-1", "", heartbeat)) == 200);
+    CHECK(control.status(control.request("PUT", "/instances/i-1", "", drain)) == 200);
+    CHECK(control.status(control.request("PUT", "/instances/i-1", "", "{}")) == 400);
+    CHECK(control.status(control.request("GET", "/instances/i-1")) == 405);
+    CHECK(control.status(control.request("DELETE", "/instances/i-1")) == 200);
     std::vector<registry::HostState> states;
     for (const auto& message : control.to_proxy)
         if (const auto* told = std::get_if<messages::HostsTold>(&message))
@@ -155,41 +155,43 @@
 
 TEST_CASE("a drain is acknowledged only when a majority of the voters knows of it") {
     Control control({"10.0.0.2", "10.0.0.3"});
-    CHECK(control.status(control.ask("PUT", "/instances/i-1", "", heartbeat)) == 503);   // taken, not acknowledged
-    const auto alone = control.ask("PUT", "/instances/i-1", "", drain);
-    control.pass(Span{1.2});
+    CHECK(control.status(control.request("PUT", "/instances/i-1", "", heartbeat)) == 503);   // taken, not acknowledged
+    const auto alone = control.request("PUT", "/instances/i-1", "", drain);
+    control.advance(Span{1.2});
     CHECK(control.status(alone) == 503);
-    control.node->received(second_link, messages::PeerHello{{second.peer, 0}, second, true, {}}, control.now);
-    const auto again = control.ask("PUT", "/instances/i-1", "", drain);
+    control.node->received(other_connection, messages::PeerHello{{other_node.peer, 0}, other_node, true, {}},
+                           control.now);
+    const auto again = control.request("PUT", "/instances/i-1", "", drain);
     CHECK(control.status(again) == 0);
-    control.node->received(second_link, messages::HostsConfirmed{2}, control.now);
+    control.node->received(other_connection, messages::HostsConfirmed{2}, control.now);
     control.carry_out();
     CHECK(control.status(again) == 200);
 }
 
 TEST_CASE("a node that does not lead and knows no leader says so at once") {
     Control control({"10.0.0.2", "10.0.0.3"});
-    CHECK(control.status(control.ask("PUT", "/config", "0", document(3))) == 503);
-    CHECK(control.status(control.ask("GET", "/config")) == 503);
+    CHECK(control.status(control.request("PUT", "/config", "0", document(3))) == 503);
+    CHECK(control.status(control.request("GET", "/config")) == 503);
 }
 
 TEST_CASE("a drain is acknowledged only when it is on disk, its own and a majority's") {
     Control control;
-    control.ask("PUT", "/instances/i-1", "", heartbeat);
+    control.request("PUT", "/instances/i-1", "", heartbeat);
     control.disk_works = false;
-    const auto refused = control.ask("PUT", "/instances/i-1", "", drain);
-    control.pass(Span{1.2});
+    const auto refused = control.request("PUT", "/instances/i-1", "", drain);
+    control.advance(Span{1.2});
     CHECK(control.status(refused) == 503);
-    const auto taken = control.ask("PUT", "/instances/i-1", "", drain);
+    const auto taken = control.request("PUT", "/instances/i-1", "", drain);
     CHECK(control.status(taken) == 0);
     control.disk_works = true;
-    control.pass(Span{0.2});
+    control.advance(Span{0.2});
     CHECK(control.status(taken) == 200);
 }
 
 TEST_CASE("a node confirms to another one what it has been told only once that is on its disk") {
     Control control({"10.0.0.2", "10.0.0.3"});
-    control.node->received(second_link, messages::PeerHello{{second.peer, 0}, second, true, {}}, control.now);
+    control.node->received(other_connection, messages::PeerHello{{other_node.peer, 0}, other_node, true, {}},
+                           control.now);
     control.carry_out();
     const registry::Host leaving{"i-1", "s", "10.9.0.1:80", "north", 1, registry::HostState::draining, 2};
     const auto confirmations = [&] {
@@ -200,13 +202,14 @@
         return count;
     };
     control.disk_works = false;
-    control.node->received(second_link, messages::HostsTold{{leaving}, 7, false}, control.now);
+    control.node->received(other_connection, messages::HostsTold{{leaving}, 7, false}, control.now);
     control.carry_out();
     CHECK(confirmations() == 0);
     control.disk_works = true;
     control.carry_out();
     CHECK(confirmations() == 1);
-    control.node->received(second_link, messages::HostsTold{{leaving}, 7, false}, control.now);   // it is there already
+    control.node->received(other_connection, messages::HostsTold{{leaving}, 7, false},
+                           control.now);   // it is there already
     control.carry_out();
     CHECK(confirmations() == 2);
 }
@@ -214,19 +217,19 @@
 TEST_CASE("a proxy is told nothing of hosts and configuration by a node that reaches no majority") {
     Control control({"10.0.0.2", "10.0.0.3"}, document(3));
     control.subscribe();
-    control.pass(Span{3});
-    CHECK(control.configuration_told() == std::nullopt);
-    CHECK(control.hosts_told == 0);
+    control.advance(Span{3});
+    CHECK(control.sent_configuration() == std::nullopt);
+    CHECK(control.host_updates_sent == 0);
 }
 
 TEST_CASE("a node that is alone in its cluster tells a new proxy at once, a proxy that is up to date only the hosts") {
     Control control({}, document(3));
     control.subscribe();
-    CHECK(control.configuration_told() == 3);
-    CHECK(control.hosts_told == 1);
+    CHECK(control.sent_configuration() == 3);
+    CHECK(control.host_updates_sent == 1);
     control.subscribe(3);
-    CHECK(control.configuration_told() == std::nullopt);
-    CHECK(control.hosts_told == 2);
+    CHECK(control.sent_configuration() == std::nullopt);
+    CHECK(control.host_updates_sent == 2);
 }
 
 namespace {
@@ -236,7 +239,8 @@
     Control control{{"10.0.0.2", "10.0.0.3"}, document(3)};
 
     TwoOfThree() {
-        control.node->received(second_link, messages::PeerHello{{second.peer, 0}, second, true, {}}, control.now);
+        control.node->received(other_connection, messages::PeerHello{{other_node.peer, 0}, other_node, true, {}},
+                               control.now);
     }
     template <class Kind>
     std::optional<Kind> last_sent() const {
@@ -246,7 +250,7 @@
         return {};
     }
     void say(consensus::Message message) {
-        control.node->received(second_link, messages::ConsensusMessage{0, std::move(message)}, control.now);
+        control.node->received(other_connection, messages::ConsensusMessage{0, std::move(message)}, control.now);
         control.carry_out();
     }
     void answer() {
@@ -254,7 +258,7 @@
         if (append) say(consensus::AppendReply{append->term, append->round, append->last});
     }
     void elect() {
-        while (!last_sent<consensus::VoteRequest>()) control.pass(Span{0.1});
+        while (!last_sent<consensus::VoteRequest>()) control.advance(Span{0.1});
         say(consensus::VoteReply{true, last_sent<consensus::VoteRequest>()->term, true});
         say(consensus::VoteReply{false, last_sent<consensus::VoteRequest>()->term, true});
         answer();
@@ -271,13 +275,13 @@
         auto& control = cluster.control;
         REQUIRE(control.node->replica().role() == consensus::Role::leader);
         if (kind == "again") {
-            const auto first = control.ask("PUT", "/config", "3", document(4));
+            const auto first = control.request("PUT", "/config", "3", document(4));
             cluster.answer();
             REQUIRE(control.status(first) == 200);
         }
-        const auto asked = kind == "reading"   ? control.ask("GET", "/config")
-                           : kind == "refusal" ? control.ask("PUT", "/config", "1", document(9))
-                                               : control.ask("PUT", "/config", "3", document(4));
+        const auto asked = kind == "reading"   ? control.request("GET", "/config")
+                           : kind == "refusal" ? control.request("PUT", "/config", "1", document(9))
+                                               : control.request("PUT", "/config", "3", document(4));
         CHECK(control.status(asked) == 0);
         cluster.answer();
         CHECK(control.status(asked) == (kind == "refusal" ? 412 : 200));
@@ -287,8 +291,8 @@
 TEST_CASE("a leader that nobody answers any more gives no reading") {
     TwoOfThree cluster;
     cluster.elect();
-    const auto asked = cluster.control.ask("GET", "/config");
-    cluster.control.pass(Span{4});
+    const auto asked = cluster.control.request("GET", "/config");
+    cluster.control.advance(Span{4});
     CHECK(cluster.control.status(asked) == 503);
 }
 
@@ -298,12 +302,12 @@
     state.version = 4;
     consensus::Append append{7, 1, {7, 2}, 1, false, 0, state};
     cluster.say(append);
-    CHECK_FALSE(cluster.control.node->may_leave());
+    CHECK_FALSE(cluster.control.node->may_shut_down());
     append.state.reset();
     append.round = 2;
     append.everywhere = true;
     cluster.say(append);
-    CHECK(cluster.control.node->may_leave());
+    CHECK(cluster.control.node->may_shut_down());
 }
 
 TEST_CASE("a node begins a subscription only when a majority has told it all the hosts that they know") {
@@ -313,18 +317,18 @@
     control.to_proxy.clear();
     control.subscribe();
     cluster.answer();
-    control.pass(Span{0.5});
+    control.advance(Span{0.5});
     cluster.answer();
-    CHECK(control.configuration_told() == std::nullopt);
-    CHECK(control.hosts_told == 0);
+    CHECK(control.sent_configuration() == std::nullopt);
+    CHECK(control.host_updates_sent == 0);
     const registry::Host leaving{"i-1", "s", "10.9.0.1:80", "north", 1, registry::HostState::draining, 2};
-    control.node->received(second_link, messages::HostsTold{{leaving}, 0, true}, control.now);
+    control.node->received(other_connection, messages::HostsTold{{leaving}, 0, true}, control.now);
     for (int i = 0; i < 5; ++i) {
-        control.pass(Span{0.1});
+        control.advance(Span{0.1});
         cluster.answer();
     }
-    CHECK(control.configuration_told() == 3);
-    CHECK(control.hosts_told == 1);
+    CHECK(control.sent_configuration() == 3);
+    CHECK(control.host_updates_sent == 1);
 }
 
 namespace {
@@ -337,11 +341,11 @@
         state.version = 4;
         state.configuration = document(4);
         append_.state = state;
-        cluster.control.node->received(second_link, messages::HostsTold{{}, 0, true}, cluster.control.now);
+        cluster.control.node->received(other_connection, messages::HostsTold{{}, 0, true}, cluster.control.now);
     }
     void pass(Span span) {
         auto& control = cluster.control;
-        for (const Time end = control.now + span; control.now < end; control.pass(Span{0.1})) {
+        for (const Time end = control.now + span; control.now < end; control.advance(Span{0.1})) {
             cluster.say(append_);
             ++append_.round;
             append_.answered = append_.round - 1;
@@ -373,7 +377,7 @@
         control.to_proxy.clear();
         control.subscribe();
         leader.pass(Span{late + 0.5});
-        CHECK(control.configuration_told() == 4);
+        CHECK(control.sent_configuration() == 4);
     }
 }
 
@@ -381,9 +385,9 @@
     Control control;
     control.subscribe();
     metrics::Registry registry;
-    NodeFigures figures(registry);
+    NodeMetrics figures(registry);
     const auto told = [&] {
-        figures.show(control.node->state(control.now));
+        figures.update(control.node->state(control.now));
         return "\n" + registry.render();
     };
     auto text = told();
@@ -393,7 +397,7 @@
     CHECK(text.find("\nmyrtleroute_control_current 1\n") != text.npos);
     CHECK(text.find("\nmyrtleroute_control_term " + std::to_string(control.node->replica().term()) + "\n") !=
           text.npos);
-    control.node->link_closed(Control::proxy_link, control.now);
+    control.node->connection_closed(Control::proxy_connection, control.now);
     text = told();
     CHECK(text.find("\nmyrtleroute_control_proxies 0\n") != text.npos);
     CHECK(text.find("\nmyrtleroute_control_subscribers 0\n") != text.npos);
--- a/tests/system/lending_load_test.cpp
+++ b/tests/system/lending_load_test.cpp
@@ -156,20 +156,20 @@
 class Leader {
 public:
     explicit Leader(size_t holders) : control_({}, document_with(4, tenants)) {
-        control_.pass(Span{2});
+        control_.advance(Span{2});
         for (size_t i = 0; i < holders; ++i) {
             ask_.tenants.clear();
             for (size_t t = 0; t < tenants; ++t) ask_.tenants["tenant-" + std::to_string(t)] = {900, 0, 0, 0, 0, 0, 0};
             ask_.holder = {"edge-" + std::to_string(i), 1};
             ask_.number = 1;
-            control_.node->received(Control::proxy_link, ask_, control_.now);
+            control_.node->received(Control::proxy_connection, ask_, control_.now);
         }
-        control_.pass(Span{0.3});   // all are admitted, and have a reply
-        REQUIRE(control_.count_on<leases::LeaseReply>(Control::proxy_link) >= holders);
+        control_.advance(Span{0.3});   // all are admitted, and have a reply
+        REQUIRE(control_.count_on<leases::LeaseReply>(Control::proxy_connection) >= holders);
     }
     void answer_an_ask() {
         ++ask_.number;
-        control_.node->received(Control::proxy_link, ask_, control_.now);
+        control_.node->received(Control::proxy_connection, ask_, control_.now);
         control_.node->take_outputs();
     }
 
@@ -183,14 +183,15 @@
 class Follower {
 public:
     explicit Follower(size_t routes) : control_({"10.0.0.2", "10.0.0.3"}, document_with(routes, 1)) {
-        control_.node->received(second_link, messages::PeerHello{{second.peer, 0}, second, true, {}}, control_.now);
+        control_.node->received(other_connection, messages::PeerHello{{other_node.peer, 0}, other_node, true, {}},
+                                control_.now);
         control_.carry_out();
     }
     void hear_of_a_drain() {
         const auto number = ++told_;
         const registry::Host leaving{"i-" + std::to_string(number), "s",   "10.9.0.1:80", "north", 1,
                                      registry::HostState::draining, number};
-        control_.node->received(second_link, messages::HostsTold{{leaving}, number, false}, control_.now);
+        control_.node->received(other_connection, messages::HostsTold{{leaving}, number, false}, control_.now);
         control_.carry_out();
     }
 
--- a/tests/system/patch_test.cpp
+++ b/tests/system/patch_test.cpp
@@ -167,44 +167,44 @@
 TEST_CASE("a patch is taken under the terms of a whole configuration, and read back whole") {
     Control control;
     control.subscribe();
-    REQUIRE(control.status(control.ask("PUT", "/config", "0", base_document().dump())) == 200);
+    REQUIRE(control.status(control.request("PUT", "/config", "0", base_document().dump())) == 200);
     const json patch{{"version", 9}, {"delete", {{"routes", {"r2"}}}}};
-    CHECK(control.status(control.ask("PATCH", "/config", "", patch.dump())) == 428);
-    CHECK(control.status(control.ask("PATCH", "/config", "6", patch.dump())) == 412);
-    CHECK(control.status(control.ask("PATCH", "/config", "7", patch.dump())) == 200);
-    CHECK(control.configuration_told() == 9);
-    const auto whole = json::parse(control.body(control.ask("GET", "/config")));
+    CHECK(control.status(control.request("PATCH", "/config", "", patch.dump())) == 428);
+    CHECK(control.status(control.request("PATCH", "/config", "6", patch.dump())) == 412);
+    CHECK(control.status(control.request("PATCH", "/config", "7", patch.dump())) == 200);
+    CHECK(control.sent_configuration() == 9);
+    const auto whole = json::parse(control.body(control.request("GET", "/config")));
     CHECK(whole == *lab::control::patched(base_document(), patch));
-    CHECK(control.status(control.ask("PATCH", "/config", "7", patch.dump())) == 200);   // sent again
-    CHECK(control.status(control.ask("PATCH", "/config", "9", R"({"version":9})")) == 400);
-    CHECK(control.status(control.ask("PATCH", "/config", "9", R"({"version":10,"upsert":)")) == 400);
-    const auto refused = control.ask("PATCH", "/config", "9", R"({"version":10,"delete":{"services":["s1"]}})");
+    CHECK(control.status(control.request("PATCH", "/config", "7", patch.dump())) == 200);   // sent again
+    CHECK(control.status(control.request("PATCH", "/config", "9", R"({"version":9})")) == 400);
+    CHECK(control.status(control.request("PATCH", "/config", "9", R"({"version":10,"upsert":)")) == 400);
+    const auto refused = control.request("PATCH", "/config", "9", R"({"version":10,"delete":{"services":["s1"]}})");
     CHECK(control.status(refused) == 400);
     CHECK(control.body(refused).find("/routes/0") != std::string::npos);
-    CHECK(json::parse(control.body(control.ask("GET", "/config"))) == whole);
+    CHECK(json::parse(control.body(control.request("GET", "/config"))) == whole);
 }
 
 TEST_CASE("what was taken as a patch is not taken for a whole configuration of the same bytes") {
     Control control;
-    REQUIRE(control.status(control.ask("PUT", "/config", "0", base_document().dump())) == 200);
+    REQUIRE(control.status(control.request("PUT", "/config", "0", base_document().dump())) == 200);
     const std::string bytes = R"({"version":8})";
-    CHECK(control.status(control.ask("PATCH", "/config", "7", bytes)) == 200);
-    CHECK(control.status(control.ask("PUT", "/config", "7", bytes)) == 400);
+    CHECK(control.status(control.request("PATCH", "/config", "7", bytes)) == 200);
+    CHECK(control.status(control.request("PUT", "/config", "7", bytes)) == 400);
 }
 
 TEST_CASE("orders up to 4 MB are taken, larger ones and larger results are refused") {
     Control control;
     auto large = base_document();
     large["note"] = std::string(3 << 20, 'n');
-    CHECK(control.status(control.ask("PUT", "/config", "0", large.dump())) == 200);
+    CHECK(control.status(control.request("PUT", "/config", "0", large.dump())) == 200);
     auto item = route("r9", "/z/", "s1");
     item["note"] = std::string(2 << 20, 'n');
-    CHECK(control.status(control.ask("PATCH", "/config", "7",
-                                     json{{"version", 8}, {"upsert", {{"routes", {item}}}}}.dump())) == 413);
+    CHECK(control.status(control.request("PATCH", "/config", "7",
+                                         json{{"version", 8}, {"upsert", {{"routes", {item}}}}}.dump())) == 413);
     large["version"] = 8;
     large["note"] = std::string(4 << 20, 'n');
-    CHECK(control.status(control.ask("PUT", "/config", "7", large.dump())) == 413);
-    CHECK(control.status(control.ask("PATCH", "/config", "7", R"({"version":8})")) == 200);
+    CHECK(control.status(control.request("PUT", "/config", "7", large.dump())) == 413);
+    CHECK(control.status(control.request("PATCH", "/config", "7", R"({"version":8})")) == 200);
 }
 
 TEST_CASE("random orders of both kinds, sent again and out of order, are answered as a plain register answers") {
@@ -243,7 +243,7 @@
                                                : lab::control::patched(current.is_null() ? empty : current, parsed);
             }
             const bool taken = builds_on_current && result && (*result)["version"] > version;
-            const int status = control.status(control.ask(order.method, "/config", order.if_match, order.body));
+            const int status = control.status(control.request(order.method, "/config", order.if_match, order.body));
             CAPTURE(order.body);
             if (again || taken)
                 REQUIRE(status == 200);
@@ -254,7 +254,7 @@
             accepted.insert({order.method, order.body});
             current = *result;
             version = current.at("version");
-            REQUIRE(json::parse(control.body(control.ask("GET", "/config"))) == current);
+            REQUIRE(json::parse(control.body(control.request("GET", "/config"))) == current);
         }
     }
 }
--- a/tests/system/rollout_order_test.cpp
+++ b/tests/system/rollout_order_test.cpp
@@ -33,23 +33,23 @@
         ballot.routes = {{"r", {}, {{"new-1", {}}, {"new-2", {}}}}};
     }
     int order(const std::string& version) {
-        return control.status(control.ask("POST", "/rollouts", "", rollout_order(version)));
+        return control.status(control.request("POST", "/rollouts", "", rollout_order(version)));
     }
     std::string state() {
-        const auto read = control.ask("GET", "/rollouts/s");
+        const auto read = control.request("GET", "/rollouts/s");
         CHECK(control.status(read) == 200);
         return nlohmann::json::parse(control.body(read)).at("state");
     }
     // Time passes in which the proxy serves, and tells by which stage it acts.
     void serve(Span span, bool candidates_fail) {
-        for (const Time end = control.now + span; control.now < end; control.pass(Span{0.1})) {
+        for (const Time end = control.now + span; control.now < end; control.advance(Span{0.1})) {
             auto& route = ballot.routes[0];
             route.serving.requests += 10;
             for (auto& candidate : route.candidates) candidate.tally.add(candidates_fail);
             ballot.age += 0.1;
             ballot.stage = static_cast<uint64_t>(stage());
             ++ballot.sequence;
-            control.node->received(Control::proxy_link, ballot, control.now);
+            control.node->received(Control::proxy_connection, ballot, control.now);
             control.carry_out();
         }
     }
@@ -70,8 +70,8 @@
 
 TEST_CASE("an order of a rollout is acknowledged, and its state is told") {
     Control control({}, document(3));
-    CHECK(control.status(control.ask("POST", "/rollouts", "", rollout_order("v2"))) == 200);
-    const auto read = control.ask("GET", "/rollouts/s");
+    CHECK(control.status(control.request("POST", "/rollouts", "", rollout_order("v2"))) == 200);
+    const auto read = control.request("GET", "/rollouts/s");
     REQUIRE(control.status(read) == 200);
     const auto state = nlohmann::json::parse(control.body(read));
     CHECK(state.at("state") == "in_progress");
@@ -88,7 +88,7 @@
 TEST_CASE("an unsound order of a rollout is refused with the place of its fault") {
     Control control({}, document(3));
     const auto refused = [&](const std::string& body) {
-        const auto request = control.ask("POST", "/rollouts", "", body);
+        const auto request = control.request("POST", "/rollouts", "", body);
         CHECK(control.status(request) == 400);
         return control.body(request);
     };
@@ -96,9 +96,9 @@
     CHECK(refused(R"({"service":"s","durationS":12})").find("required") != std::string::npos);
     CHECK(refused(R"({"service":"s","targetVersion":"v2","durationS":0})").find("/durationS") != std::string::npos);
     CHECK(refused(rollout_order("v2", "other")).find("/service") != std::string::npos);
-    CHECK(control.status(control.ask("GET", "/rollouts/s")) == 404);
-    CHECK(control.status(control.ask("DELETE", "/rollouts/s")) == 405);
-    CHECK(control.status(control.ask("GET", "/rollouts")) == 405);
+    CHECK(control.status(control.request("GET", "/rollouts/s")) == 404);
+    CHECK(control.status(control.request("DELETE", "/rollouts/s")) == 405);
+    CHECK(control.status(control.request("GET", "/rollouts")) == 405);
 }
 
 TEST_CASE("a version whose candidates fail is rolled back within two seconds, and stays so") {
@@ -139,7 +139,7 @@
 
 TEST_CASE("a rollout of which no proxy tells anything is rolled back, not completed") {
     OrderedRollout ordered;
-    ordered.control.pass(Span{duration});
+    ordered.control.advance(Span{duration});
     CHECK(ordered.state() == "rolled_back");
 }
 
@@ -152,7 +152,7 @@
 
 TEST_CASE("rollouts are told to a proxy before the hosts that they are about") {
     Control control({}, document(3));
-    control.ask("POST", "/rollouts", "", rollout_order("v2"));
+    control.request("POST", "/rollouts", "", rollout_order("v2"));
     control.subscribe();
     bool rollouts_told = false;
     for (const auto& message : control.to_proxy) {
--- a/tests/system/subscriber_test.cpp
+++ b/tests/system/subscriber_test.cpp
@@ -167,14 +167,14 @@
 
 namespace {
 
-using control::LinkNumber;
+using control::ConnectionId;
 using control::Move;
 using control::NodeLoad;
 
 struct Spread {
     struct Node {
         NodeLoad load;
-        std::map<LinkNumber, std::string> subscribers;   // with their zones
+        std::map<ConnectionId, std::string> subscribers;   // with their zones
     };
     std::vector<Node> nodes;
     size_t moves = 0;
@@ -199,7 +199,7 @@
                 planned.push_back({i, move});
         }
         for (const auto& [from, move] : planned) {
-            auto subscriber = nodes[from].subscribers.extract(move.link);
+            auto subscriber = nodes[from].subscribers.extract(move.connection);
             REQUIRE_FALSE(subscriber.empty());
             for (auto& to : nodes)
                 if (to.load.node == move.to) to.subscribers.insert(std::move(subscriber));
@@ -222,7 +222,7 @@
     Spread spread;
     constexpr size_t zones = 7, proxies = 300;
     for (size_t i = 0; i < zones; ++i) spread.add_node(zone_of(i), 100);
-    for (LinkNumber link = 1; link <= proxies; ++link) spread.nodes[0].subscribers[link] = zone_of(link % zones);
+    for (ConnectionId link = 1; link <= proxies; ++link) spread.nodes[0].subscribers[link] = zone_of(link % zones);
     for (int s = 0; s < 12; ++s) spread.second();
     for (const auto& each : spread.nodes) CHECK(each.subscribers.size() <= 56);
     for (int s = 0; s < 90; ++s) spread.second();
@@ -242,7 +242,7 @@
     for (size_t i = 0; i < 5; ++i) spread.add_node(zone_of(i), 100);
     for (size_t i = 3; i < 5; ++i) spread.add_node(zone_of(i), 10);   // the small machines of two zones
     Pcg chance(3);
-    for (LinkNumber link = 1; link <= 68; ++link)
+    for (ConnectionId link = 1; link <= 68; ++link)
         spread.nodes[static_cast<size_t>(chance.share() * 7)].subscribers[link] = zone_of(link % 6);
     for (int s = 0; s < 60; ++s) spread.second();
     for (size_t i = 0; i < 5; ++i) CHECK(spread.nodes[i].subscribers.size() <= 18);
@@ -255,11 +255,11 @@
 TEST_CASE("nothing moves for its zone before its subscription has settled, nor where there is no other node") {
     Spread spread;
     spread.add_node(zone_of(0), 100);
-    for (LinkNumber link = 1; link <= 10; ++link) spread.nodes[0].subscribers[link] = zone_of(1);
+    for (ConnectionId link = 1; link <= 10; ++link) spread.nodes[0].subscribers[link] = zone_of(1);
     for (int s = 0; s < 10; ++s) spread.second();
     CHECK(spread.moves == 0);
     spread.add_node(zone_of(1), 100);
-    for (LinkNumber link = 11; link <= 18; ++link) spread.nodes[1].subscribers[link] = zone_of(0);
+    for (ConnectionId link = 11; link <= 18; ++link) spread.nodes[1].subscribers[link] = zone_of(0);
     for (int s = 0; s < 10; ++s) spread.second(Span{1});
     CHECK(spread.moves == 0);
     for (int s = 0; s < 30; ++s) spread.second();
@@ -276,7 +276,7 @@
         };
         const size_t zones = 1 + below(8), nodes = 1 + below(12), proxies = 1 + below(400);
         for (size_t i = 0; i < nodes; ++i) spread.add_node(zone_of(i % zones), chance.share() < 0.3 ? 10 : 100);
-        for (LinkNumber link = 1; link <= proxies; ++link)
+        for (ConnectionId link = 1; link <= proxies; ++link)
             spread.nodes[below(nodes)].subscribers[link] = zone_of(below(zones));
         for (int s = 0; s < 150; ++s) spread.second();
         double weights = 0;
@@ -304,26 +304,26 @@
     told.current = true;
     told.weight = 100;
     told.proxies = {"edge-9"};
-    directory.told(other, told, now);
-    for (LinkNumber link = 1; link <= 8; ++link)
-        directory.subscribed(link, {"edge-" + std::to_string(link), 0, "south"}, now);
+    directory.update_peer(other, told, now);
+    for (ConnectionId link = 1; link <= 8; ++link)
+        directory.add_subscriber(link, {"edge-" + std::to_string(link), 0, "south"}, now);
     CHECK(directory.names().size() == 9);
     now = now + Span{5};
     told.subscribers = 1;
-    directory.told(other, told, now);
+    directory.update_peer(other, told, now);
     const auto moves =
         directory.plan_moves({node(1, "north"), 100, 0}, {{other, {other, {"10.0.0.2", 8367}, "south"}}}, now);
     REQUIRE_FALSE(moves.empty());
-    directory.left(moves[0].link, now + Span{0.01});
+    directory.remove_subscriber(moves[0].connection, now + Span{0.01});
     CHECK(directory.names().size() == 9);   // it is on its way
-    CHECK_FALSE(directory.is_subscriber(moves[0].link));
-    told.proxies->push_back("edge-" + std::to_string(moves[0].link));
-    directory.told(other, told, now + Span{0.3});
+    CHECK_FALSE(directory.is_subscriber(moves[0].connection));
+    told.proxies->push_back("edge-" + std::to_string(moves[0].connection));
+    directory.update_peer(other, told, now + Span{0.3});
     directory.tick(now + Span{2});
     CHECK(directory.names().size() == 9);
     CHECK(directory.own_names().size() == 7);
     // One that just goes is gone.
     const auto still = directory.subscribers();
-    directory.left(still.back(), now + Span{2});
+    directory.remove_subscriber(still.back(), now + Span{2});
     CHECK(directory.own_names().size() == 6);
 }
