--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -25,9 +25,9 @@
             best_heard = peer->second.heard;
         }
     }
-    if (!best || now - best_heard > options_.least_election_timeout) return;
+    if (!best || now - best_heard > options_.min_election_timeout) return;
     transferring_ = true;
-    transfer_until_ = now + options_.transfer_within;
+    transfer_until_ = now + options_.transfer_timeout;
     send(*best, TransferLeadership{hard_.term});
 }
 
@@ -73,14 +73,14 @@
            });
 }
 
-bool Replica::is_copied() const {
+bool Replica::is_fully_replicated() const {
     if (!entry_ || !is_voter(self_)) return true;
     return role_ == Role::leader ? is_everywhere() : copied_;
 }
 
 // One whose machine has come back with another disk; or one that is silent or about to end, where enough others live.
 std::optional<ReplicaId> Replica::voter_to_remove(Time now) const {
-    size_t live = 1, counting = options_.counts;
+    size_t live = 1, counting = options_.counts_for_quorum;
     for (const auto& voter : voters()) {
         const auto peer = peers_.find(voter);
         if (voter == self_ || peer == peers_.end() || now - peer->second.heard >= recently) continue;
@@ -88,7 +88,7 @@
         counting += peer->second.may_vote;
     }
     const size_t others = voters().size() - 1;
-    const bool enough_live = others >= options_.least_voters && live > others / 2 + 1;
+    const bool enough_live = others >= options_.min_voters && live > others / 2 + 1;
     for (const auto& voter : voters()) {
         if (voter == self_) continue;
         const auto found = peers_.find(voter);
@@ -97,16 +97,16 @@
         const bool counts = found == peers_.end() || peer.may_vote || peer.met <= long_ago;
         if (!counts && counting > others / 2 && !voter_to_add(now)) return voter;
         if (is_replaced(voter, now)) return voter;
-        const bool leaves = peer.departs || now - peer.heard > options_.silent_voter;
+        const bool leaves = peer.departs || now - peer.heard > options_.voter_timeout;
         if (leaves && enough_live) return voter;
     }
     return {};
 }
 
 std::optional<ReplicaId> Replica::voter_to_add(Time now) const {
-    if (voters().size() >= options_.most_voters) return {};
+    if (voters().size() >= options_.max_voters) return {};
     for (const auto& [id, peer] : peers_) {
-        const bool caught_up = peer.held == last() && now - peer.heard < options_.least_election_timeout;
+        const bool caught_up = peer.held == last() && now - peer.heard < options_.min_election_timeout;
         // A machine has one vote: the replica that it had before is removed first.
         const bool machine_votes =
             std::any_of(voters().begin(), voters().end(),
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -21,7 +21,7 @@
       last_answered_(now),
       on_disk_(last()),
       durable_term_(hard_.term) {
-    election_at_ = now + options_.first_election * (1 + chance_.share());
+    election_at_ = now + options_.initial_election_delay * (1 + chance_.share());
 }
 
 const std::vector<ReplicaId>& Replica::voters() const { return entry_ ? entry_->state.voters : no_voters; }
@@ -40,22 +40,22 @@
     return has_quorum(live);
 }
 
-bool Replica::leads_with_answers_within(Span span, Time now) const {
+bool Replica::leads_with_quorum_within(Span span, Time now) const {
     return role_ == Role::leader && has_answers_within(span, now);
 }
 
 bool Replica::is_current(Time now) const {
-    if (role_ == Role::leader) return has_answers_within(options_.least_election_timeout, now);
-    return leader_ && now - contact_ < options_.least_election_timeout;
+    if (role_ == Role::leader) return has_answers_within(options_.min_election_timeout, now);
+    return leader_ && now - contact_ < options_.min_election_timeout;
 }
 
 void Replica::reset_election_timer(Time now) {
     // After a start of everything a failed election is soon tried again; pre-votes keep a living leader undisturbed.
     if (heard_leader_ <= long_ago && own_term_index_ == 0) {
-        election_at_ = now + options_.next_election * (1 + 2 * chance_.share());
+        election_at_ = now + options_.election_retry_delay * (1 + 2 * chance_.share());
         return;
     }
-    election_at_ = now + options_.least_election_timeout + options_.election_spread * chance_.share();
+    election_at_ = now + options_.min_election_timeout + options_.election_spread * chance_.share();
 }
 
 void Replica::send(const ReplicaId& to, Message message) { outputs_.push_back(SendTo{to, std::move(message)}); }
@@ -66,27 +66,28 @@
     outputs_.push_back(std::move(write));
 }
 
-void Replica::met(const ReplicaId& peer, bool may_vote, Time now) {
+void Replica::peer_reachable(const ReplicaId& peer, bool may_vote, Time now) {
     if (peer == self_) return;
     auto& known = peers_[peer];
     known.may_vote = may_vote;
     known.met = now;
 }
 
-void Replica::greeted(const ReplicaId& peer, bool may_vote, Time now) {
-    met(peer, may_vote, now);
+void Replica::peer_connected(const ReplicaId& peer, bool may_vote, Time now) {
+    peer_reachable(peer, may_vote, now);
     if (peer != self_) peers_[peer].departs = false;
 }
 
 // An ended process resets its connections, long before its silence would tell. A connection that was only reset is up again
 // within that time, and the leader is heard of. Others judge for themselves: a majority must have lost it.
-void Replica::disconnected(const ReplicaId& peer, Time now) {
+void Replica::peer_disconnected(const ReplicaId& peer, Time now) {
     if (role_ != Role::follower || leader_ != peer) return;
-    heard_leader_ = std::min(heard_leader_, now - options_.least_election_timeout);
-    election_at_ = std::min(election_at_, now + options_.leader_left + options_.next_election * chance_.share());
+    heard_leader_ = std::min(heard_leader_, now - options_.min_election_timeout);
+    election_at_ = std::min(election_at_,
+                            now + options_.leader_disconnect_delay + options_.election_retry_delay * chance_.share());
 }
 
-void Replica::received(const ReplicaId& from, const Message& message, Time now) {
+void Replica::receive(const ReplicaId& from, const Message& message, Time now) {
     if (from == self_) return;
     if (const auto peer = peers_.find(from); peer != peers_.end()) peer->second.met = now;
     std::visit([&](const auto& typed) { on(from, typed, now); }, message);
@@ -141,9 +142,9 @@
 }
 
 void Replica::on(const ReplicaId& from, const VoteRequest& request, Time now) {
-    const bool leader_lives = role_ == Role::leader || now - heard_leader_ < options_.least_election_timeout;
+    const bool leader_lives = role_ == Role::leader || now - heard_leader_ < options_.min_election_timeout;
     const bool log_suffices = request.last >= last();
-    if (request.trial) {
+    if (request.pre_vote) {
         const bool granted = request.term > hard_.term && log_suffices && !leader_lives;
         return send(from, VoteReply{true, granted ? request.term : hard_.term, granted});
     }
@@ -167,10 +168,10 @@
 
 void Replica::on(const ReplicaId& from, const VoteReply& reply, Time now) {
     if (!reply.granted && reply.term > hard_.term) return follow(reply.term, std::nullopt, now);
-    if (role_ != Role::candidate || reply.trial != trial_ || !reply.granted) return;
+    if (role_ != Role::candidate || reply.pre_vote != trial_ || !reply.granted) return;
     if (reply.term != hard_.term + (trial_ ? 1 : 0)) return;
     granted_.insert(from);
-    if (!trial_) quiet_ = std::min(quiet_, Span{reply.quiet});
+    if (!trial_) quiet_ = std::min(quiet_, Span{reply.leaderless});
     if (!has_quorum(granted_)) return;
     if (trial_)
         start_election(false, false, now);
@@ -213,12 +214,12 @@
     if (entry_) all += std::to_string(entry_->state.version);
     for (const auto& voter : voters()) all += "v" + voter.text();
     for (const auto& granted : granted_) all += "g" + granted.text();
-    all += now - heard_leader_ < options_.least_election_timeout ? "L" : "";
+    all += now - heard_leader_ < options_.min_election_timeout ? "L" : "";
     for (const auto& [id, peer] : peers_) {
         all += "p" + id.text() + text(peer.held) + text(peer.sent) + (peer.departs ? "d" : "");
-        all += now - peer.heard < options_.least_election_timeout ? "h"
-               : now - peer.heard < options_.silent_voter         ? "s"
-                                                                  : "";
+        all += now - peer.heard < options_.min_election_timeout ? "h"
+               : now - peer.heard < options_.voter_timeout      ? "s"
+                                                                : "";
     }
     for (const auto& write : writes_)
         all += "w" + std::to_string(write.term) + text(write.held) + std::to_string(write.then.size());
@@ -238,7 +239,7 @@
         else if (now >= confirming_round_at_)
             send_confirming_round(now);
         if (now >= transfer_until_) transferring_ = false;
-        if (!options_.counts && !transferring_) transfer_leadership(now);
+        if (!options_.counts_for_quorum && !transferring_) transfer_leadership(now);
         return change_voters(now);
     }
     if (now < election_at_) return;
@@ -250,7 +251,7 @@
 
 // A leader that a majority does not answer steps down, so that nobody takes it for one.
 void Replica::check_quorum(Time now) {
-    if (!has_answers_within(options_.least_election_timeout, now)) follow(hard_.term, std::nullopt, now);
+    if (!has_answers_within(options_.min_election_timeout, now)) follow(hard_.term, std::nullopt, now);
 }
 
 }   // namespace myrtleroute::consensus
--- a/src/consensus/replica.hpp
+++ b/src/consensus/replica.hpp
@@ -28,21 +28,23 @@
 namespace myrtleroute::consensus {
 
 struct ReplicaOptions {
-    Span heartbeat{0.2};
-    Span least_election_timeout{0.9};   // the most is this and `election_spread`
+    Span heartbeat_interval{0.2};
+    Span min_election_timeout{0.9};   // the most is this and `election_spread`
     Span election_spread{0.7};
-    Span first_election{0.15};   // after a start, when there may be no leader at all; and as much again by chance
-    Span leader_left{0.35};      // after the leader's connection has ended, and up to `next_election` more by chance
-    Span next_election{0.25};    // while none has been heard of since the start; and twice as much by chance
-    Span resend{1};              // an entry that is not acknowledged is sent again after this
+    Span initial_election_delay{
+        0.15};   // after a start, when there may be no leader at all; and as much again by chance
+    Span leader_disconnect_delay{
+        0.35};   // after the leader's connection has ended, and up to `next_election` more by chance
+    Span election_retry_delay{0.25};   // while none has been heard of since the start; and twice as much by chance
+    Span resend_interval{1};           // an entry that is not acknowledged is sent again after this
     // A voter silent for this long is dropped where enough others live: what is lost next may be one of those. It joins
     // again when it is heard of. Well within the time after which a machine that is back no longer counts as lost.
-    Span silent_voter{2};
-    size_t least_voters = 3;   // silence removes none below this
-    size_t most_voters = 7;
-    bool counts = true;        // this replica's machine has a disk that counts; else it votes only from the
-                               // first start on, until others that count have taken over
-    Span transfer_within{1};   // a transfer of leadership that has not happened by then is off
+    Span voter_timeout{2};
+    size_t min_voters = 3;   // silence removes none below this
+    size_t max_voters = 7;
+    bool counts_for_quorum = true;   // this replica's machine has a disk that counts; else it votes only from the
+                                     // first start on, until others that count have taken over
+    Span transfer_timeout{1};        // a transfer of leadership that has not happened by then is off
 };
 
 struct SendTo {
@@ -92,17 +94,17 @@
     Replica(ReplicaId self, HardState hard_state, std::optional<Entry> entry, ReplicaOptions options, uint64_t seed,
             Time now);
 
-    void received(const ReplicaId& from, const Message& message, Time now);
+    void receive(const ReplicaId& from, const Message& message, Time now);
     void tick(Time now);   // at least ten times a second
     void persisted(uint64_t number, Time now);
 
     // A peer that can be reached and may vote (it has a disk that counts). The leader makes it a voter.
-    void met(const ReplicaId& peer, bool may_vote, Time now);
-    void greeted(const ReplicaId& peer, bool may_vote, Time now);   // by a process that has just connected
+    void peer_reachable(const ReplicaId& peer, bool may_vote, Time now);
+    void peer_connected(const ReplicaId& peer, bool may_vote, Time now);   // by a process that has just connected
 
     // The connection on which that peer sends has ended: its process has, or the network has reset it. A follower of that peer
     // stands for election soon; its leader prevents that by its next message.
-    void disconnected(const ReplicaId& peer, Time now);
+    void peer_disconnected(const ReplicaId& peer, Time now);
 
     // The leader's: makes the state the next entry. Nothing where this replica does not lead.
     std::optional<Position> propose(ClusterState state, Time now);
@@ -125,12 +127,12 @@
     bool is_current(Time now) const;
     // Whether this replica leads and a majority has answered a round that it sent within that time. As soon as so much time
     // has passed since another replica was elected, this is true of no earlier leader.
-    bool leads_with_answers_within(Span span, Time now) const;
+    bool leads_with_quorum_within(Span span, Time now) const;
     // Of a leader: for so long before its election none of those who voted for it, itself included, had answered another
     // leader or led. No majority has answered a round that an earlier leader sent since.
-    Span quiet_before_election() const { return quiet_; }
+    Span leaderless_before_election() const { return quiet_; }
     // Whether this replica's disk may be lost without loss: every voter that answers the leader has its last entry.
-    bool is_copied() const;
+    bool is_fully_replicated() const;
     bool is_voter(const ReplicaId& id) const;
     // What decides what it does next, without the numbers of rounds: two replicas with the same text act alike. For
     // those who explore its states.
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -78,7 +78,7 @@
 
 void Replica::on(const ReplicaId& from, const ReadRequest& request, Time now) {
     if (role_ != Role::leader || request.term != hard_.term || barriers_.size() >= most_barriers) return;
-    const auto confirmed_by = begin_round(request.patient ? BarrierRound::next_heartbeat : BarrierRound::at_once, now);
+    const auto confirmed_by = begin_round(request.can_wait ? BarrierRound::next_heartbeat : BarrierRound::at_once, now);
     barriers_.push_back({request.number, confirmed_by, std::max(committed_, own_term_index_), from});
     pass_barriers();
 }
@@ -92,7 +92,7 @@
 
 void Replica::heartbeat(Time now) {
     note_new_round(now);
-    heartbeat_at_ = now + options_.heartbeat;
+    heartbeat_at_ = now + options_.heartbeat_interval;
     for (auto& [id, peer] : peers_)
         if (is_voter(id) || now - peer.met < recently) append_to(id, peer, now);
 }
@@ -104,7 +104,7 @@
 void Replica::append_to(const ReplicaId& to, Peer& peer, Time now) {
     auto append = append_for(peer);
     const bool lacks = peer.held != last();
-    if (lacks && (peer.sent != last() || now - peer.sent_at > options_.resend)) {
+    if (lacks && (peer.sent != last() || now - peer.sent_at > options_.resend_interval)) {
         append.state = entry_->state;
         peer.sent = last();
         peer.sent_at = now;
@@ -118,12 +118,12 @@
     heard_leader_ = now;
     reset_election_timer(now);
     const size_t writes_before = writes_.size();
-    while (!answered_.empty() && answered_.front().number <= append.answered) {
+    while (!answered_.empty() && answered_.front().number <= append.acknowledged_round) {
         contact_ = std::max(contact_, answered_.front().at);
         answered_.pop_front();
     }
     if (append.last > last() && append.state) adopt({append.last, *append.state});
-    copied_ = last() == append.last && append.everywhere;
+    copied_ = last() == append.last && append.fully_replicated;
     if (last() == append.last && append.commit >= last().index) commit(last().index);
     pass_barriers();
     const bool wrote = writes_.size() > writes_before;
@@ -145,7 +145,7 @@
         std::find_if(rounds_.begin(), rounds_.end(), [&](const auto& round) { return round.number == reply.round; });
     if (sent != rounds_.end()) peer.heard = std::max(peer.heard, sent->at);
     peer.confirmed_round = std::max(peer.confirmed_round, reply.round);
-    peer.held = std::max(peer.held, reply.held);
+    peer.held = std::max(peer.held, reply.persisted);
     advance_commit();
     pass_barriers();
 }
--- a/src/consensus/types.hpp
+++ b/src/consensus/types.hpp
@@ -61,7 +61,7 @@
 };
 
 struct VoteRequest {
-    bool trial = false;   // a pre-vote: asks whether a vote would be granted, binds nobody
+    bool pre_vote = false;   // a pre-vote: asks whether a vote would be granted, binds nobody
     uint64_t term = 0;
     Position last;           // of the candidate's log
     bool transfer = false;   // the leader asked for this election
@@ -69,10 +69,10 @@
 };
 
 struct VoteReply {
-    bool trial = false;
+    bool pre_vote = false;
     uint64_t term = 0;   // the voter's; of a granted pre-vote the one asked about
     bool granted = false;
-    double quiet = 0;   // of a vote: seconds for which the voter has answered no leader, nor led
+    double leaderless = 0;   // of a vote: seconds for which the voter has answered no leader, nor led
     bool operator==(const VoteReply&) const = default;
 };
 
@@ -82,8 +82,8 @@
     uint64_t round = 0;                  // of this leader, rises with each
     Position last;                       // of the leader's log
     uint64_t commit = 0;                 // index up to which entries are committed
-    bool everywhere = false;             // every voter that answers has the entry at `last` on disk
-    uint64_t answered = 0;               // the newest round that the receiver has answered
+    bool fully_replicated = false;       // every voter that answers has the entry at `last` on disk
+    uint64_t acknowledged_round = 0;     // the newest round that the receiver has answered
     std::optional<ClusterState> state;   // of the entry at `last`
     bool operator==(const Append&) const = default;
 };
@@ -91,7 +91,7 @@
 struct AppendReply {
     uint64_t term = 0;
     uint64_t round = 0;
-    Position held;   // last entry that is safe on the follower's disk
+    Position persisted;   // last entry that is safe on the follower's disk
     bool operator==(const AppendReply&) const = default;
 };
 
@@ -103,9 +103,9 @@
 
 // Asks the leader how far the log was committed when it was asked (the dissertation's 6.4, for followers).
 struct ReadRequest {
-    uint64_t term = 0;      // of the leader that is meant
-    uint64_t number = 0;    // of the sender's barrier
-    bool patient = false;   // the leader's next regular round is soon enough
+    uint64_t term = 0;       // of the leader that is meant
+    uint64_t number = 0;     // of the sender's barrier
+    bool can_wait = false;   // the leader's next regular round is soon enough
     bool operator==(const ReadRequest&) const = default;
 };
 
--- a/src/lab/control/callers.cpp
+++ b/src/lab/control/callers.cpp
@@ -286,20 +286,20 @@
     const auto* rollout = rollouts_.rollout("s");
     if (!rollout || !rollout->in_progress()) return;
     for (int i = 0; i < requests_a_tick; ++i) {
-        const bool at_candidate = rollouts_.wants_candidate("s", queue_.now());
+        const bool at_candidate = rollouts_.choose_candidate("s", queue_.now());
         const double failing = at_candidate && is_bad_version(rollout->target_version) ? 0.5 : 0.02;
-        rollout::AttemptEnd end;
+        rollout::AttemptResult end;
         end.route = "r";
         end.host = "host-" + std::to_string(hosts_chance_.below(at_candidate ? 3 : 2));
         end.group = at_candidate ? rollout::Group::candidate : rollout::Group::serving;
         end.failed = hosts_chance_.yes(failing);
-        end.total = Span{0.1};
-        rollouts_.ended("s", end);
+        end.duration = Span{0.1};
+        rollouts_.record("s", end);
     }
     const auto none_open = [](const std::string&) {
         return size_t{0};
     };
-    for (auto& ballot : rollouts_.take_ballots(1, none_open, queue_.now()))
+    for (auto& ballot : rollouts_.take_reports(1, none_open, queue_.now()))
         if (subscriber_->is_open()) network_.send(connection_, process_, std::move(ballot));
 }
 
@@ -387,12 +387,12 @@
         const auto tenant = tenants_->find(request.tenant);
         if (tenant == tenants_->end() || tenant->second.api_keys.empty()) return;   // no such key: 401
         const auto ticket = next_ticket_++;
-        const auto decision = leases_->request(request.tenant, request.cost, ticket, lease_patience, queue_.now());
+        const auto decision = leases_->acquire(request.tenant, request.cost, ticket, lease_patience, queue_.now());
         if (decision.verdict == leases::Verdict::granted) return granted();
         if (decision.verdict == leases::Verdict::refused) return;
         waiting_[ticket] = granted;
         ask_for_leases();
-        queue_.at(leases_->waits_until(), [this, life = life_] {
+        queue_.at(leases_->next_deadline(), [this, life = life_] {
             if (life != life_ || !runs()) return;
             do_or_wait([this] {
                 leases_->tick(queue_.now());
@@ -404,12 +404,12 @@
 
 void SubscribedProxy::ask_for_leases() {
     if (!subscriber_->is_open()) return;
-    if (auto ask = leases_->ask(queue_.now())) network_.send(connection_, process_, std::move(*ask));
+    if (auto ask = leases_->next_request(queue_.now())) network_.send(connection_, process_, std::move(*ask));
 }
 
 void SubscribedProxy::ask_for_configuration_lease() {
     if (!subscriber_->is_open()) return;
-    if (const auto ask = configuration_lease_.ask(queue_.now())) network_.send(connection_, process_, *ask);
+    if (const auto ask = configuration_lease_.next_request(queue_.now())) network_.send(connection_, process_, *ask);
 }
 
 void SubscribedProxy::lease_decisions() {
@@ -450,16 +450,16 @@
     } else if (const auto* reply = std::get_if<leases::LeaseReply>(&message)) {
         leases_->apply(*reply, queue_.now());
         lease_decisions();
-        if (reply->confirm)
+        if (reply->request_again)
             queue_.in(proxy_hurry, [this, life = life_] {
                 if (life == life_ && runs()) do_or_wait([this] { ask_for_leases(); });
             });
     } else if (const auto* lease = std::get_if<leases::ConfigurationLeaseReply>(&message)) {
         configuration_lease_.apply(*lease);
     } else if (const auto* fleet = std::get_if<messages::FleetTold>(&message)) {
-        if (fleet->current) rollouts_.heard_current(queue_.now());
+        if (fleet->current) rollouts_.confirm_control(queue_.now());
     } else if (const auto* rollouts = std::get_if<messages::RolloutsTold>(&message)) {
-        rollouts_.told(rollouts->rollouts, queue_.now());
+        rollouts_.update(rollouts->rollouts, queue_.now());
     } else if (const auto* hosts = std::get_if<messages::HostsTold>(&message)) {
         knows_hosts_ = true;
         for (const auto& host : hosts->hosts) hosts_.merge(host, queue_.now());
@@ -470,7 +470,7 @@
 void SubscribedProxy::configured(const messages::ConfigurationTold& told) {
     if (told.version <= version_) return;
     version_ = told.version;
-    configuration_lease_.configured(version_);
+    configuration_lease_.set_version(version_);
     tenants_ = checker_.documents().read(told.body);
 }
 
--- a/src/lab/control/explorer.cpp
+++ b/src/lab/control/explorer.cpp
@@ -101,8 +101,8 @@
         slot.replica.emplace(slot.id, slot.disk_hard_state, slot.disk_entry, ReplicaOptions{}, 1, state.now);
         for (auto& other : state.slots)
             if (other.id != slot.id && other.replica) {
-                other.replica->greeted(slot.id, true, state.now);
-                slot.replica->greeted(other.id, true, state.now);
+                other.replica->peer_connected(slot.id, true, state.now);
+                slot.replica->peer_connected(other.id, true, state.now);
             }
     }
 
@@ -133,7 +133,7 @@
         auto& queue = state.links[{from, to}];
         const auto message = std::move(queue.front());
         queue.pop_front();
-        state.slots[to].replica->received(state.slots[from].id, message, state.now);
+        state.slots[to].replica->receive(state.slots[from].id, message, state.now);
         carry_out(state, to);
     }
 
@@ -283,16 +283,16 @@
     static std::string describe(const Message& message) {
         std::string text = std::to_string(message.index());
         if (const auto* vote = std::get_if<VoteRequest>(&message))
-            text += std::to_string(vote->trial) + std::to_string(vote->term) + position(vote->last) +
+            text += std::to_string(vote->pre_vote) + std::to_string(vote->term) + position(vote->last) +
                     std::to_string(vote->transfer);
         if (const auto* voted = std::get_if<VoteReply>(&message))
-            text += std::to_string(voted->trial) + std::to_string(voted->term) + std::to_string(voted->granted);
+            text += std::to_string(voted->pre_vote) + std::to_string(voted->term) + std::to_string(voted->granted);
         if (const auto* append = std::get_if<Append>(&message))
             text += std::to_string(append->term) + position(append->last) + std::to_string(append->commit) +
                     std::to_string(append->state.has_value()) +
                     (append->state ? std::to_string(append->state->version) : "");
         if (const auto* reply = std::get_if<AppendReply>(&message))
-            text += std::to_string(reply->term) + position(reply->held);
+            text += std::to_string(reply->term) + position(reply->persisted);
         return text;
     }
 
--- a/src/lab/control/quota_checker.cpp
+++ b/src/lab/control/quota_checker.cpp
@@ -63,7 +63,7 @@
 
 double allowed_in_window(const configuration::Tenant& tenant) {
     const double quota = tenant.rate_per_second * limit_rule.window.s + tenant.burst;
-    return quota * (1 + limit_rule.over) + limit_rule.slack;
+    return quota * (1 + limit_rule.excess_ratio) + limit_rule.slack;
 }
 
 QuotaChecker::QuotaChecker() : limits_(limit_rule.window, config_within) {}
--- a/src/lab/control/world.cpp
+++ b/src/lab/control/world.cpp
@@ -95,7 +95,7 @@
     settings.tolerated_machines = static_cast<int>(plan_.tolerated);
     settings.data_directory = "virtual";
     settings.quota_slack = limit_rule.slack;
-    settings.quota_over = limit_rule.over;
+    settings.quota_over = limit_rule.excess_ratio;
     settings.quota_window = limit_rule.window;
     Machine::Surroundings surroundings;
     surroundings.process_at = [this](const Endpoint& peer) {
--- a/src/leases/allocator.cpp
+++ b/src/leases/allocator.cpp
@@ -26,7 +26,7 @@
 
 }   // namespace
 
-void Allocator::limits(std::map<std::string, Limit> limits, Time now) {
+void Allocator::set_limits(std::map<std::string, Limit> limits, Time now) {
     // One that has no limit any more is kept until all that was lent of it has ended: it may come back.
     for (auto& [name, tenant] : tenants_)
         if (!limits.count(name)) limits[name] = {};
@@ -49,8 +49,8 @@
     nodes_ = missing_ = nodes;
     began_ = now;
     heard_.clear();
-    lent_before_gone_ = now + terms_.lent;
-    reserves_before_gone_ = now + terms_.reserve;
+    lent_before_gone_ = now + terms_.grant_duration;
+    reserves_before_gone_ = now + terms_.reserve_duration;
     holders_.clear();
     for (auto& [name, tenant] : tenants_) {
         Tenant fresh;
@@ -71,14 +71,14 @@
     for (const auto& [id, share] : tenant.shares)
         if (share.pooled_until < tenant.filled_until) elsewhere += share.reserve;
     if (!knows_all() && now < reserves_before_gone_)
-        elsewhere += std::max(0.0, tenant.budget.reserved_fill() - tenant.reserved);
-    tenant.fill = std::max(0.0, tenant.budget.fill - elsewhere);
+        elsewhere += std::max(0.0, tenant.budget.reserved_rate() - tenant.reserved);
+    tenant.fill = std::max(0.0, tenant.budget.fill_rate - elsewhere);
 }
 
 // Most that an earlier allocator may have lent and that has neither ended nor been reported.
 double Allocator::unknown(const Tenant& tenant, Time now) const {
     if (knows_all() || now >= lent_before_gone_) return 0;
-    return std::max(0.0, tenant.budget.lent() - tenant.first_reported);
+    return std::max(0.0, tenant.budget.max_granted() - tenant.first_reported);
 }
 
 // Most units that may stand in the pool, or be lent beyond what is.
@@ -126,47 +126,48 @@
 
 bool Allocator::limit_binds(const Tenant& tenant, Time now) const {
     const double left = tenant.level + tenant.lent;
-    return tenant.asked > overload * tenant.budget.fill && left < scarce * (tenant.lent + room(tenant, now));
+    return tenant.asked > overload * tenant.budget.fill_rate && left < scarce * (tenant.lent + room(tenant, now));
 }
 
 // By demand. What others have is not taken from them here: it is free once they have said that they have less.
 double Allocator::reserve_for(const Tenant& tenant, const Share& share, Time now) const {
     const double part = tenant.asked > 0 ? share.asked / tenant.asked : 0;
-    const double by_demand = tenant.budget.reserved_fill() * part;
-    const double free = tenant.budget.reserved_fill() - tenant.reserved;
+    const double by_demand = tenant.budget.reserved_rate() * part;
+    const double free = tenant.budget.reserved_rate() - tenant.reserved;
     if (free < 0) return std::min(by_demand, share.reserve);   // the limit has been lowered
     if (!knows_all() && now < reserves_before_gone_) return share.reserve;
     return std::min(by_demand, share.reserve + free);
 }
 
-LentLease Allocator::lend(Tenant& tenant, Share& share, const HeldLease& asked, Time now) {
+LeaseGrant Allocator::lend(Tenant& tenant, Share& share, const LeaseStatus& asked, Time now) {
     const auto& budget = tenant.budget;
     const double part = tenant.asked > 0 ? share.asked / tenant.asked : 0;
     const bool binds = limit_binds(tenant, now);
-    LentLease lent;
+    LeaseGrant lent;
     // A part of what there is stays in the pool, for requests larger than what their proxies hold.
-    const double may_be_held = std::min(budget.lent_usually(), held_part * std::max(0.0, tenant.level + tenant.lent));
+    const double may_be_held = std::min(budget.usual_granted(), held_part * std::max(0.0, tenant.level + tenant.lent));
     lent.target = std::min(may_be_held * part, share.asked * held_for.s);
-    const double usual = std::min(budget.lent_usually() * part, share.asked * held_for.s);
+    const double usual = std::min(budget.usual_granted() * part, share.asked * held_for.s);
     lent.threshold = binds ? std::min(usual * threshold_part, lent.target * most_threshold_part) : 0;
-    lent.overload = budget.fill > 0 ? tenant.asked / budget.fill : 0;
-    const double may_be_lent = std::max(0.0, budget.lent() - tenant.lent);
+    lent.overload = budget.fill_rate > 0 ? tenant.asked / budget.fill_rate : 0;
+    const double may_be_lent = std::max(0.0, budget.max_granted() - tenant.lent);
     const double available = std::max(0.0, tenant.level);
     // To be had without asking: where units are scarce, in proportion to the demand.
     const double wanted = std::max(0.0, lent.target - share.lent);
     lent.granted = std::min({wanted, binds ? available * part : available, may_be_lent});
     // For requests whose turn it is, ahead of the fill where need be. A part of what a request needs would be of no use.
     const double most = std::min(tenant.level + budget.debt(), may_be_lent);
-    for (const double needed : {asked.needed_first, asked.needed})
+    for (const double needed : {asked.needed_by_first, asked.needed})
         if (needed > lent.granted && needed <= most) lent.granted = needed;
     tenant.level -= lent.granted;
     const Share before = share;
     share.granted = lent.granted;
     share.lent += lent.granted;
-    lent.reserve = reserve_for(tenant, share, now);
-    share.reserve = std::max(share.reserve, lent.reserve);   // a smaller one counts once the holder has it
+    lent.reserve_rate = reserve_for(tenant, share, now);
+    share.reserve = std::max(share.reserve, lent.reserve_rate);   // a smaller one counts once the holder has it
     count(tenant, before, share);
-    if (budget.reserved_fill() > 0) lent.gathered = budget.isolated() * lent.reserve / budget.reserved_fill();
+    if (budget.reserved_rate() > 0)
+        lent.reserve_cap = budget.max_accumulated() * lent.reserve_rate / budget.reserved_rate();
     return lent;
 }
 
@@ -191,19 +192,19 @@
     return holders_.size() >= most_holders && holders_.count(holder) == 0;
 }
 
-std::optional<LeaseReply> Allocator::ask(const LeaseAsk& ask, Time now) {
+std::optional<LeaseReply> Allocator::handle(const LeaseRequest& ask, Time now) {
     if (!is_admitted(ask.holder.node)) return {};
     if (is_full_for(ask.holder)) return {};
     auto& holder = holders_[ask.holder];
     if (ask.number <= holder.last_ask) return {};
     heard_[ask.holder.node] = now;
     const bool took_reply = holder.last_ask > 0 && ask.applied == holder.last_ask && ask.applied_term == term_;
-    if (took_reply) holder.pooled_until = holder.replied + terms_.pooled;
+    if (took_reply) holder.pooled_until = holder.replied + terms_.reserve_delay;
     if (took_reply && !std::exchange(holder.proven, true)) note_first(ask, now);
     holder.last_ask = ask.number;
     holder.replied = now;
-    holder.lent_until = now + terms_.lent;
-    holder.reserve_until = now + terms_.reserve;
+    holder.lent_until = now + terms_.grant_duration;
+    holder.reserve_until = now + terms_.reserve_duration;
 
     auto names = std::exchange(holder.tenants, {});
     for (const auto& [name, told] : ask.tenants) names.insert(name);
@@ -215,13 +216,14 @@
         auto& tenant = known->second;
         refill(tenant, now);
         const auto told = ask.tenants.find(name);
-        const HeldLease held = told == ask.tenants.end() ? HeldLease{} : told->second;
+        const LeaseStatus held = told == ask.tenants.end() ? LeaseStatus{} : told->second;
         auto& share = tenant.shares[ask.holder];
         const Share before = share;
         // What the last reply granted, if that was not taken, will never be used. What an ask gives up that may be one
         // of before is not counted on.
         const double back = took_reply ? held.returned : before.granted;
-        share = {held.held, 0, held.reserve, held.asked, holder.lent_until, holder.pooled_until, holder.reserve_until};
+        share = {held.held,           0, held.reserve_rate, held.demand, holder.lent_until, holder.pooled_until,
+                 holder.reserve_until};
         count(tenant, before, share);
         tenant.level = std::min(tenant.level + back, room(tenant, now));
         if (told == ask.tenants.end()) continue;
@@ -233,12 +235,12 @@
 
 // The first ask that proves that the holder lives. Other lives of its node have ended. What it holds, less what this
 // allocator has granted it, was lent before; a tenant that it does not name it has not heard of for some time.
-void Allocator::note_first(const LeaseAsk& ask, Time now) {
+void Allocator::note_first(const LeaseRequest& ask, Time now) {
     end_other_lives(ask.holder);
-    const Span forgotten = std::min(Span{ask.age}, terms_.remembered);
+    const Span forgotten = std::min(Span{ask.age}, terms_.tenant_retention);
     for (auto& [name, tenant] : tenants_) {
         const auto told = ask.tenants.find(name);
-        const Span unused = told == ask.tenants.end() ? forgotten : Span{told->second.unused};
+        const Span unused = told == ask.tenants.end() ? forgotten : Span{told->second.idle};
         tenant.last_used = std::max(tenant.last_used, now - unused);
         const auto share = tenant.shares.find(ask.holder);
         if (told == ask.tenants.end() || share == tenant.shares.end()) continue;
@@ -252,11 +254,11 @@
     for (auto& [name, tenant] : tenants_) {
         refill(tenant, now);
         const double idle = std::clamp((began_ - tenant.last_used).s, 0.0, most_idle.s);
-        tenant.level = std::min(tenant.level + tenant.budget.fill * idle, room(tenant, now));
+        tenant.level = std::min(tenant.level + tenant.budget.fill_rate * idle, room(tenant, now));
     }
 }
 
-std::optional<Time> Allocator::heard(const std::string& node) const {
+std::optional<Time> Allocator::last_request(const std::string& node) const {
     const auto known = heard_.find(node);
     return known == heard_.end() ? std::nullopt : std::optional(known->second);
 }
@@ -271,7 +273,7 @@
     return {};
 }
 
-std::optional<std::string> Allocator::violated_by(const LeaseAsk& ask) const {
+std::optional<std::string> Allocator::violated_by(const LeaseRequest& ask) const {
     for (const auto& [name, told] : ask.tenants) {
         const auto known = tenants_.find(name);
         if (known == tenants_.end()) continue;
--- a/src/leases/allocator.hpp
+++ b/src/leases/allocator.hpp
@@ -21,7 +21,7 @@
     explicit Allocator(LimitRule rule, LeaseTerms terms = {}) : rule_(rule), terms_(terms) {}
 
     // The limits in force, by tenant; tenants without a limit are left out.
-    void limits(std::map<std::string, Limit> limits, Time now);
+    void set_limits(std::map<std::string, Limit> limits, Time now);
     // Starts anew. The authority of any earlier allocator has ended. `term`: no other allocator has it. `nodes`: those to
     // which earlier ones may have lent.
     void begin(uint64_t term, const std::set<std::string>& nodes, Time now);
@@ -30,19 +30,19 @@
     bool is_admitted(const std::string& node) const { return nodes_.count(node) > 0; }
     bool is_full_for(const HolderId& holder) const;   // there are as many others as may be
     // When a node asked last; nothing where it has not since `begin`.
-    std::optional<Time> heard(const std::string& node) const;
+    std::optional<Time> last_request(const std::string& node) const;
     void tick(Time now);   // several times a second
 
     // Nothing where the ask is older than one that has been answered, or its node is not admitted.
-    std::optional<LeaseReply> ask(const LeaseAsk& ask, Time now);
+    std::optional<LeaseReply> handle(const LeaseRequest& ask, Time now);
 
     // What must hold at any time; the first that doesn't is named. It looks at all shares of all tenants.
     std::optional<std::string> violated_invariant() const;
     // The part of it that an ask may break, for the tenants of that ask.
-    std::optional<std::string> violated_by(const LeaseAsk& ask) const;
+    std::optional<std::string> violated_by(const LeaseRequest& ask) const;
     size_t holders() const { return holders_.size(); }
     struct Amounts {
-        double level = 0, lent = 0, fill = 0, asked = 0;
+        double pooled = 0, granted = 0, fill_rate = 0, demand = 0;
     };
     std::optional<Amounts> amounts(const std::string& tenant) const;
 
@@ -84,14 +84,14 @@
     void plan_fill(Tenant& tenant, Time now);
     void refill(Tenant& tenant, Time now);
     bool knows_all() const { return missing_.empty(); }
-    void note_first(const LeaseAsk& ask, Time now);
+    void note_first(const LeaseRequest& ask, Time now);
     void credit_idle_time(Time now);
     double unknown(const Tenant& tenant, Time now) const;
     double room(const Tenant& tenant, Time now) const;
     void count(Tenant& tenant, const Share& before, const Share& after);
     void expire(Tenant& tenant, Time now);
     void end_other_lives(const HolderId& living);
-    LentLease lend(Tenant& tenant, Share& share, const HeldLease& asked, Time now);
+    LeaseGrant lend(Tenant& tenant, Share& share, const LeaseStatus& asked, Time now);
     double reserve_for(const Tenant& tenant, const Share& share, Time now) const;
     bool limit_binds(const Tenant& tenant, Time now) const;
     static std::optional<std::string> violated_budget(const std::string& name, const Tenant& tenant);
--- a/src/leases/configuration_lease.cpp
+++ b/src/leases/configuration_lease.cpp
@@ -26,11 +26,11 @@
     next_ask_ = long_ago;
 }
 
-std::optional<ConfigurationLeaseAsk> ConfigurationLease::ask(Time now) {
+std::optional<ConfigurationLeaseRequest> ConfigurationLease::next_request(Time now) {
     if (!length_ || now < next_ask_) return {};
     next_ask_ = now + *length_ * (1 / asks_in_a_lease);
     push_bounded(asks_, {++numbers_, now});
-    return ConfigurationLeaseAsk{numbers_};
+    return ConfigurationLeaseRequest{numbers_};
 }
 
 void ConfigurationLease::apply(const ConfigurationLeaseReply& reply) {
@@ -42,7 +42,7 @@
     renew();
 }
 
-void ConfigurationLease::configured(uint64_t version) {
+void ConfigurationLease::set_version(uint64_t version) {
     version_ = std::max(version_, version);
     renew();
 }
--- a/src/leases/configuration_lease.hpp
+++ b/src/leases/configuration_lease.hpp
@@ -17,9 +17,9 @@
 
 namespace myrtleroute::leases {
 
-struct ConfigurationLeaseAsk {
+struct ConfigurationLeaseRequest {
     uint64_t number = 0;   // rises with each ask of one life of a proxy
-    bool operator==(const ConfigurationLeaseAsk&) const = default;
+    bool operator==(const ConfigurationLeaseRequest&) const = default;
 };
 
 // No newer configuration than that version had been acknowledged when the ask was sent.
@@ -38,9 +38,9 @@
     // Asks that were sent on an earlier connection get no reply; on a new one the next is due at once.
     void connected();
     // The next ask, where one is due; it counts as sent now.
-    std::optional<ConfigurationLeaseAsk> ask(Time now);
+    std::optional<ConfigurationLeaseRequest> next_request(Time now);
     void apply(const ConfigurationLeaseReply& reply);
-    void configured(uint64_t version);   // requests are decided by this version from now on
+    void set_version(uint64_t version);   // requests are decided by this version from now on
 
     // `now` is read from the clock after whatever may have held the process up.
     bool is_valid(Time now) const { return !length_ || now - began_ < *length_; }
--- a/src/leases/holder.cpp
+++ b/src/leases/holder.cpp
@@ -34,21 +34,21 @@
 
 void Holder::gain(double& into, double units) {
     into += units;
-    totals_.got += units;
+    totals_.received += units;
 }
 
 void Holder::settle(Lease& lease, Time now) {
     if (now >= lease.held_until) lease.held = 0;
     const auto from = std::max(lease.gathered_at, lease.gather_from);
     const auto until = std::min(now, lease.gather_until);
-    if (until > from && lease.lent.reserve > 0) {
-        const double room = std::max(0.0, lease.lent.gathered - lease.gathered);
-        gain(lease.gathered, std::min(room, lease.lent.reserve * (until - from).s));
+    if (until > from && lease.lent.reserve_rate > 0) {
+        const double room = std::max(0.0, lease.lent.reserve_cap - lease.gathered);
+        gain(lease.gathered, std::min(room, lease.lent.reserve_rate * (until - from).s));
     }
     lease.gathered_at = now;
     if (now < lease.gather_until) return;
     lease.gathered = 0;
-    lease.lent.reserve = lease.lent.gathered = 0;
+    lease.lent.reserve_rate = lease.lent.reserve_cap = 0;
 }
 
 void Holder::use(Lease& lease, double cost, Time now) {
@@ -80,9 +80,9 @@
         const Span allocator = std::max(replied_, started_) + allocator_within - now;
         retry_after = std::clamp(allocator, soon, late);
         const double lacking = cost - lease.usable();
-        if (lease.lent.reserve > 0 && lacking <= lease.lent.gathered) {
+        if (lease.lent.reserve_rate > 0 && lacking <= lease.lent.reserve_cap) {
             const Span begins = std::max(Span{}, lease.gather_from - now);
-            retry_after = std::min(retry_after, std::max(soon, begins + Span{lacking / lease.lent.reserve}));
+            retry_after = std::min(retry_after, std::max(soon, begins + Span{lacking / lease.lent.reserve_rate}));
         }
     } else {
         retry_after = lease.lent.overload > hopeless ? late : shortage;
@@ -90,13 +90,13 @@
     return {Verdict::refused, cause, retry_after};
 }
 
-std::optional<Holder::Standing> Holder::standing(const std::string& tenant) const {
+std::optional<Holder::TenantStatus> Holder::tenant_status(const std::string& tenant) const {
     const auto known = leases_.find(tenant);
     if (known == leases_.end()) return {};
-    return Standing{known->second.usable(), known->second.lent.overload};
+    return TenantStatus{known->second.usable(), known->second.lent.overload};
 }
 
-Decision Holder::request(const std::string& tenant, double cost, uint64_t ticket, Span patience, Time now) {
+Decision Holder::acquire(const std::string& tenant, double cost, uint64_t ticket, Span patience, Time now) {
     if (leases_.size() >= most_tenants && !leases_.count(tenant))
         return {Verdict::refused, RefusalCause::no_room, late};
     auto& lease = leases_[tenant];
@@ -119,10 +119,10 @@
     lease.changed = true;
     ++waiting_count_;
     find_next_deadline();
-    return {Verdict::waits, {}, {}};
+    return {Verdict::waiting, {}, {}};
 }
 
-void Holder::withdraw(uint64_t ticket) {
+void Holder::cancel(uint64_t ticket) {
     for (auto& [name, lease] : leases_)
         waiting_count_ -= std::erase_if(lease.waiting, [&](const auto& waiting) { return waiting.ticket == ticket; });
     find_next_deadline();
@@ -160,34 +160,34 @@
     find_next_deadline();
 }
 
-HeldLease Holder::report(Lease& lease, Time now) {
+LeaseStatus Holder::report(Lease& lease, Time now) {
     settle(lease, now);
     note_asked(lease, 0, now);
-    HeldLease told;
-    told.asked = lease.asked;
+    LeaseStatus told;
+    told.demand = lease.asked;
     double needed = -lease.usable();
     for (auto& waiting : lease.waiting) {
         needed += waiting.cost;
         waiting.asked_with = number_;
     }
     told.needed = std::max(0.0, needed);
-    if (!lease.waiting.empty()) told.needed_first = std::max(0.0, lease.waiting.front().cost - lease.usable());
+    if (!lease.waiting.empty()) told.needed_by_first = std::max(0.0, lease.waiting.front().cost - lease.usable());
     if (lease.waiting.empty() && applied_ > 0 && lease.held > much_more * lease.lent.target) {
         told.returned = lease.held - lease.lent.target;
         lease.held -= told.returned;
-        totals_.got -= told.returned;
+        totals_.received -= told.returned;
     }
     told.held = lease.held;
-    told.reserve = lease.lent.reserve;
-    told.unused = (now - std::max(started_, lease.used_at)).s;
+    told.reserve_rate = lease.lent.reserve_rate;
+    told.idle = (now - std::max(started_, lease.used_at)).s;
     lease.changed = false;
     return told;
 }
 
-std::optional<LeaseAsk> Holder::ask(Time now) {
+std::optional<LeaseRequest> Holder::next_request(Time now) {
     if (!connected_) return {};
     std::erase_if(leases_, [&](const auto& known) {
-        return known.second.waiting.empty() && now - known.second.requested_at > terms_.remembered;
+        return known.second.waiting.empty() && now - known.second.requested_at > terms_.tenant_retention;
     });
     bool urgent = false, changed = false;
     for (const auto& [name, lease] : leases_) {
@@ -203,7 +203,7 @@
     if (ask_at_once_ && now - last_ask_ < hurry_every) return {};
     if (!urgent && !ask_at_once_ && now - last_ask_ < (changed ? ask_every : ask_unchanged)) return {};
     ask_at_once_ = false;
-    LeaseAsk ask{id_, ++number_, applied_, applied_term_, (now - started_).s, {}};
+    LeaseRequest ask{id_, ++number_, applied_, applied_term_, (now - started_).s, {}};
     for (auto& [name, lease] : leases_) ask.tenants[name] = report(lease, now);
     asked_for_waiting_ = has_waiting();
     if (asked_at_ > long_ago) reply_within_ = std::min(reply_within_ * longer, most_reply_within);
@@ -221,23 +221,23 @@
     reply_within_ = std::clamp((now - sent) * 2, first_reply_within, most_reply_within);
     unanswered_since_ = long_ago;
     applied_term_ = reply.term;
-    ask_at_once_ = reply.confirm;
+    ask_at_once_ = reply.request_again;
     for (const auto& [name, lent] : reply.tenants) {
         const auto known = leases_.find(name);
         if (known == leases_.end()) continue;
         auto& lease = known->second;
         lease.lent = lent;
-        lease.gathered = std::min(lease.gathered, lent.gathered);
+        lease.gathered = std::min(lease.gathered, lent.reserve_cap);
         // What was held before is held on: the ask has named it.
-        lease.held_until = sent + terms_.lent;
-        lease.gather_from = now + terms_.pooled;
-        lease.gather_until = sent + terms_.reserve;
+        lease.held_until = sent + terms_.grant_duration;
+        lease.gather_from = now + terms_.reserve_delay;
+        lease.gather_until = sent + terms_.reserve_duration;
         if (now < lease.held_until) gain(lease.held, lent.granted);
     }
     for (auto& [name, lease] : leases_) {
         if (lease.waiting.empty()) continue;
-        decide_waiting(lease, !reply.confirm, now);
-        if (reply.confirm)
+        decide_waiting(lease, !reply.request_again, now);
+        if (reply.request_again)
             for (auto& waiting : lease.waiting) waiting.asked_with = 0;   // it is to be named again
     }
     find_next_deadline();
--- a/src/leases/holder.hpp
+++ b/src/leases/holder.hpp
@@ -18,7 +18,7 @@
 
 enum class Verdict {
     granted,
-    waits,   // `take_decided` tells later
+    waiting,   // `take_decided` tells later
     refused,
 };
 
@@ -36,16 +36,16 @@
 
     // A request that costs so many units. `ticket` names it in what `take_decided` returns; it waits for units no longer
     // than `patience`.
-    Decision request(const std::string& tenant, double cost, uint64_t ticket, Span patience, Time now);
-    void withdraw(uint64_t ticket);   // a request that waits no longer
+    Decision acquire(const std::string& tenant, double cost, uint64_t ticket, Span patience, Time now);
+    void cancel(uint64_t ticket);   // a request that waits no longer
 
     // Whether there is a connection on which asks can be sent. Where it ends, the ask under way gets no reply.
     void connected(bool is_up);
     // There may be another allocator, or it wants to hear again: the next ask is due.
-    void hurry() { ask_at_once_ = true; }
-    bool hurries() const { return ask_at_once_; }
+    void expedite() { ask_at_once_ = true; }
+    bool is_expedited() const { return ask_at_once_; }
     // The next ask, where one is due. It counts as sent: at most one is under way.
-    std::optional<LeaseAsk> ask(Time now);
+    std::optional<LeaseRequest> next_request(Time now);
     void apply(const LeaseReply& reply, Time now);
     void tick(Time now);   // decides what has waited for too long; several times a second
 
@@ -55,20 +55,20 @@
     };
     std::vector<Decided> take_decided() { return std::exchange(decided_, {}); }
     bool has_waiting() const { return waiting_count_ > 0; }
-    Time waits_until() const { return waits_until_; }   // when the next of those that wait is given up
+    Time next_deadline() const { return waits_until_; }   // when the next of those that wait is given up
 
     // Everything that was ever got and used, in units; used is never more.
     struct Totals {
-        double got = 0, used = 0;
+        double received = 0, used = 0;
     };
     const Totals& totals() const { return totals_; }
     // Of one tenant, as of the last request or reply; nothing where nothing is known of it.
-    struct Standing {
+    struct TenantStatus {
         double held = 0;       // units that may be used
         double overload = 0;   // what all proxies are asked for, as a multiple of the limit
     };
-    std::optional<Standing> standing(const std::string& tenant) const;
-    Time replied() const { return replied_; }   // when the allocator's last reply came
+    std::optional<TenantStatus> tenant_status(const std::string& tenant) const;
+    Time last_reply() const { return replied_; }   // when the allocator's last reply came
 
 private:
     static constexpr Span first_reply_within{0.15};
@@ -83,7 +83,7 @@
         Time averaged_at = long_ago, requested_at = long_ago, used_at = long_ago;
         double held = 0, gathered = 0;   // units: lent, and got of the reserve
         Time gathered_at = long_ago;
-        LentLease lent;   // as it was told last
+        LeaseGrant lent;   // as it was told last
         // When what was lent ends, and from when to when the reserve is this holder's own. Only a reply that names the
         // tenant moves these: the allocator counts nothing else.
         Time held_until = long_ago, gather_from = long_ago, gather_until = long_ago;
@@ -98,7 +98,7 @@
     bool may_be_answered(Time now) const;
     Decision refusal(const Lease& lease, double cost, RefusalCause cause, Time now) const;
     void decide_waiting(Lease& lease, bool replied, Time now);
-    HeldLease report(Lease& lease, Time now);
+    LeaseStatus report(Lease& lease, Time now);
     void find_next_deadline();
 
     HolderId id_;
--- a/src/leases/limit.hpp
+++ b/src/leases/limit.hpp
@@ -20,23 +20,23 @@
 
 // What the deployment tolerates beyond a limit, and in which window it is counted.
 struct LimitRule {
-    double slack = 0;   // units that all proxies together may use beyond it
-    double over = 0;    // share beyond it
+    double slack = 0;          // units that all proxies together may use beyond it
+    double excess_ratio = 0;   // share beyond it
     Span window{8};
 };
 
 // The parts of the allowance, in units. They add up to `depth`.
 struct Budget {
-    double fill = 0;    // a second: how fast units come into being
-    double depth = 0;   // most units that wait anywhere
-
-    double pool() const { return depth * 0.75; }           // at the allocator and lent out, together
-    double lent() const { return pool(); }                 // lent out: the most
-    double lent_usually() const { return depth * 0.45; }   // lent out to be had without asking
-    double debt() const { return depth * 0.05; }           // lent ahead of the fill, for single large requests
-    double isolated() const { return depth * 0.2; }        // gathered by proxies that are out of touch, together
+    double fill_rate = 0;   // a second: how fast units come into being
+    double depth = 0;       // most units that wait anywhere
+
+    double pool() const { return depth * 0.75; }             // at the allocator and lent out, together
+    double max_granted() const { return pool(); }            // lent out: the most
+    double usual_granted() const { return depth * 0.45; }    // lent out to be had without asking
+    double debt() const { return depth * 0.05; }             // lent ahead of the fill, for single large requests
+    double max_accumulated() const { return depth * 0.2; }   // gathered by proxies that are out of touch, together
     // Of the fill: what proxies out of touch make use of by themselves, at the most, all of them together.
-    double reserved_fill() const { return fill * 0.5; }
+    double reserved_rate() const { return fill_rate * 0.5; }
 };
 
 inline Budget budget_of(const Limit& limit, const LimitRule& rule) {
@@ -45,12 +45,12 @@
     constexpr double least_depth = 0.15;   // of the allowance
     constexpr double useful_depth = 3;     // seconds of the rate
     const double window = std::max(rule.window.s, 1e-3);
-    const double allowance = (limit.rate * window + limit.burst) * (1 + rule.over) + rule.slack;
+    const double allowance = (limit.rate * window + limit.burst) * (1 + rule.excess_ratio) + rule.slack;
     const double beyond = allowance - limit.rate * window;
     const double spare = std::max(0.0, beyond - useful_depth * limit.rate);
     Budget budget;
     budget.depth = std::max(beyond - spare / 2, least_depth * allowance);
-    budget.fill = (allowance - budget.depth) / window;
+    budget.fill_rate = (allowance - budget.depth) / window;
     return budget;
 }
 
--- a/src/messages/messages.cpp
+++ b/src/messages/messages.cpp
@@ -64,13 +64,13 @@
 void from_json(const Json& j, RouteEvidence& e) {
     j.at(0).get_to(e.route), j.at(1).get_to(e.serving), j.at(2).get_to(e.candidates);
 }
-void to_json(Json& j, const Ballot& b) {
-    j = {{"node", b.node},       {"zone", b.zone}, {"life", b.life},   {"sequence", b.sequence},
-         {"rollout", b.rollout}, {"age", b.age},   {"stage", b.stage}, {"open", b.open_at_serving},
+void to_json(Json& j, const RolloutReport& b) {
+    j = {{"node", b.node},       {"zone", b.zone}, {"life", b.incarnation}, {"sequence", b.sequence},
+         {"rollout", b.rollout}, {"age", b.age},   {"stage", b.stage},      {"open", b.open_at_serving},
          {"routes", b.routes}};
 }
-void from_json(const Json& j, Ballot& b) {
-    j.at("node").get_to(b.node), j.at("zone").get_to(b.zone), j.at("life").get_to(b.life);
+void from_json(const Json& j, RolloutReport& b) {
+    j.at("node").get_to(b.node), j.at("zone").get_to(b.zone), j.at("life").get_to(b.incarnation);
     j.at("sequence").get_to(b.sequence), j.at("rollout").get_to(b.rollout), j.at("age").get_to(b.age);
     j.at("stage").get_to(b.stage), j.at("open").get_to(b.open_at_serving), j.at("routes").get_to(b.routes);
 }
@@ -110,33 +110,37 @@
     if (j.contains("voted_for")) h.voted_for = j.at("voted_for").get<ReplicaId>();
 }
 void to_json(Json& j, const VoteRequest& m) {
-    j = {{"trial", m.trial}, {"term", m.term}, {"last", m.last}, {"transfer", m.transfer}};
+    j = {{"trial", m.pre_vote}, {"term", m.term}, {"last", m.last}, {"transfer", m.transfer}};
 }
 void from_json(const Json& j, VoteRequest& m) {
-    j.at("trial").get_to(m.trial), j.at("term").get_to(m.term);
+    j.at("trial").get_to(m.pre_vote), j.at("term").get_to(m.term);
     j.at("last").get_to(m.last), j.at("transfer").get_to(m.transfer);
 }
 void to_json(Json& j, const VoteReply& m) {
-    j = {{"trial", m.trial}, {"term", m.term}, {"granted", m.granted}, {"quiet", m.quiet}};
+    j = {{"trial", m.pre_vote}, {"term", m.term}, {"granted", m.granted}, {"quiet", m.leaderless}};
 }
 void from_json(const Json& j, VoteReply& m) {
-    j.at("trial").get_to(m.trial), j.at("term").get_to(m.term);
-    j.at("granted").get_to(m.granted), j.at("quiet").get_to(m.quiet);
+    j.at("trial").get_to(m.pre_vote), j.at("term").get_to(m.term);
+    j.at("granted").get_to(m.granted), j.at("quiet").get_to(m.leaderless);
 }
 void to_json(Json& j, const Append& m) {
-    j = {{"term", m.term},     {"round", m.round},           {"last", m.last},
-         {"commit", m.commit}, {"everywhere", m.everywhere}, {"answered", m.answered}};
+    j = {{"term", m.term},
+         {"round", m.round},
+         {"last", m.last},
+         {"commit", m.commit},
+         {"everywhere", m.fully_replicated},
+         {"answered", m.acknowledged_round}};
     if (m.state) j["state"] = *m.state;
 }
 void from_json(const Json& j, Append& m) {
     j.at("term").get_to(m.term), j.at("round").get_to(m.round);
     j.at("last").get_to(m.last), j.at("commit").get_to(m.commit);
-    j.at("everywhere").get_to(m.everywhere), j.at("answered").get_to(m.answered);
+    j.at("everywhere").get_to(m.fully_replicated), j.at("answered").get_to(m.acknowledged_round);
     if (j.contains("state")) m.state = j.at("state").get<ClusterState>();
 }
-void to_json(Json& j, const AppendReply& m) { j = {{"term", m.term}, {"round", m.round}, {"held", m.held}}; }
+void to_json(Json& j, const AppendReply& m) { j = {{"term", m.term}, {"round", m.round}, {"held", m.persisted}}; }
 void from_json(const Json& j, AppendReply& m) {
-    j.at("term").get_to(m.term), j.at("round").get_to(m.round), j.at("held").get_to(m.held);
+    j.at("term").get_to(m.term), j.at("round").get_to(m.round), j.at("held").get_to(m.persisted);
 }
 void to_json(Json& j, const TransferLeadership& m) { j = {{"term", m.term}}; }
 void from_json(const Json& j, TransferLeadership& m) { j.at("term").get_to(m.term); }
@@ -144,11 +148,11 @@
 void from_json(const Json& j, Departure& m) { j.at("term").get_to(m.term); }
 void to_json(Json& j, const ReadRequest& m) {
     j = {{"term", m.term}, {"number", m.number}};
-    if (m.patient) j["patient"] = true;
+    if (m.can_wait) j["patient"] = true;
 }
 void from_json(const Json& j, ReadRequest& m) {
     j.at("term").get_to(m.term), j.at("number").get_to(m.number);
-    m.patient = j.value("patient", false);
+    m.can_wait = j.value("patient", false);
 }
 void to_json(Json& j, const ReadReply& m) { j = {{"term", m.term}, {"number", m.number}, {"index", m.index}}; }
 void from_json(const Json& j, ReadReply& m) {
@@ -192,44 +196,48 @@
 
 }   // namespace
 
-void to_json(Json& j, const HolderId& h) { j = Json::array({h.node, h.life}); }
-void from_json(const Json& j, HolderId& h) { j.at(0).get_to(h.node), j.at(1).get_to(h.life); }
-void to_json(Json& j, const HeldLease& l) {
-    j = Json::array({rounded_up(l.asked), rounded_up(l.held), rounded_down(l.returned), rounded_up(l.needed),
-                     rounded_up(l.needed_first), rounded_up(l.reserve), rounded_down(l.unused)});
+void to_json(Json& j, const HolderId& h) { j = Json::array({h.node, h.incarnation}); }
+void from_json(const Json& j, HolderId& h) { j.at(0).get_to(h.node), j.at(1).get_to(h.incarnation); }
+void to_json(Json& j, const LeaseStatus& l) {
+    j = Json::array({rounded_up(l.demand), rounded_up(l.held), rounded_down(l.returned), rounded_up(l.needed),
+                     rounded_up(l.needed_by_first), rounded_up(l.reserve_rate), rounded_down(l.idle)});
 }
-void from_json(const Json& j, HeldLease& l) {
-    j.at(0).get_to(l.asked), j.at(1).get_to(l.held), j.at(2).get_to(l.returned);
-    j.at(3).get_to(l.needed), j.at(4).get_to(l.needed_first);
-    j.at(5).get_to(l.reserve), j.at(6).get_to(l.unused);
+void from_json(const Json& j, LeaseStatus& l) {
+    j.at(0).get_to(l.demand), j.at(1).get_to(l.held), j.at(2).get_to(l.returned);
+    j.at(3).get_to(l.needed), j.at(4).get_to(l.needed_by_first);
+    j.at(5).get_to(l.reserve_rate), j.at(6).get_to(l.idle);
 }
-void to_json(Json& j, const LentLease& l) {
+void to_json(Json& j, const LeaseGrant& l) {
     j = Json::array({rounded_down(l.granted), rounded_down(l.target), rounded_down(l.threshold),
-                     rounded_down(l.reserve), rounded_down(l.gathered), std::round(l.overload * 100) / 100});
+                     rounded_down(l.reserve_rate), rounded_down(l.reserve_cap), std::round(l.overload * 100) / 100});
 }
-void from_json(const Json& j, LentLease& l) {
+void from_json(const Json& j, LeaseGrant& l) {
     j.at(0).get_to(l.granted), j.at(1).get_to(l.target), j.at(2).get_to(l.threshold);
-    j.at(3).get_to(l.reserve), j.at(4).get_to(l.gathered), j.at(5).get_to(l.overload);
+    j.at(3).get_to(l.reserve_rate), j.at(4).get_to(l.reserve_cap), j.at(5).get_to(l.overload);
 }
-void to_json(Json& j, const LeaseAsk& m) {
+void to_json(Json& j, const LeaseRequest& m) {
     j = {{"holder", m.holder},         {"number", m.number},  {"applied", m.applied}, {"applied_term", m.applied_term},
          {"age", rounded_down(m.age)}, {"tenants", m.tenants}};
 }
-void from_json(const Json& j, LeaseAsk& m) {
+void from_json(const Json& j, LeaseRequest& m) {
     j.at("holder").get_to(m.holder), j.at("number").get_to(m.number);
     j.at("applied").get_to(m.applied), j.at("applied_term").get_to(m.applied_term), j.at("age").get_to(m.age),
         j.at("tenants").get_to(m.tenants);
 }
 void to_json(Json& j, const LeaseReply& m) {
-    j = {{"holder", m.holder}, {"number", m.number}, {"term", m.term}, {"confirm", m.confirm}, {"tenants", m.tenants}};
+    j = {{"holder", m.holder},
+         {"number", m.number},
+         {"term", m.term},
+         {"confirm", m.request_again},
+         {"tenants", m.tenants}};
 }
 void from_json(const Json& j, LeaseReply& m) {
     j.at("holder").get_to(m.holder), j.at("number").get_to(m.number), j.at("term").get_to(m.term);
-    j.at("confirm").get_to(m.confirm), j.at("tenants").get_to(m.tenants);
+    j.at("confirm").get_to(m.request_again), j.at("tenants").get_to(m.tenants);
 }
 
-void to_json(Json& j, const ConfigurationLeaseAsk& m) { j = {{"number", m.number}}; }
-void from_json(const Json& j, ConfigurationLeaseAsk& m) { j.at("number").get_to(m.number); }
+void to_json(Json& j, const ConfigurationLeaseRequest& m) { j = {{"number", m.number}}; }
+void from_json(const Json& j, ConfigurationLeaseRequest& m) { j.at("number").get_to(m.number); }
 void to_json(Json& j, const ConfigurationLeaseReply& m) { j = {{"number", m.number}, {"version", m.version}}; }
 void from_json(const Json& j, ConfigurationLeaseReply& m) {
     j.at("number").get_to(m.number), j.at("version").get_to(m.version);
@@ -262,14 +270,14 @@
 MYRTLEROUTE_KIND(HostsHeard, "hosts_heard");
 MYRTLEROUTE_KIND(ProxiesTold, "proxies");
 MYRTLEROUTE_KIND(Subscribe, "subscribe");
-MYRTLEROUTE_KIND(leases::LeaseAsk, "lease_ask");
+MYRTLEROUTE_KIND(leases::LeaseRequest, "lease_ask");
 MYRTLEROUTE_KIND(leases::LeaseReply, "lease_reply");
-MYRTLEROUTE_KIND(leases::ConfigurationLeaseAsk, "configuration_lease_ask");
+MYRTLEROUTE_KIND(leases::ConfigurationLeaseRequest, "configuration_lease_ask");
 MYRTLEROUTE_KIND(leases::ConfigurationLeaseReply, "configuration_lease");
 MYRTLEROUTE_KIND(ConfigurationTold, "configuration");
 MYRTLEROUTE_KIND(FleetTold, "fleet");
 MYRTLEROUTE_KIND(RolloutsTold, "rollouts");
-MYRTLEROUTE_KIND(rollout::Ballot, "ballot");
+MYRTLEROUTE_KIND(rollout::RolloutReport, "ballot");
 #undef MYRTLEROUTE_KIND
 
 // Reads the alternative whose name is `kind`.
--- a/src/messages/messages.hpp
+++ b/src/messages/messages.hpp
@@ -13,7 +13,7 @@
 #include "leases/configuration_lease.hpp"
 #include "leases/lease.hpp"
 #include "registry/host_table.hpp"
-#include "rollout/ballot.hpp"
+#include "rollout/report.hpp"
 #include "rollout/rollout.hpp"
 
 namespace myrtleroute::messages {
@@ -93,8 +93,8 @@
 // back, and so do ballots.
 using Message =
     std::variant<PeerHello, ConsensusMessage, HostsTold, HostsConfirmed, HostsHeard, ProxiesTold, Subscribe,
-                 leases::LeaseAsk, leases::LeaseReply, leases::ConfigurationLeaseAsk, leases::ConfigurationLeaseReply,
-                 ConfigurationTold, FleetTold, RolloutsTold, rollout::Ballot>;
+                 leases::LeaseRequest, leases::LeaseReply, leases::ConfigurationLeaseRequest,
+                 leases::ConfigurationLeaseReply, ConfigurationTold, FleetTold, RolloutsTold, rollout::RolloutReport>;
 
 std::string encode(const Message& message);             // the JSON, without a frame
 std::optional<Message> decode(std::string_view json);   // nothing where it is no sound message
--- a/src/registry/host_table.cpp
+++ b/src/registry/host_table.cpp
@@ -34,8 +34,8 @@
     return true;
 }
 
-void HostTable::remember(const Host& host, Time now) {
-    const Time heard = now - options_.lost_after + options_.confirmed_within;
+void HostTable::restore(const Host& host, Time now) {
+    const Time heard = now - options_.lost_after + options_.restored_timeout;
     hosts_.try_emplace(host.id, Known{host, heard, host.state == HostState::draining});
 }
 
@@ -51,7 +51,7 @@
     return true;
 }
 
-void HostTable::excuse(Span span) {
+void HostTable::extend_deadlines(Span span) {
     for (auto& [id, known] : hosts_) known.heard = known.heard + span;
 }
 
@@ -62,7 +62,7 @@
         const Span silent = now - known.heard;
         const bool away = known.host.state == HostState::gone || known.host.state == HostState::lost;
         if (!away && silent > options_.lost_after && lose(known, known.host.sequence)) changed.push_back(known.host);
-        it = away && silent > options_.remembered ? hosts_.erase(it) : std::next(it);
+        it = away && silent > options_.retention ? hosts_.erase(it) : std::next(it);
     }
     return changed;
 }
@@ -78,7 +78,7 @@
 }
 
 void HostTable::make_room() {
-    if (hosts_.size() < options_.most_hosts) return;
+    if (hosts_.size() < options_.max_hosts) return;
     const auto gone = std::find_if(hosts_.begin(), hosts_.end(),
                                    [](const auto& known) { return known.second.host.state == HostState::gone; });
     hosts_.erase(gone == hosts_.end() ? hosts_.begin() : gone);
--- a/src/registry/host_table.hpp
+++ b/src/registry/host_table.hpp
@@ -28,9 +28,9 @@
 
 struct HostTableOptions {
     Span lost_after{4.5};         // no heartbeat for so long: taken for crashed
-    Span confirmed_within{2.4};   // a host known from before a restart is taken for gone after this
-    Span remembered{60};          // what is gone is kept for so long, so that late heartbeats don't revive it
-    size_t most_hosts = 20000;    // of which those that are gone give way first
+    Span restored_timeout{2.4};   // a host known from before a restart is taken for gone after this
+    Span retention{60};           // what is gone is kept for so long, so that late heartbeats don't revive it
+    size_t max_hosts = 20000;     // of which those that are gone give way first
 };
 
 class HostTable {
@@ -40,11 +40,11 @@
     // Takes what is told of a host, by itself or by another table. True: something changed that others must know.
     bool merge(const Host& told, Time now);
     // A host as it was known before a restart; it must be heard of sooner than others to stay.
-    void remember(const Host& host, Time now);
+    void restore(const Host& host, Time now);
     // Another table has heard this heartbeat. True: the host was lost and is back.
     bool refresh(const std::string& id, uint64_t sequence, Time now);
     // Time has passed in which no heartbeats could be heard; nobody is taken for crashed because of it.
-    void excuse(Span span);
+    void extend_deadlines(Span span);
     // Hosts that are lost from now on, and those whose address another one has taken.
     std::vector<Host> expire(Time now);
 
--- a/src/roles/control/host_service.cpp
+++ b/src/roles/control/host_service.cpp
@@ -105,7 +105,7 @@
 }
 
 void HostService::remember(const std::vector<Host>& hosts, Time now) {
-    for (const auto& host : hosts) table_.remember(host, now);
+    for (const auto& host : hosts) table_.restore(host, now);
 }
 
 void HostService::told(const consensus::ReplicaId& by, const messages::HostsTold& hosts, Time now) {
@@ -139,10 +139,10 @@
 
 void HostService::tick(Time now, bool current) {
     const Span pause = now - last_tick_;
-    if (pause > longest_tick && last_tick_ > long_ago) table_.excuse(pause);
+    if (pause > longest_tick && last_tick_ > long_ago) table_.extend_deadlines(pause);
     last_tick_ = now;
     // Out of touch with the others, this node misses what they hear: nobody is taken for crashed then.
-    if (!current) table_.excuse(std::min(pause, longest_tick));
+    if (!current) table_.extend_deadlines(std::min(pause, longest_tick));
     if (const auto lost = table_.expire(now); !lost.empty()) spread_.tell_subscribers(lost);
     for (auto it = unconfirmed_.begin(); it != unconfirmed_.end();) {
         const bool late = now > it->second.until;
--- a/src/roles/control/lending_service.cpp
+++ b/src/roles/control/lending_service.cpp
@@ -35,8 +35,9 @@
 }
 
 bool LendingService::may_lend(Time now) const {
-    if (!replica_.leads_with_answers_within(terms_.authority, now) || reign_.term != replica_.term()) return false;
-    const Span left = terms_.authority + terms_.takeover_margin - replica_.quiet_before_election();
+    if (!replica_.leads_with_quorum_within(terms_.authority_duration, now) || reign_.term != replica_.term())
+        return false;
+    const Span left = terms_.authority_duration + terms_.takeover_margin - replica_.leaderless_before_election();
     return now >= reign_.since + std::max(Span{}, left);
 }
 
@@ -44,7 +45,7 @@
     follow_leadership(now);
     if (!may_lend(now)) return;
     if (!lends_ && !is_settled()) return;   // what earlier leaders have committed is not known for sure
-    if (configuration_) allocator_.limits(limits_of(std::exchange(configuration_, std::nullopt)->text()), now);
+    if (configuration_) allocator_.set_limits(limits_of(std::exchange(configuration_, std::nullopt)->text()), now);
     if (!lends_) {
         lends_ = true;
         lends_since_ = now;
@@ -57,14 +58,14 @@
     note_violation(allocator_.violated_invariant());
 }
 
-std::optional<leases::LeaseReply> LendingService::ask(const leases::LeaseAsk& ask, Time now) {
+std::optional<leases::LeaseReply> LendingService::ask(const leases::LeaseRequest& ask, Time now) {
     if (!lends_ || !may_lend(now)) return {};
     if (!allocator_.is_admitted(ask.holder.node) && applicants_.size() < most_nodes) {
         applicants_.insert(ask.holder.node);
         change_nodes(now);
     }
     if (allocator_.is_full_for(ask.holder)) ++bounds_.lease_holders;
-    auto reply = allocator_.ask(ask, now);
+    auto reply = allocator_.handle(ask, now);
     note_violation(allocator_.violated_by(ask));   // all that it may have changed; the rest is looked at in ticks
     return reply;
 }
@@ -89,8 +90,9 @@
     auto nodes = committed_nodes();
     allocator_.admit(nodes);
     std::erase_if(applicants_, [&](const auto& node) { return nodes.count(node) > 0; });
-    std::erase_if(nodes,
-                  [&](const auto& node) { return now - allocator_.heard(node).value_or(lends_since_) > forgotten; });
+    std::erase_if(nodes, [&](const auto& node) {
+        return now - allocator_.last_request(node).value_or(lends_since_) > forgotten;
+    });
     for (const auto& node : applicants_)
         if (nodes.size() < most_nodes)
             nodes.insert(node);
--- a/src/roles/control/lending_service.hpp
+++ b/src/roles/control/lending_service.hpp
@@ -25,7 +25,7 @@
     void configured(const PackedText& body);
     void tick(Time now);
     // Nothing where this node does not lend, or the ask is an old one.
-    std::optional<leases::LeaseReply> ask(const leases::LeaseAsk& ask, Time now);
+    std::optional<leases::LeaseReply> ask(const leases::LeaseRequest& ask, Time now);
 
     bool lends() const { return lends_; }
     // Of the allocator's invariant, since the start.
--- a/src/roles/control/node.cpp
+++ b/src/roles/control/node.cpp
@@ -158,13 +158,13 @@
 
 void Node::received(LinkNumber link, const messages::Message& message, Time now) {
     if (const auto from = links_.find(link); from != links_.end())
-        replica_.met(from->second.replica, from->second.may_vote, now);
+        replica_.peer_reachable(from->second.replica, from->second.may_vote, now);
     std::visit([&](const auto& typed) { handle(link, typed, now); }, message);
     carry_out(now);
 }
 
 void Node::link_closed(LinkNumber link, Time now) {
-    if (const auto from = links_.extract(link); !from.empty()) replica_.disconnected(from.mapped().replica, now);
+    if (const auto from = links_.extract(link); !from.empty()) replica_.peer_disconnected(from.mapped().replica, now);
     proxies_.left(link, now);
     end_subscription(link);
 }
@@ -179,7 +179,7 @@
     links_[link] = {hello.replica, hello.node.peer, hello.may_vote};
     known_[hello.node.peer] = hello.node;
     for (const auto& node : hello.known) note_control_node(node);
-    replica_.greeted(hello.replica, hello.may_vote, now);
+    replica_.peer_connected(hello.replica, hello.may_vote, now);
 }
 
 void Node::note_control_node(const messages::ControlNode& node) {
@@ -197,7 +197,7 @@
 void Node::handle(LinkNumber link, const messages::ConsensusMessage& message, Time now) {
     const auto from = links_.find(link);
     if (from == links_.end() || message.to_disk != disk_) return;
-    replica_.received(from->second.replica, message.message, now);
+    replica_.receive(from->second.replica, message.message, now);
 }
 
 void Node::handle(LinkNumber link, const messages::HostsTold& hosts, Time now) {
@@ -250,7 +250,7 @@
     outputs_.push_back(ToLink{link, messages::HostsTold{hosts_.all(), 0, true}});
 }
 
-void Node::handle(LinkNumber link, const leases::ConfigurationLeaseAsk& ask, Time now) {
+void Node::handle(LinkNumber link, const leases::ConfigurationLeaseRequest& ask, Time now) {
     if (!proxies_.is_subscriber(link)) return;
     configuration_leases_.add(link, ask.number, now);
     renew_configuration_leases(now);
@@ -270,7 +270,7 @@
 }
 
 // To the leader, which lends; back by way of the control node that the proxy subscribes to.
-void Node::handle(LinkNumber link, const leases::LeaseAsk& ask, Time now) {
+void Node::handle(LinkNumber link, const leases::LeaseRequest& ask, Time now) {
     const auto from = links_.find(link);
     if (auto reply = lending_.ask(ask, now)) {
         if (from != links_.end())
@@ -298,7 +298,7 @@
 }
 
 // To the leader, which judges.
-void Node::handle(LinkNumber link, const rollout::Ballot& ballot, Time now) {
+void Node::handle(LinkNumber link, const rollout::RolloutReport& ballot, Time now) {
     rollouts_.ballot(ballot, now);
     const bool is_from_proxy = links_.count(link) == 0;
     if (is_from_proxy && replica_.role() != consensus::Role::leader && replica_.leader())
@@ -483,7 +483,7 @@
     carry_out(now);
 }
 
-bool Node::may_leave() const { return replica_.role() != consensus::Role::leader && replica_.is_copied(); }
+bool Node::may_leave() const { return replica_.role() != consensus::Role::leader && replica_.is_fully_replicated(); }
 
 void Node::tick(Time now) {
     replica_.tick(now);
--- a/src/roles/control/node.hpp
+++ b/src/roles/control/node.hpp
@@ -82,14 +82,14 @@
     void handle(LinkNumber link, const messages::HostsHeard& heard, Time now);
     void handle(LinkNumber link, const messages::ProxiesTold& proxies, Time now);
     void handle(LinkNumber link, const messages::Subscribe& subscribe, Time now);
-    void handle(LinkNumber link, const leases::LeaseAsk& ask, Time now);
+    void handle(LinkNumber link, const leases::LeaseRequest& ask, Time now);
     void handle(LinkNumber link, const leases::LeaseReply& reply, Time now);
-    void handle(LinkNumber link, const leases::ConfigurationLeaseAsk& ask, Time now);
+    void handle(LinkNumber link, const leases::ConfigurationLeaseRequest& ask, Time now);
     void handle(LinkNumber, const leases::ConfigurationLeaseReply&, Time) {}   // for proxies only
     void handle(LinkNumber, const messages::ConfigurationTold&, Time) {}
     void handle(LinkNumber, const messages::FleetTold&, Time) {}
     void handle(LinkNumber, const messages::RolloutsTold&, Time) {}
-    void handle(LinkNumber link, const rollout::Ballot& ballot, Time now);
+    void handle(LinkNumber link, const rollout::RolloutReport& ballot, Time now);
 
     void configuration_request(const HttpRequest& request, Time now);
     void rollout_request(const HttpRequest& request, Time now);
@@ -138,7 +138,7 @@
     HostService hosts_;
     LendingService lending_;
     ProxyDirectory proxies_;
-    std::vector<std::pair<LinkNumber, leases::LeaseAsk>> waiting_asks_;   // until this node lends
+    std::vector<std::pair<LinkNumber, leases::LeaseRequest>> waiting_asks_;   // until this node lends
     std::map<Endpoint, messages::ControlNode> known_;   // control nodes, by peer endpoint; not this one
     std::map<LinkNumber, Link> links_;                  // of other control nodes
     uint64_t told_index_ = 0;                           // of the newest committed entry that was looked at whole
--- a/src/roles/control/rollout_service.cpp
+++ b/src/roles/control/rollout_service.cpp
@@ -153,9 +153,9 @@
     return true;
 }
 
-void RolloutService::ballot(const rollout::Ballot& ballot, Time now) {
+void RolloutService::ballot(const rollout::RolloutReport& ballot, Time now) {
     const auto watched = watched_.find(ballot.rollout);
-    if (watched != watched_.end()) watched->second.judge.take(ballot, now);
+    if (watched != watched_.end()) watched->second.judge.add(ballot, now);
 }
 
 bool RolloutService::is_settled() const {
@@ -209,17 +209,17 @@
     const Span elapsed_now = elapsed(watched, now), duration{rollout.duration};
     const auto finding = judge.finding(now);
     if (finding == Finding::bad) return Stage::rolled_back;
-    const bool hears_fleet = 2 * judge.voters() > fleet_.proxies();
+    const bool hears_fleet = 2 * judge.reporting_proxies() > fleet_.proxies();
     if (rollout.stage == Stage::moving) {
         const bool has_moved =
-            now - watched.stage_since >= least_moving && hears_fleet && judge.has_left_serving(Stage::moving, now);
+            now - watched.stage_since >= least_moving && hears_fleet && judge.has_drained_serving(Stage::moving, now);
         const Span margin{std::min(most_margin, margin_part * duration.s)};
         return has_moved || elapsed_now >= duration - margin ? Stage::completed : Stage::moving;
     }
     if (elapsed_now < duration - Span{std::min(most_move, move_part * duration.s)}) return Stage::observing;
     if (finding == Finding::good && hears_fleet && has_room(rollout)) return Stage::moving;
     if (elapsed_now < duration * (1 - undecided_part)) return Stage::observing;
-    const bool may_move = judge.leans_good(least_to_lean) || judge.has_too_little_traffic();
+    const bool may_move = judge.is_probably_good(least_to_lean) || judge.has_too_little_traffic();
     return hears_fleet && may_move && has_room(rollout) ? Stage::moving : Stage::rolled_back;
 }
 
--- a/src/roles/control/rollout_service.hpp
+++ b/src/roles/control/rollout_service.hpp
@@ -36,7 +36,7 @@
     void order(RequestNumber request, const std::string& body, Time now);     // POST /rollouts
     void read(RequestNumber request, const std::string& service, Time now);   // GET /rollouts/SERVICE
 
-    void ballot(const rollout::Ballot& ballot, Time now);
+    void ballot(const rollout::RolloutReport& ballot, Time now);
     // What is committed, at any control node. True: it is newer than what was known.
     bool committed(const rollout::Rollouts& rollouts, Time now);
     const rollout::Rollouts& known() const { return known_; }
--- a/src/roles/control/start.cpp
+++ b/src/roles/control/start.cpp
@@ -14,8 +14,8 @@
     if (settings.advertised_address) control.address = *settings.advertised_address;
     options.self = {peer_endpoint(settings, settings.reached_at()), control, settings.zone};
     for (const auto& seed : settings.seeds) options.seeds.push_back({peer_endpoint(settings, seed.address), seed, ""});
-    options.may_vote = options.replica.counts = settings.counts_for_quorum;
-    options.replica.least_voters = 2 * static_cast<size_t>(settings.tolerated_machines) + 1;
+    options.may_vote = options.replica.counts_for_quorum = settings.counts_for_quorum;
+    options.replica.min_voters = 2 * static_cast<size_t>(settings.tolerated_machines) + 1;
     options.hosts.lost_after = settings.heartbeat * 3.7;
     options.limit_rule = {settings.quota_slack, settings.quota_over, settings.quota_window};
     options.link_megabits = settings.link_megabits;
--- a/src/roles/control/work_report.cpp
+++ b/src/roles/control/work_report.cpp
@@ -22,14 +22,14 @@
     WorkKind operator()(const messages::HostsHeard&) const { return WorkKind::hosts; }
     WorkKind operator()(const messages::ProxiesTold&) const { return WorkKind::proxies; }
     WorkKind operator()(const messages::Subscribe&) const { return WorkKind::subscriptions; }
-    WorkKind operator()(const leases::LeaseAsk&) const { return WorkKind::lease_asks; }
+    WorkKind operator()(const leases::LeaseRequest&) const { return WorkKind::lease_asks; }
     WorkKind operator()(const leases::LeaseReply&) const { return WorkKind::lease_replies; }
-    WorkKind operator()(const leases::ConfigurationLeaseAsk&) const { return WorkKind::subscriptions; }
+    WorkKind operator()(const leases::ConfigurationLeaseRequest&) const { return WorkKind::subscriptions; }
     WorkKind operator()(const leases::ConfigurationLeaseReply&) const { return WorkKind::subscriptions; }
     WorkKind operator()(const messages::ConfigurationTold&) const { return WorkKind::subscriptions; }
     WorkKind operator()(const messages::FleetTold&) const { return WorkKind::subscriptions; }
     WorkKind operator()(const messages::RolloutsTold&) const { return WorkKind::subscriptions; }
-    WorkKind operator()(const rollout::Ballot&) const { return WorkKind::ballots; }
+    WorkKind operator()(const rollout::RolloutReport&) const { return WorkKind::ballots; }
 };
 
 }   // namespace
--- a/src/roles/proxy/admission.cpp
+++ b/src/roles/proxy/admission.cpp
@@ -38,7 +38,7 @@
 
 leases::Decision Admission::decide(const Request& request) {
     if (!request.tenant || request.tenant->rate_per_second <= 0) return {};
-    const auto decision = leases_.request(request.tenant->name, cost_of(request), request.id,
+    const auto decision = leases_.acquire(request.tenant->name, cost_of(request), request.id,
                                           patience_for(*request.route), context_.home.now());
     if (decision.verdict == leases::Verdict::granted) note_granted(request);
     return decision;
@@ -46,19 +46,19 @@
 
 void Admission::note_granted(const Request& request) {
     report_.note_granted(request.tenant->name, cost_of(request));
-    used_units_were_lent_.check(leases_.totals().used <= leases_.totals().got * (1 + rounding), [&] {
-        return std::to_string(leases_.totals().used) + " units used of " + std::to_string(leases_.totals().got);
+    used_units_were_lent_.check(leases_.totals().used <= leases_.totals().received * (1 + rounding), [&] {
+        return std::to_string(leases_.totals().used) + " units used of " + std::to_string(leases_.totals().received);
     });
 }
 
 void Admission::wait() {
     ask();
     if (!leases_.has_waiting() || wakes_at_ > context_.now()) return;
-    wakes_at_ = leases_.waits_until();
+    wakes_at_ = leases_.next_deadline();
     context_.loop.wake(wakes_at_, cookie);
 }
 
-void Admission::withdraw(const Request& request) { leases_.withdraw(request.id); }
+void Admission::withdraw(const Request& request) { leases_.cancel(request.id); }
 
 void Admission::note_refused(const Request& request, const leases::Decision& decision) {
     if (decision.cause == leases::RefusalCause::no_room) without_room_.add();
@@ -74,7 +74,7 @@
 
 void Admission::fleet_told(const messages::FleetTold& told) {
     if (told.current && !control_is_current_) {
-        leases_.hurry();   // there is a leader again
+        leases_.expedite();   // there is a leader again
         ask();
     }
     control_is_current_ = told.current;
@@ -92,8 +92,8 @@
 }
 
 void Admission::ask() {
-    if (const auto ask = leases_.ask(context_.home.now())) events_.ask(*ask);
-    if (leases_.hurries()) context_.loop.wake(context_.now() + hurry_every, cookie);
+    if (const auto ask = leases_.next_request(context_.home.now())) events_.ask(*ask);
+    if (leases_.is_expedited()) context_.loop.wake(context_.now() + hurry_every, cookie);
 }
 
 void Admission::tell_decided() {
@@ -103,7 +103,7 @@
         else
             events_.refused(decided.ticket, decided.decision);
     }
-    if (leases_.has_waiting() || leases_.hurries()) wait();
+    if (leases_.has_waiting() || leases_.is_expedited()) wait();
 }
 
 void Admission::refresh_figures() { report_.refresh(leases_, context_.now()); }
--- a/src/roles/proxy/admission.hpp
+++ b/src/roles/proxy/admission.hpp
@@ -16,7 +16,7 @@
 class Admission {
 public:
     struct Events {
-        std::function<void(const leases::LeaseAsk&)> ask;   // to the control role, where there is a connection
+        std::function<void(const leases::LeaseRequest&)> ask;   // to the control role, where there is a connection
         // What has become of a request that waited.
         std::function<void(CallId)> granted;
         std::function<void(CallId, const leases::Decision&)> refused;
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -109,7 +109,7 @@
 }
 
 Admission::Events Proxy::admission_events() {
-    return {[this](const leases::LeaseAsk& ask) { subscription_.ask(ask); },
+    return {[this](const leases::LeaseRequest& ask) { subscription_.ask(ask); },
             [this](CallId call) {
                 auto* request = requests_.find(call);
                 if (!request) return;
@@ -322,7 +322,7 @@
     const auto& times = request.times[static_cast<size_t>(number)];
     auto* host = hosts_.find(times.host);
     if (!pool || !host) return;
-    rollout::AttemptEnd end;
+    rollout::AttemptResult end;
     end.failed = outcome == Outcome::errored || outcome == Outcome::reset || outcome == Outcome::timed_out;
     end.cancelled = outcome == Outcome::cancelled;
     if (!end.failed && !end.cancelled && outcome != Outcome::fulfilled) return;
@@ -331,10 +331,10 @@
     end.host = host->host.id;
     end.group = pool->is_candidate() ? rollout::Group::candidate : rollout::Group::serving;
     end.loaded = pool->is_candidate() && services_.were_loaded(pool->name(), times.sent);
-    end.total = context_.now() - times.sent;
-    end.pieces = times.pieces;
-    end.between_pieces = times.last_piece - times.first_piece;
-    rollouts_.ended(pool->name(), end);
+    end.duration = context_.now() - times.sent;
+    end.chunks = times.pieces;
+    end.streaming_time = times.last_piece - times.first_piece;
+    rollouts_.record(pool->name(), end);
 }
 
 // The control role.
@@ -353,7 +353,7 @@
     const auto open = [this](const std::string& service) {
         return open_at_serving(service);
     };
-    for (auto& ballot : rollouts_.take_ballots(context_.proxies, open, context_.now()))
+    for (auto& ballot : rollouts_.take_reports(context_.proxies, open, context_.now()))
         subscription_.ask(std::move(ballot));
 }
 
@@ -365,7 +365,7 @@
         return;
     }
     context_.table = std::make_shared<routing::RouteTable>(std::get<configuration::Configuration>(std::move(checked)));
-    configuration_lease_.configured(told.version);
+    configuration_lease_.set_version(told.version);
     admission_.configured();
     services_.configured();
     log_info() << "configuration " << told.version << " is in force";
@@ -373,11 +373,11 @@
 
 void Proxy::ask_for_configuration_lease() {
     if (!subscription_.is_open()) return;
-    if (const auto ask = configuration_lease_.ask(context_.home.now())) subscription_.ask(*ask);
+    if (const auto ask = configuration_lease_.next_request(context_.home.now())) subscription_.ask(*ask);
 }
 
 void Proxy::fleet_told(const messages::FleetTold& told) {
-    if (told.current) rollouts_.heard_current(context_.now());
+    if (told.current) rollouts_.confirm_control(context_.now());
     admission_.fleet_told(told);
     context_.proxies = told.proxies;
     context_.fleet_size.told(told.proxies, context_.now());
--- a/src/roles/proxy/quota_report.cpp
+++ b/src/roles/proxy/quota_report.cpp
@@ -77,12 +77,12 @@
 
 void QuotaReport::refresh(const leases::Holder& leases, Time now) {
     told_age_.set(age(told_at_, now));
-    reply_age_.set(age(leases.replied(), now));
+    reply_age_.set(age(leases.last_reply(), now));
     for (auto& [tenant, figures] : figures_) show(figures, tenant, leases);
 }
 
 void QuotaReport::show(Figures& figures, const std::string& tenant, const leases::Holder& leases) {
-    const auto standing = leases.standing(tenant).value_or(leases::Holder::Standing{});
+    const auto standing = leases.tenant_status(tenant).value_or(leases::Holder::TenantStatus{});
     figures.held.set(standing.held);
     figures.overload.set(standing.overload);
 }
@@ -123,7 +123,7 @@
     line << "quota of tenant \"" << metrics::escape_label_value(tenant) << "\": refused, " << to_string(cause)
          << "; since the last such line " << std::exchange(figures.granted_since, 0) << " units granted, "
          << std::exchange(figures.refused_since, 0) << " refused; held " << figures.held.value() << ", overload "
-         << figures.overload.value() << ", last reply " << age(leases.replied(), now) << " s ago; proxies "
+         << figures.overload.value() << ", last reply " << age(leases.last_reply(), now) << " s ago; proxies "
          << proxies_.value() << ", current " << current_.value() << ", told " << age(told_at_, now) << " s ago";
     log_(line.str());
 }
--- a/src/roles/proxy/service_directory.cpp
+++ b/src/roles/proxy/service_directory.cpp
@@ -41,7 +41,7 @@
     const auto room = static_cast<double>(candidates->ready_hosts());
     const bool is_crowded = room < least_room * static_cast<double>(serving->ready_hosts());
     if (rollout->stage == Stage::moving && is_crowded) return serving;
-    return watcher_.wants_candidate(service, context_.now()) ? candidates : serving;
+    return watcher_.choose_candidate(service, context_.now()) ? candidates : serving;
 }
 
 ServicePool* ServiceDirectory::of(const std::string& service) {
@@ -83,7 +83,7 @@
 
 void ServiceDirectory::rollouts_told(const messages::RolloutsTold& told) {
     const auto before = watcher_.rollouts();
-    if (!watcher_.told(told.rollouts, context_.now())) return;
+    if (!watcher_.update(told.rollouts, context_.now())) return;
     for (const auto& rollout : watcher_.rollouts().all) {
         const auto* known = before.find(rollout.service);
         if (known && *known == rollout) continue;
@@ -197,10 +197,10 @@
 std::set<std::string> ServiceDirectory::choose_candidates(const Rollout& rollout,
                                                           const std::vector<const registry::Host*>& ready, size_t turn,
                                                           size_t serving) const {
-    const auto wanted = std::min(watcher_.candidates_wanted(rollout, serving, is_loaded(turn)), ready.size());
+    const auto wanted = std::min(watcher_.candidate_count(rollout, serving, is_loaded(turn)), ready.size());
     std::set<std::string> chosen;
     // Each turn begins elsewhere, as far from the one before as an unloaded turn takes.
-    const auto step = watcher_.candidates_wanted(rollout, serving, false);
+    const auto step = watcher_.candidate_count(rollout, serving, false);
     for (size_t i = 0; i < wanted; ++i) chosen.insert(ready[(turn * step + i) % ready.size()]->id);
     return chosen;
 }
--- a/src/rollout/judge.cpp
+++ b/src/rollout/judge.cpp
@@ -76,9 +76,9 @@
     const auto serving = static_cast<double>(sums.serving.requests);
     const double usual = (static_cast<double>(sums.serving.bad) + 0.5) / (serving + 1);
     const double unsure = 2 * std::sqrt(usual * (1 - usual) / (serving + 1));   // two standard deviations
-    const double expected = sums.serving.requests >= options_.least_requests ? usual * usual_margin + unsure : 0;
+    const double expected = sums.serving.requests >= options_.min_requests ? usual * usual_margin + unsure : 0;
     const double sound = std::min(expected + options_.tolerated, most_usual);
-    const double faulty = sound + options_.worse;
+    const double faulty = sound + options_.fault_margin;
     const auto bad = static_cast<double>(sums.candidates.bad);
     const auto well = static_cast<double>(sums.candidates.requests - sums.candidates.bad);
     return bad * std::log(faulty / sound) + well * std::log((1 - faulty) / (1 - sound));
@@ -87,7 +87,7 @@
 bool EvidenceTest::accuses_without(const Left& left) const {
     const auto by_route = sums(left);
     const auto accuses = [this](const Sums& known) {
-        return known.candidates.requests >= options_.least_requests && ratio(known) > options_.accuse_above;
+        return known.candidates.requests >= options_.min_requests && ratio(known) > options_.reject_above;
     };
     return accuses(of_all_routes(by_route)) ||
            std::any_of(by_route.begin(), by_route.end(), [&](const auto& known) { return accuses(known.second); });
@@ -105,7 +105,7 @@
     return {worst(by_node), worst(by_host), worst(by_zone)};
 }
 
-bool EvidenceTest::accuses() const {
+bool EvidenceTest::rejects() const {
     if (!accuses_without({})) return false;
     const auto left = strongest();
     return accuses_without({left.node, {}, {}}) && accuses_without({{}, left.host, {}}) &&
@@ -127,9 +127,9 @@
 
 uint64_t EvidenceTest::serving_requests() const { return of_all_routes(sums({})).serving.requests; }
 
-void Judge::take(const Ballot& ballot, Time now) {
-    const std::pair key{ballot.node, ballot.life};
-    if (lives_.size() >= options_.most_lives && !lives_.count(key)) return;
+void Judge::add(const RolloutReport& ballot, Time now) {
+    const std::pair key{ballot.node, ballot.incarnation};
+    if (lives_.size() >= options_.max_incarnations && !lives_.count(key)) return;
     auto& life = lives_[key];
     if (ballot.sequence <= life.newest.sequence) return;
     if (life.earlier.empty() || now - life.earlier.back().first >= options_.sampled_every)
@@ -162,9 +162,9 @@
 
 Finding Judge::finding(Time now) const {
     const EvidenceTest whole_span(options_, whole()), last_seconds(options_, lately(now));
-    if (whole_span.accuses() || last_seconds.accuses()) return Finding::bad;
-    const bool acquits = whole_span.log_likelihood_ratio() < options_.acquit_below &&
-                         whole_span.candidate_requests() >= options_.least_to_compare &&
+    if (whole_span.rejects() || last_seconds.rejects()) return Finding::bad;
+    const bool acquits = whole_span.log_likelihood_ratio() < options_.accept_below &&
+                         whole_span.candidate_requests() >= options_.min_to_compare &&
                          last_seconds.log_likelihood_ratio() <= 0;
     return acquits ? Finding::good : Finding::undecided;
 }
@@ -175,26 +175,26 @@
     return most;
 }
 
-size_t Judge::voters() const {
+size_t Judge::reporting_proxies() const {
     std::set<std::string> nodes;
     for (const auto& [key, life] : lives_) nodes.insert(key.first);
     return nodes.size();
 }
 
-bool Judge::has_left_serving(Stage stage, Time now) const {
+bool Judge::has_drained_serving(Stage stage, Time now) const {
     return std::all_of(lives_.begin(), lives_.end(), [&](const auto& known) {
         const auto& life = known.second;
-        if (now - life.heard > options_.silent) return true;
+        if (now - life.heard > options_.report_timeout) return true;
         return life.newest.stage >= static_cast<uint64_t>(stage) && life.newest.open_at_serving == 0;
     });
 }
 
 bool Judge::has_too_little_traffic() const {
     const EvidenceTest test(options_, whole());
-    return test.candidate_requests() + test.serving_requests() < options_.least_to_compare;
+    return test.candidate_requests() + test.serving_requests() < options_.min_to_compare;
 }
 
-bool Judge::leans_good(uint64_t least_requests) const {
+bool Judge::is_probably_good(uint64_t least_requests) const {
     const EvidenceTest test(options_, whole());
     return test.candidate_requests() >= least_requests && test.log_likelihood_ratio() < 0;
 }
@@ -203,7 +203,8 @@
     const auto observations = whole();
     const EvidenceTest test(options_, observations);
     std::ostringstream text;
-    text << voters() << " proxies, log likelihood ratio " << test.log_likelihood_ratio() << ", bad of all requests:";
+    text << reporting_proxies() << " proxies, log likelihood ratio " << test.log_likelihood_ratio()
+         << ", bad of all requests:";
     Tally serving;
     std::map<std::string, Tally> by_host;
     for (const auto& observation : observations)
--- a/src/rollout/judge.hpp
+++ b/src/rollout/judge.hpp
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "rollout/ballot.hpp"
+#include "rollout/report.hpp"
 #include "rollout/rollout.hpp"
 #include "time.hpp"
 
@@ -21,16 +21,16 @@
 enum class Finding { undecided, good, bad };
 
 struct JudgeOptions {
-    double tolerated = 0.03;          // share of bad answers above what the serving hosts give that is no fault
-    double worse = 0.25;              // share above that which is one
-    double accuse_above = 7.6;        // log likelihood ratio: false of one in 2,000 sound versions at the most
-    double acquit_below = -4.6;       // the same against a bad one, once in 100
-    uint64_t least_requests = 5;      // of a route, to be judged by itself
-    uint64_t least_to_compare = 20;   // of the service: with fewer there is nothing to compare
-    Span window{3};                   // a version may turn bad late: its last seconds are judged by themselves too
+    double tolerated = 0.03;        // share of bad answers above what the serving hosts give that is no fault
+    double fault_margin = 0.25;     // share above that which is one
+    double reject_above = 7.6;      // log likelihood ratio: false of one in 2,000 sound versions at the most
+    double accept_below = -4.6;     // the same against a bad one, once in 100
+    uint64_t min_requests = 5;      // of a route, to be judged by itself
+    uint64_t min_to_compare = 20;   // of the service: with fewer there is nothing to compare
+    Span window{3};                 // a version may turn bad late: its last seconds are judged by themselves too
     Span sampled_every{0.3};
-    Span silent{2};   // a proxy that was not heard of for so long has ended or is cut off
-    size_t most_lives = 4096;
+    Span report_timeout{2};   // a proxy that was not heard of for so long has ended or is cut off
+    size_t max_incarnations = 4096;
 };
 
 // What is summed of one proxy's ballots.
@@ -44,7 +44,7 @@
 public:
     EvidenceTest(const JudgeOptions& options, const std::vector<Observation>& observations);
 
-    bool accuses() const;   // also without the proxy, host and zone that speak the most against the version
+    bool rejects() const;   // also without the proxy, host and zone that speak the most against the version
     // The log likelihood ratio of a bad version against a sound one, over all routes.
     double log_likelihood_ratio() const;
     uint64_t candidate_requests() const;
@@ -71,22 +71,22 @@
 public:
     explicit Judge(JudgeOptions options = {}) : options_(options) {}
 
-    void take(const Ballot& ballot, Time now);
+    void add(const RolloutReport& ballot, Time now);
     Finding finding(Time now) const;
     // s since the order was known, by the word of the proxies.
     double age() const;
-    size_t voters() const;   // proxies of which there is a ballot
+    size_t reporting_proxies() const;   // proxies of which there is a ballot
     // Whether the proxies that were lately heard of act by that stage, and none has a request under way at hosts that serve.
-    bool has_left_serving(Stage stage, Time now) const;
+    bool has_drained_serving(Stage stage, Time now) const;
     // Neither the candidates nor the hosts that serve had requests enough to be compared.
     bool has_too_little_traffic() const;
     // More speaks for the version than against it, on as many requests at candidates.
-    bool leans_good(uint64_t least_requests) const;
+    bool is_probably_good(uint64_t least_requests) const;
     std::string summary() const;   // for the log
 
 private:
     struct Life {
-        Ballot newest;
+        RolloutReport newest;
         Time heard = long_ago;
         std::deque<std::pair<Time, std::vector<RouteEvidence>>>
             earlier;   // the oldest first, back to before the window
--- a/src/rollout/ballot.hpp
+++ b/src/rollout/report.hpp
@@ -33,16 +33,16 @@
     bool operator==(const RouteEvidence&) const = default;
 };
 
-struct Ballot {
+struct RolloutReport {
     std::string node, zone;       // of the proxy
-    uint64_t life = 0;            // of its process
+    uint64_t incarnation = 0;     // of its process
     uint64_t sequence = 0;        // rises with each ballot of a life
     uint64_t rollout = 0;         // number of the order
     double age = 0;               // s since this life has known of the order
     uint64_t stage = 0;           // that it acts by, as a number of Stage
     size_t open_at_serving = 0;   // its requests that are under way at hosts that serve
     std::vector<RouteEvidence> routes;
-    bool operator==(const Ballot&) const = default;
+    bool operator==(const RolloutReport&) const = default;
 };
 
 }   // namespace myrtleroute::rollout
--- a/src/rollout/watcher.cpp
+++ b/src/rollout/watcher.cpp
@@ -29,13 +29,13 @@
     mean += (value - mean) / count;
 }
 
-Span pace(const AttemptEnd& end) { return end.between_pieces * (1.0 / (end.pieces - 1)); }
+Span pace(const AttemptResult& end) { return end.streaming_time * (1.0 / (end.chunks - 1)); }
 
 }   // namespace
 
 Watcher::Watcher(WatcherOptions options, uint64_t seed) : options_(std::move(options)), chance_(seed) {}
 
-bool Watcher::told(const Rollouts& rollouts, Time now) {
+bool Watcher::update(const Rollouts& rollouts, Time now) {
     const bool is_first = !std::exchange(is_told_, true);
     if (!is_first && rollouts.revision <= rollouts_.revision) return false;
     rollouts_ = rollouts;
@@ -58,45 +58,45 @@
     return watch.recent >= plain_recent && watch.recent_bad > plain_share * watch.recent;
 }
 
-bool Watcher::wants_candidate(const std::string& service, Time now) {
+bool Watcher::choose_candidate(const std::string& service, Time now) {
     const auto watched = watches_.find(service);
     if (watched == watches_.end()) return false;
     auto& watch = watched->second;
     const auto* rollout = rollouts_.find(service);
     const bool is_shared = rollout->stage == Stage::observing;
-    if (is_shared) watch.credit = std::min(watch.credit + options_.share, 2.0);
+    if (is_shared) watch.credit = std::min(watch.credit + options_.candidate_share, 2.0);
     // Where the hosts that serve may have ended meanwhile, only its own evidence keeps a proxy from the candidates.
     if (looks_plainly_bad(watch)) return false;
     if (!is_shared) return true;
-    if (now - heard_current_ > options_.news_within || watch.credit < 1) return false;
+    if (now - heard_current_ > options_.control_timeout || watch.credit < 1) return false;
     watch.credit -= 1;
     return true;
 }
 
-bool Watcher::is_slow(const std::string& route, const AttemptEnd& end) const {
+bool Watcher::is_slow(const std::string& route, const AttemptResult& end) const {
     const auto known = usual_.find(route);
     if (known == usual_.end()) return false;
     const auto& usual = known->second;
-    if (end.pieces >= least_pieces && usual.streams >= least_known)
+    if (end.chunks >= least_pieces && usual.streams >= least_known)
         return logarithm(pace(end)) > usual.log_pace + std::log(slow_pace);
-    return usual.answers >= least_known && logarithm(end.total) > usual.log_total + std::log(slow_total);
+    return usual.answers >= least_known && logarithm(end.duration) > usual.log_total + std::log(slow_total);
 }
 
-void Watcher::learn(const std::string& route, const AttemptEnd& end) {
+void Watcher::learn(const std::string& route, const AttemptResult& end) {
     if (usual_.size() >= most_routes && !usual_.count(route)) return;
     auto& usual = usual_[route];
-    take_in(usual.answers, usual.log_total, logarithm(end.total));
-    if (end.pieces >= least_pieces) take_in(usual.streams, usual.log_pace, logarithm(pace(end)));
+    take_in(usual.answers, usual.log_total, logarithm(end.duration));
+    if (end.chunks >= least_pieces) take_in(usual.streams, usual.log_pace, logarithm(pace(end)));
 }
 
-void Watcher::ended(const std::string& service, const AttemptEnd& end) {
+void Watcher::record(const std::string& service, const AttemptResult& end) {
     const bool is_bad = end.failed || (!end.loaded && is_slow(end.route, end));
     if (end.cancelled && !is_bad) return;
     if (end.group == Group::serving && !is_bad) learn(end.route, end);
     if (const auto watch = watches_.find(service); watch != watches_.end()) note(watch->second, end, is_bad);
 }
 
-void Watcher::note(Watch& watch, const AttemptEnd& end, bool is_bad) {
+void Watcher::note(Watch& watch, const AttemptResult& end, bool is_bad) {
     if (watch.routes.size() >= most_routes_of_a_ballot && !watch.routes.count(end.route)) return;
     auto& evidence = watch.routes[end.route];
     evidence.route = end.route;
@@ -114,28 +114,30 @@
     known->tally.add(is_bad);
 }
 
-size_t Watcher::candidates_wanted(const Rollout& rollout, size_t serving, bool loaded) const {
+size_t Watcher::candidate_count(const Rollout& rollout, size_t serving, bool loaded) const {
     if (rollout.stage != Stage::observing) return most_hosts;
-    const double even = options_.share * static_cast<double>(serving);
+    const double even = options_.candidate_share * static_cast<double>(serving);
     return std::max(least_candidates, static_cast<size_t>(std::ceil(loaded ? even * (1 / load_when_loaded) : even)));
 }
 
-Ballot Watcher::ballot_of(const Rollout& rollout, Watch& watch, size_t open, Time now) const {
-    Ballot ballot{options_.node, options_.zone, options_.life, ++watch.sequence, rollout.number, 0, 0, open, {}};
+RolloutReport Watcher::ballot_of(const Rollout& rollout, Watch& watch, size_t open, Time now) const {
+    RolloutReport ballot{
+        options_.node, options_.zone, options_.incarnation, ++watch.sequence, rollout.number, 0, 0, open, {}};
     ballot.age = (now - watch.known_since).s;
     ballot.stage = static_cast<uint64_t>(rollout.stage);
     for (const auto& [route, evidence] : watch.routes) ballot.routes.push_back(evidence);
     return ballot;
 }
 
-std::vector<Ballot> Watcher::take_ballots(size_t proxies,
-                                          const std::function<size_t(const std::string&)>& open_at_serving, Time now) {
+std::vector<RolloutReport> Watcher::take_reports(size_t proxies,
+                                                 const std::function<size_t(const std::string&)>& open_at_serving,
+                                                 Time now) {
     if (watches_.empty() || now < ballots_at_) return {};
     const bool moves = std::any_of(rollouts_.all.begin(), rollouts_.all.end(),
                                    [](const auto& rollout) { return rollout.stage == Stage::moving; });
-    ballots_at_ = now + (moves ? options_.told_every_moving : options_.told_every) *
-                            std::max(1.0, static_cast<double>(proxies) / options_.proxies_at_pace);
-    std::vector<Ballot> ballots;
+    ballots_at_ = now + (moves ? options_.report_interval_moving : options_.report_interval) *
+                            std::max(1.0, static_cast<double>(proxies) / options_.nominal_proxies);
+    std::vector<RolloutReport> ballots;
     for (auto& [service, watch] : watches_)
         ballots.push_back(ballot_of(*rollouts_.find(service), watch, open_at_serving(service), now));
     return ballots;
--- a/tests/system/bounds_test.cpp
+++ b/tests/system/bounds_test.cpp
@@ -166,18 +166,18 @@
     holder.connected(true);
     for (int n = 0; n < 8192; ++n) {
         const auto ticket = static_cast<uint64_t>(n) + 1;
-        CHECK(holder.request("t" + std::to_string(n), 1, ticket, Span{0.1}, Time{100}).verdict ==
-              leases::Verdict::waits);
+        CHECK(holder.acquire("t" + std::to_string(n), 1, ticket, Span{0.1}, Time{100}).verdict ==
+              leases::Verdict::waiting);
     }
-    const auto further = holder.request("another", 1, 9000, Span{0.1}, Time{100});
+    const auto further = holder.acquire("another", 1, 9000, Span{0.1}, Time{100});
     CHECK(further.verdict == leases::Verdict::refused);
     CHECK(further.cause == leases::RefusalCause::no_room);
     CHECK(further.retry_after > Span{});
     for (int n = 1; n < 64; ++n) {
         const auto ticket = static_cast<uint64_t>(n) + 10000;
-        CHECK(holder.request("t0", 1, ticket, Span{0.1}, Time{100}).verdict == leases::Verdict::waits);
+        CHECK(holder.acquire("t0", 1, ticket, Span{0.1}, Time{100}).verdict == leases::Verdict::waiting);
     }
-    const auto crowded = holder.request("t0", 1, 20000, Span{0.1}, Time{100});
+    const auto crowded = holder.acquire("t0", 1, 20000, Span{0.1}, Time{100});
     CHECK(crowded.verdict == leases::Verdict::refused);
     CHECK(crowded.cause == leases::RefusalCause::no_room);
 }
@@ -232,7 +232,7 @@
     control.ask("PUT", "/config", "0", document(1));
     constexpr int kept = 4096, asked = kept + 10;
     for (int n = 0; n < asked; ++n) {
-        leases::LeaseAsk ask;
+        leases::LeaseRequest ask;
         ask.holder = {"edge-" + std::to_string(n), 1};
         ask.number = 1;
         control.node->received(100 + static_cast<control::LinkNumber>(n), ask, control.now);
@@ -247,14 +247,14 @@
     constexpr int most = 4096;
     std::set<std::string> nodes;
     for (int n = 0; n <= most; ++n) nodes.insert("edge-" + std::to_string(n));
-    allocator.limits({{"t", {1e6, 1e6}}}, Time{100});
+    allocator.set_limits({{"t", {1e6, 1e6}}}, Time{100});
     allocator.begin(1, nodes, Time{100});
     allocator.admit(nodes);
     const auto ask = [&](int n, uint64_t number) {
-        leases::LeaseAsk asked;
+        leases::LeaseRequest asked;
         asked.holder = {"edge-" + std::to_string(n), 1};
         asked.number = number;
-        return allocator.ask(asked, Time{100});
+        return allocator.handle(asked, Time{100});
     };
     for (int n = 0; n < most; ++n) CHECK(ask(n, 1));
     CHECK(allocator.is_full_for({"edge-" + std::to_string(most), 1}));
--- a/tests/system/configuration_lease_test.cpp
+++ b/tests/system/configuration_lease_test.cpp
@@ -11,8 +11,8 @@
 
 using namespace myrtleroute;
 using leases::ConfigurationLease;
-using leases::ConfigurationLeaseAsk;
 using leases::ConfigurationLeaseReply;
+using leases::ConfigurationLeaseRequest;
 using testing::Control;
 using testing::ProxyWorld;
 
@@ -27,14 +27,14 @@
 TEST_CASE("without a bound the lease never ends and nothing is asked") {
     ConfigurationLease lease({});
     CHECK(lease.is_valid(Time{100}));
-    CHECK_FALSE(lease.ask(Time{100}));
+    CHECK_FALSE(lease.next_request(Time{100}));
 }
 
 TEST_CASE("a lease is counted from the sending of the ask, not from the arrival of the reply") {
     ConfigurationLease lease(bound);
-    lease.configured(7);
+    lease.set_version(7);
     CHECK_FALSE(lease.is_valid(Time{100}));
-    const auto ask = lease.ask(Time{100});
+    const auto ask = lease.next_request(Time{100});
     REQUIRE(ask);
     CHECK_FALSE(lease.is_valid(Time{103}));
     lease.apply({ask->number, 7});
@@ -45,21 +45,21 @@
 
 TEST_CASE("a proof of a version that is not in use counts once that or a newer one is") {
     ConfigurationLease lease(bound);
-    lease.configured(7);
-    const auto ask = lease.ask(Time{100});
+    lease.set_version(7);
+    const auto ask = lease.next_request(Time{100});
     lease.apply({ask->number, 8});
     CHECK_FALSE(lease.is_valid(Time{100.1}));
-    lease.configured(9);
+    lease.set_version(9);
     CHECK(lease.is_valid(Time{100.1}));
     CHECK_FALSE(lease.is_valid(Time{105}));
 }
 
 TEST_CASE("replies to asks of an earlier connection, doubled ones and unknown ones prove nothing") {
     ConfigurationLease lease(bound);
-    lease.configured(7);
-    const auto first = lease.ask(Time{100});
+    lease.set_version(7);
+    const auto first = lease.next_request(Time{100});
     lease.connected();
-    const auto second = lease.ask(Time{100});
+    const auto second = lease.next_request(Time{100});
     REQUIRE(second);
     CHECK(second->number > first->number);
     lease.apply({first->number, 7});
@@ -69,11 +69,11 @@
 
 TEST_CASE("asks are spread over the lease, and the next connection is asked at once") {
     ConfigurationLease lease(bound);
-    CHECK(lease.ask(Time{100}));
-    CHECK_FALSE(lease.ask(Time{100.5}));
-    CHECK(lease.ask(Time{101}));
+    CHECK(lease.next_request(Time{100}));
+    CHECK_FALSE(lease.next_request(Time{100.5}));
+    CHECK(lease.next_request(Time{101}));
     lease.connected();
-    CHECK(lease.ask(Time{101}));
+    CHECK(lease.next_request(Time{101}));
 }
 
 // Whatever is late, lost or held up: while the lease is valid, no newer configuration was acknowledged longer than the bound ago.
@@ -94,7 +94,7 @@
                 configurations.emplace(now + Span{delay * 2 * chance.share()}, acknowledged.size() - 1);
             }
             if (chance.share() < 0.01) lease.connected();
-            if (const auto ask = lease.ask(now)) {
+            if (const auto ask = lease.next_request(now)) {
                 const Time handled = now + Span{delay * chance.share()};
                 uint64_t newest = acknowledged.size() - 1;   // at least what was acknowledged when it was sent
                 if (chance.share() < 0.9) replies.emplace(handled, ConfigurationLeaseReply{ask->number, newest});
@@ -104,7 +104,7 @@
             for (; !configurations.empty() && configurations.begin()->first <= now;
                  configurations.erase(configurations.begin())) {
                 used = std::max(used, configurations.begin()->second);
-                lease.configured(used);
+                lease.set_version(used);
             }
             const bool is_valid = lease.is_valid(now);
             (is_valid ? valid : refused) += 1;
@@ -119,11 +119,11 @@
 TEST_CASE("a control node answers behind a barrier with the newest version, and only its subscribers") {
     Control control;
     REQUIRE(control.status(control.ask("PUT", "/config", "0", testing::document(3))) == 200);
-    control.node->received(Control::proxy_link, ConfigurationLeaseAsk{1}, control.now);
+    control.node->received(Control::proxy_link, ConfigurationLeaseRequest{1}, control.now);
     control.carry_out();
     CHECK(control.count_on<ConfigurationLeaseReply>(Control::proxy_link) == 0);
     control.subscribe();
-    control.node->received(Control::proxy_link, ConfigurationLeaseAsk{2}, control.now);
+    control.node->received(Control::proxy_link, ConfigurationLeaseRequest{2}, control.now);
     control.pass(Span{1});
     REQUIRE(control.count_on<ConfigurationLeaseReply>(Control::proxy_link) == 1);
     const auto& sent = control.sent_on[Control::proxy_link];
@@ -136,7 +136,7 @@
 TEST_CASE("a control node that reaches no majority answers no ask for a lease") {
     Control control({"10.0.0.2", "10.0.0.3"}, testing::document(3));
     control.subscribe();
-    control.node->received(Control::proxy_link, ConfigurationLeaseAsk{1}, control.now);
+    control.node->received(Control::proxy_link, ConfigurationLeaseRequest{1}, control.now);
     control.pass(Span{5});
     CHECK(control.count_on<ConfigurationLeaseReply>(Control::proxy_link) == 0);
 }
@@ -169,7 +169,7 @@
         reader.feed(world.control.last().take());
         while (const auto json = reader.next())
             if (const auto message = messages::decode(*json))
-                if (const auto* ask = std::get_if<ConfigurationLeaseAsk>(&*message)) newest = ask->number;
+                if (const auto* ask = std::get_if<ConfigurationLeaseRequest>(&*message)) newest = ask->number;
         return newest;
     }
     void prove() {
--- a/tests/system/consensus_world.hpp
+++ b/tests/system/consensus_world.hpp
@@ -174,7 +174,7 @@
         node.proposed.clear();
         node.highest_version = 0;
         consensus::ReplicaOptions options;
-        options.counts = counts(node);
+        options.counts_for_quorum = counts(node);
         node.replica = std::make_unique<consensus::Replica>(node.id, node.disk.hard_state, node.disk.entry, options,
                                                             chance_.next(), now_);
     }
@@ -236,7 +236,7 @@
         node.ticked = now_;
         for (const auto& peer : nodes_)
             if (peer.get() != &node && peer->replica && reaches(*peer, node))
-                node.replica->met(peer->id, counts(*peer), now_);
+                node.replica->peer_reachable(peer->id, counts(*peer), now_);
         node.replica->tick(now_);
         carry_out(node);
     }
@@ -275,7 +275,7 @@
             auto* to = node_of(packet.to);
             const auto* from = node_of(packet.from);
             if (!to || !to->replica || now_ < to->frozen_until || !from || !reaches(*from, *to)) continue;
-            to->replica->received(packet.from, packet.message, now_);
+            to->replica->receive(packet.from, packet.message, now_);
             carry_out(*to);
         }
     }
--- a/tests/system/control_test.cpp
+++ b/tests/system/control_test.cpp
@@ -301,7 +301,7 @@
     CHECK_FALSE(cluster.control.node->may_leave());
     append.state.reset();
     append.round = 2;
-    append.everywhere = true;
+    append.fully_replicated = true;
     cluster.say(append);
     CHECK(cluster.control.node->may_leave());
 }
@@ -344,7 +344,7 @@
         for (const Time end = control.now + span; control.now < end; control.pass(Span{0.1})) {
             cluster.say(append_);
             ++append_.round;
-            append_.answered = append_.round - 1;
+            append_.acknowledged_round = append_.round - 1;
             for (; seen_ < control.to_peers.size(); ++seen_)
                 if (const auto* message = std::get_if<messages::ConsensusMessage>(&control.to_peers[seen_]))
                     if (const auto* request = std::get_if<consensus::ReadRequest>(&message->message))
--- a/tests/system/leases_test.cpp
+++ b/tests/system/leases_test.cpp
@@ -25,7 +25,7 @@
 
 // What is allowed in a window.
 double allowance(const Limit& limit, const LimitRule& rule) {
-    return (limit.rate * rule.window.s + limit.burst) * (1 + rule.over) + rule.slack;
+    return (limit.rate * rule.window.s + limit.burst) * (1 + rule.excess_ratio) + rule.slack;
 }
 
 // Proxies before one tenant whose demand is scripted, and one allocator at a time.
@@ -114,11 +114,11 @@
         for (const auto& delivery : due) delivery.deliver();
     }
     void act(Proxy& proxy) {
-        const auto ask = proxy.holder->ask(now);
+        const auto ask = proxy.holder->next_request(now);
         if (!ask || proxy.cut_until > now) return;
         send([this, ask = *ask, &proxy] {
             if (!begun) return;
-            const auto reply = allocator->ask(ask, now);
+            const auto reply = allocator->handle(ask, now);
             check();
             if (reply && proxy.cut_until <= now) send([this, reply = *reply, &proxy] { came(proxy, reply); });
         });
@@ -137,7 +137,7 @@
             ended(at->second, decided.decision);
             proxy.waiting.erase(at);
         }
-        CHECK(proxy.holder->totals().used <= proxy.holder->totals().got + 1);
+        CHECK(proxy.holder->totals().used <= proxy.holder->totals().received + 1);
     }
     void ended(double cost, const Decision& decision) {
         if (decision.verdict != Verdict::granted) {
@@ -161,8 +161,8 @@
     }
     void request_at(Proxy& proxy, double cost) {
         const auto ticket = next_ticket++;
-        const auto decision = proxy.holder->request(tenant, cost, ticket, patience, now);
-        if (decision.verdict != Verdict::waits) return ended(cost, decision);
+        const auto decision = proxy.holder->acquire(tenant, cost, ticket, patience, now);
+        if (decision.verdict != Verdict::waiting) return ended(cost, decision);
         proxy.waiting.emplace_back(ticket, cost);
         act(proxy);
     }
@@ -184,7 +184,7 @@
         for (const Time end = now + length; now < end; now = now + step, ++steps) {
             trouble();
             if (!begun && now >= allocator_from) {
-                allocator->limits({{tenant, limit}}, now);
+                allocator->set_limits({{tenant, limit}}, now);
                 allocator->begin(++term, nodes(), now);
                 begun = true;
             }
@@ -223,13 +223,13 @@
         for (const LimitRule rule :
              {LimitRule{140000, 0.1, Span{8}}, LimitRule{0, 0, Span{1}}, LimitRule{5, 0, Span{60}}}) {
             const auto budget = budget_of(limit, rule);
-            CHECK(budget.pool() + budget.debt() + budget.isolated() == doctest::Approx(budget.depth));
-            CHECK(budget.fill * rule.window.s + budget.depth == doctest::Approx(allowance(limit, rule)));
-            CHECK(budget.fill > 0);
+            CHECK(budget.pool() + budget.debt() + budget.max_accumulated() == doctest::Approx(budget.depth));
+            CHECK(budget.fill_rate * rule.window.s + budget.depth == doctest::Approx(allowance(limit, rule)));
+            CHECK(budget.fill_rate > 0);
             const double beyond = allowance(limit, rule) - limit.rate * rule.window.s;
-            CHECK(budget.fill * rule.window.s <= limit.rate * rule.window.s + beyond / 2 + 1e-6);
-            CHECK(budget.lent_usually() < budget.lent());
-            CHECK(budget.lent() <= budget.pool());
+            CHECK(budget.fill_rate * rule.window.s <= limit.rate * rule.window.s + beyond / 2 + 1e-6);
+            CHECK(budget.usual_granted() < budget.max_granted());
+            CHECK(budget.max_granted() <= budget.pool());
         }
 }
 
@@ -370,13 +370,13 @@
     Time now{100};
 
     explicit Pair(LeaseTerms lease_terms = {}) : terms(lease_terms) {
-        allocator.limits({{tenant, limit}}, now);
+        allocator.set_limits({{tenant, limit}}, now);
         allocator.begin(1, {"edge-1", "edge-2"}, now);
         holder.connected(true);
         // Both nodes have begun anew, so that the allocator knows of everything that is left.
         for (const auto* node : {"edge-1", "edge-2"}) {
-            allocator.ask({{node, 0}, 1, 0, 0, 100, {}}, now);
-            allocator.ask({{node, 0}, 2, 1, 1, 100, {}}, now);
+            allocator.handle({{node, 0}, 1, 0, 0, 100, {}}, now);
+            allocator.handle({{node, 0}, 2, 1, 1, 100, {}}, now);
         }
         pass(Span{5});
     }
@@ -384,8 +384,8 @@
         for (const Time end = now + span; now < end; now = now + Span{0.1}) allocator.tick(now);
     }
     std::optional<LeaseReply> asked() {
-        const auto ask = holder.ask(now);
-        return ask ? allocator.ask(*ask, now) : std::nullopt;
+        const auto ask = holder.next_request(now);
+        return ask ? allocator.handle(*ask, now) : std::nullopt;
     }
     // Asks as it does without any request that waits.
     void top_up() {
@@ -394,7 +394,7 @@
     }
     // A request that waits for units, and is granted; then as much is held as is usual.
     void use(double cost) {
-        CHECK(holder.request(tenant, cost, 1, patience, now).verdict == Verdict::waits);
+        CHECK(holder.acquire(tenant, cost, 1, patience, now).verdict == Verdict::waiting);
         const auto reply = asked();
         REQUIRE(reply);
         holder.apply(*reply, now);
@@ -409,141 +409,141 @@
 
 TEST_CASE("a fresh process has nothing until it is lent something, and then enough for the request that waits") {
     Pair pair;
-    CHECK_FALSE(pair.holder.standing(tenant));
+    CHECK_FALSE(pair.holder.tenant_status(tenant));
     pair.use(20000);
-    CHECK(pair.allocator.amounts(tenant)->lent == doctest::Approx(pair.holder.standing(tenant)->held));
-    CHECK(pair.allocator.amounts(tenant)->lent > 0);
+    CHECK(pair.allocator.amounts(tenant)->granted == doctest::Approx(pair.holder.tenant_status(tenant)->held));
+    CHECK(pair.allocator.amounts(tenant)->granted > 0);
 }
 
 TEST_CASE("units that were lent are not used after their end, though the process did not run meanwhile") {
     LeaseTerms without_reserve;
-    without_reserve.pooled = without_reserve.reserve;
+    without_reserve.reserve_delay = without_reserve.reserve_duration;
     Pair pair(without_reserve);
     pair.use(20000);
-    const double held = pair.holder.standing(tenant)->held;
+    const double held = pair.holder.tenant_status(tenant)->held;
     REQUIRE(held > 100);
-    pair.now = pair.now + pair.terms.lent;
-    CHECK(pair.holder.request(tenant, 100, 2, patience, pair.now).verdict == Verdict::waits);
+    pair.now = pair.now + pair.terms.grant_duration;
+    CHECK(pair.holder.acquire(tenant, 100, 2, patience, pair.now).verdict == Verdict::waiting);
 }
 
 TEST_CASE("a reply that comes after the end of what it lends lends nothing") {
     Pair pair;
-    pair.holder.request(tenant, 20000, 1, patience, pair.now);
+    pair.holder.acquire(tenant, 20000, 1, patience, pair.now);
     const auto reply = pair.asked();
     REQUIRE(reply);
-    pair.holder.apply(*reply, pair.now + pair.terms.lent);
-    CHECK(pair.holder.standing(tenant)->held == 0);
+    pair.holder.apply(*reply, pair.now + pair.terms.grant_duration);
+    CHECK(pair.holder.tenant_status(tenant)->held == 0);
 }
 
 TEST_CASE("a reply is taken once, and one to an earlier ask not at all") {
     Pair pair;
-    pair.holder.request(tenant, 20000, 1, patience, pair.now);
+    pair.holder.acquire(tenant, 20000, 1, patience, pair.now);
     const auto first = pair.asked();
     REQUIRE(first);
     pair.pass(Span{0.5});   // no reply has come: it asks again
     const auto second = pair.asked();
     REQUIRE(second);
     pair.holder.apply(*first, pair.now);
-    CHECK(pair.holder.standing(tenant)->held == 0);
+    CHECK(pair.holder.tenant_status(tenant)->held == 0);
     pair.holder.apply(*second, pair.now);
-    const double held = pair.holder.standing(tenant)->held;
+    const double held = pair.holder.tenant_status(tenant)->held;
     pair.holder.apply(*second, pair.now);
-    CHECK(pair.holder.standing(tenant)->held == held);
+    CHECK(pair.holder.tenant_status(tenant)->held == held);
 }
 
 TEST_CASE("an ask that comes twice, or after a later one, is not answered") {
     Pair pair;
-    pair.holder.request(tenant, 20000, 1, patience, pair.now);
-    const auto first = pair.holder.ask(pair.now);
+    pair.holder.acquire(tenant, 20000, 1, patience, pair.now);
+    const auto first = pair.holder.next_request(pair.now);
     pair.pass(Span{0.5});
-    const auto second = pair.holder.ask(pair.now);
+    const auto second = pair.holder.next_request(pair.now);
     REQUIRE(second);
-    CHECK(pair.allocator.ask(*second, pair.now));
-    const double lent = pair.allocator.amounts(tenant)->lent;
-    CHECK_FALSE(pair.allocator.ask(*second, pair.now));
-    CHECK_FALSE(pair.allocator.ask(*first, pair.now));
-    CHECK(pair.allocator.amounts(tenant)->lent == lent);
+    CHECK(pair.allocator.handle(*second, pair.now));
+    const double lent = pair.allocator.amounts(tenant)->granted;
+    CHECK_FALSE(pair.allocator.handle(*second, pair.now));
+    CHECK_FALSE(pair.allocator.handle(*first, pair.now));
+    CHECK(pair.allocator.amounts(tenant)->granted == lent);
 }
 
 TEST_CASE("what a holder was lent stays counted until it has ended, where nothing is heard of it") {
     Pair pair;
     pair.use(20000);
-    const double lent = pair.allocator.amounts(tenant)->lent;
+    const double lent = pair.allocator.amounts(tenant)->granted;
     REQUIRE(lent > 0);
-    pair.pass(pair.terms.lent - Span{0.2});
-    CHECK(pair.allocator.amounts(tenant)->lent == lent);
+    pair.pass(pair.terms.grant_duration - Span{0.2});
+    CHECK(pair.allocator.amounts(tenant)->granted == lent);
     pair.pass(Span{0.4});
-    CHECK(pair.allocator.amounts(tenant)->lent == 0);
+    CHECK(pair.allocator.amounts(tenant)->granted == 0);
 }
 
 TEST_CASE("a fresh life of a node ends what the earlier one had, once it has proven that it lives") {
     Pair pair;
     pair.use(20000);
-    const double lent = pair.allocator.amounts(tenant)->lent;
+    const double lent = pair.allocator.amounts(tenant)->granted;
     REQUIRE(lent > 0);
-    LeaseAsk fresh{{"edge-1", 2}, 1, 0, 0, 0, {{tenant, {}}}};
-    const auto reply = pair.allocator.ask(fresh, pair.now);
+    LeaseRequest fresh{{"edge-1", 2}, 1, 0, 0, 0, {{tenant, {}}}};
+    const auto reply = pair.allocator.handle(fresh, pair.now);
     REQUIRE(reply);
-    CHECK(reply->confirm);
-    CHECK(pair.allocator.amounts(tenant)->lent >= lent);   // it may be an old ask, of a life that has ended
+    CHECK(reply->request_again);
+    CHECK(pair.allocator.amounts(tenant)->granted >= lent);   // it may be an old ask, of a life that has ended
     fresh.number = 2;
     fresh.applied = 1;
     fresh.applied_term = 1;
-    const auto second = pair.allocator.ask(fresh, pair.now);
+    const auto second = pair.allocator.handle(fresh, pair.now);
     REQUIRE(second);
-    CHECK_FALSE(second->confirm);
-    CHECK(pair.allocator.amounts(tenant)->lent < lent);
-    LeaseAsk other{{"edge-2", 3}, 1, 0, 0, 0, {{tenant, {}}}};
-    CHECK(pair.allocator.ask(other, pair.now));
+    CHECK_FALSE(second->request_again);
+    CHECK(pair.allocator.amounts(tenant)->granted < lent);
+    LeaseRequest other{{"edge-2", 3}, 1, 0, 0, 0, {{tenant, {}}}};
+    CHECK(pair.allocator.handle(other, pair.now));
 }
 
 TEST_CASE("a late ask of an ended life leaves counted what the living one was lent") {
     Pair pair;
     pair.use(20000);
-    const double lent = pair.allocator.amounts(tenant)->lent;
+    const double lent = pair.allocator.amounts(tenant)->granted;
     REQUIRE(lent > 0);
-    CHECK(pair.allocator.ask({{"edge-1", 77}, 1, 0, 0, 0, {{tenant, {}}}}, pair.now));
-    CHECK(pair.allocator.amounts(tenant)->lent >= lent);
+    CHECK(pair.allocator.handle({{"edge-1", 77}, 1, 0, 0, 0, {{tenant, {}}}}, pair.now));
+    CHECK(pair.allocator.amounts(tenant)->granted >= lent);
 }
 
 TEST_CASE("a reply that does not name a tenant does not lengthen what is held of it") {
     Pair pair;
     pair.use(20000);
-    REQUIRE(pair.holder.standing(tenant)->held > 100);
-    pair.now = pair.now + pair.terms.lent - Span{0.1};
-    const auto ask = pair.holder.ask(pair.now);
+    REQUIRE(pair.holder.tenant_status(tenant)->held > 100);
+    pair.now = pair.now + pair.terms.grant_duration - Span{0.1};
+    const auto ask = pair.holder.next_request(pair.now);
     REQUIRE(ask);
     pair.holder.apply({ask->holder, ask->number, 1, false, {}}, pair.now);
     pair.now = pair.now + Span{0.2};
-    CHECK(pair.holder.request(tenant, 60000, 9, patience, pair.now).verdict != Verdict::granted);
+    CHECK(pair.holder.acquire(tenant, 60000, 9, patience, pair.now).verdict != Verdict::granted);
 }
 
 TEST_CASE("what was granted by a reply that was not taken goes back to the pool") {
     Pair pair;
     pair.use(20000);
-    pair.holder.request(tenant, 60000, 2, patience, pair.now);
+    pair.holder.acquire(tenant, 60000, 2, patience, pair.now);
     const auto lost = pair.asked();
     REQUIRE(lost);
     const auto before = *pair.allocator.amounts(tenant);
     pair.now = pair.now + Span{0.51};
     REQUIRE(pair.asked());
     const auto after = *pair.allocator.amounts(tenant);
-    CHECK(after.level + after.lent >= before.level + before.lent - 1);
+    CHECK(after.pooled + after.granted >= before.pooled + before.granted - 1);
 }
 
 TEST_CASE("a lower limit lowers what is lent, and nothing more is lent until it fits") {
     Pair pair;
     pair.use(20000);
     pair.pass(Span{1});
-    pair.allocator.limits({{tenant, {6000, 0}}}, pair.now);
+    pair.allocator.set_limits({{tenant, {6000, 0}}}, pair.now);
     const auto budget = budget_of({6000, 0}, pair.rule);
-    CHECK(pair.allocator.amounts(tenant)->level <= budget.pool());
+    CHECK(pair.allocator.amounts(tenant)->pooled <= budget.pool());
     for (int i = 0; i < 20; ++i) {
         pair.pass(Span{0.3});
-        pair.holder.request(tenant, 1, 3, patience, pair.now);
+        pair.holder.acquire(tenant, 1, 3, patience, pair.now);
         if (const auto reply = pair.asked()) pair.holder.apply(*reply, pair.now);
     }
-    CHECK(pair.holder.standing(tenant)->held <= budget.lent());
+    CHECK(pair.holder.tenant_status(tenant)->held <= budget.max_granted());
     CHECK_FALSE(pair.allocator.violated_invariant());
 }
 
@@ -551,25 +551,25 @@
     Pair pair;
     const auto budget = budget_of(pair.limit, pair.rule);
     pair.use(0.3 * budget.depth);
-    const double all = pair.holder.standing(tenant)->held + pair.allocator.amounts(tenant)->level;
-    pair.holder.request(tenant, all + 0.9 * budget.debt(), 2, patience, pair.now);
+    const double all = pair.holder.tenant_status(tenant)->held + pair.allocator.amounts(tenant)->pooled;
+    pair.holder.acquire(tenant, all + 0.9 * budget.debt(), 2, patience, pair.now);
     const auto reply = pair.asked();
     REQUIRE(reply);
     pair.holder.apply(*reply, pair.now);
-    REQUIRE(pair.allocator.amounts(tenant)->level < -0.5 * budget.debt());
-    pair.allocator.limits({{tenant, {60, 0}}}, pair.now);
+    REQUIRE(pair.allocator.amounts(tenant)->pooled < -0.5 * budget.debt());
+    pair.allocator.set_limits({{tenant, {60, 0}}}, pair.now);
     CHECK_FALSE(pair.allocator.violated_invariant());
-    const double lent = pair.allocator.amounts(tenant)->lent;
-    pair.holder.request(tenant, budget.debt(), 1000, patience, pair.now);
+    const double lent = pair.allocator.amounts(tenant)->granted;
+    pair.holder.acquire(tenant, budget.debt(), 1000, patience, pair.now);
     pair.asked();
-    CHECK(pair.allocator.amounts(tenant)->lent <= lent);
+    CHECK(pair.allocator.amounts(tenant)->granted <= lent);
     pair.pass(Span{3});
     CHECK_FALSE(pair.allocator.violated_invariant());
 }
 
 TEST_CASE("a refusal is at once where no allocator can be asked") {
     Holder holder{{"edge-1", 1}, {}, Time{5}};
-    const auto decision = holder.request(tenant, 10, 1, patience, Time{5});
+    const auto decision = holder.acquire(tenant, 10, 1, patience, Time{5});
     CHECK(decision.verdict == Verdict::refused);
     CHECK(decision.cause == RefusalCause::out_of_touch);
     CHECK(decision.retry_after > Span{});
@@ -578,9 +578,9 @@
 TEST_CASE("a request waits for a tenth of a second at the most") {
     Holder holder{{"edge-1", 1}, {}, Time{5}};
     holder.connected(true);
-    CHECK(holder.request(tenant, 10, 1, patience, Time{5}).verdict == Verdict::waits);
-    CHECK(holder.waits_until() <= Time{5.1});
-    CHECK(holder.ask(Time{5}));
+    CHECK(holder.acquire(tenant, 10, 1, patience, Time{5}).verdict == Verdict::waiting);
+    CHECK(holder.next_deadline() <= Time{5.1});
+    CHECK(holder.next_request(Time{5}));
     holder.tick(Time{5.11});
     const auto decided = holder.take_decided();
     REQUIRE(decided.size() == 1);
@@ -591,8 +591,8 @@
 TEST_CASE("a request whose client has left waits no longer") {
     Holder holder{{"edge-1", 1}, {}, Time{5}};
     holder.connected(true);
-    holder.request(tenant, 10, 1, patience, Time{5});
-    holder.withdraw(1);
+    holder.acquire(tenant, 10, 1, patience, Time{5});
+    holder.cancel(1);
     CHECK_FALSE(holder.has_waiting());
     holder.tick(Time{6});
     CHECK(holder.take_decided().empty());
--- a/tests/system/lending_load_test.cpp
+++ b/tests/system/lending_load_test.cpp
@@ -46,7 +46,7 @@
         }
         std::map<std::string, leases::Limit> limits;
         for (size_t i = 0; i < tenants; ++i) limits[name(i)] = {60000, 90000};
-        allocator_.limits(limits, now_);
+        allocator_.set_limits(limits, now_);
         allocator_.begin(1, nodes, now_);
     }
     // Share of the requests that are refused for good meanwhile. `requests`: a second, at all proxies together.
@@ -83,10 +83,10 @@
         auto& holder = holders_[chance_.next() % holders_.size()];
         const auto ticket = ++ticket_;
         waiting_[ticket] = request;
-        decided(ticket, holder.request(name(chance_.next() % tenants_), request.cost, ticket, patience, now_));
+        decided(ticket, holder.acquire(name(chance_.next() % tenants_), request.cost, ticket, patience, now_));
     }
     void decided(uint64_t ticket, const leases::Decision& decision) {
-        if (decision.verdict == leases::Verdict::waits) return;
+        if (decision.verdict == leases::Verdict::waiting) return;
         auto request = waiting_.extract(ticket).mapped();
         if (decision.verdict == leases::Verdict::granted) return;
         if (request.tries++ < most_tries)
@@ -97,14 +97,14 @@
     void act(leases::Holder& holder) {
         holder.tick(now_);
         for (const auto& each : holder.take_decided()) decided(each.ticket, each.decision);
-        if (auto ask = holder.ask(now_)) asks_.emplace_back(&holder, std::move(*ask));
+        if (auto ask = holder.next_request(now_)) asks_.emplace_back(&holder, std::move(*ask));
     }
     void serve() {
         for (free_at_ = std::max(free_at_, now_ - step); !asks_.empty() && free_at_ + for_an_ask_ <= now_;) {
             free_at_ = free_at_ + for_an_ask_;
             auto [holder, ask] = std::move(asks_.front());
             asks_.pop_front();
-            if (const auto reply = allocator_.ask(ask, now_)) holder->apply(*reply, now_);
+            if (const auto reply = allocator_.handle(ask, now_)) holder->apply(*reply, now_);
         }
     }
 
@@ -119,7 +119,7 @@
     std::deque<std::pair<Time, Request>> returns_;   // refused requests whose clients come back
     std::deque<leases::Holder> holders_;
     leases::Allocator allocator_{{140000, 0.1, Span{8}}};
-    std::deque<std::pair<leases::Holder*, leases::LeaseAsk>> asks_;
+    std::deque<std::pair<leases::Holder*, leases::LeaseRequest>> asks_;
 };
 
 double processor_time() {
@@ -176,7 +176,7 @@
 private:
     static constexpr size_t tenants = 40;
     Control control_;
-    leases::LeaseAsk ask_;
+    leases::LeaseRequest ask_;
 };
 
 // One of three control nodes, to which another one tells of hosts that drain.
--- a/tests/system/messages_test.cpp
+++ b/tests/system/messages_test.cpp
@@ -38,13 +38,13 @@
             ProxiesTold{std::vector<std::string>{"edge-1", "edge-2"}, 2, true, 100},
             ProxiesTold{std::nullopt, 2, false, 0.5},
             Subscribe{"edge-1", 8, "north"},
-            leases::LeaseAsk{{"edge-1", 77}, 5, 4, 3, 1.25, {{"t", {50, 40, 3, 2, 1, 7, 0.5}}}},
+            leases::LeaseRequest{{"edge-1", 77}, 5, 4, 3, 1.25, {{"t", {50, 40, 3, 2, 1, 7, 0.5}}}},
             leases::LeaseReply{{"edge-1", 77}, 5, 3, true, {{"t", {500, 400, 30, 20, 10, 1.25}}}},
             ConfigurationTold{9, "{}"},
             FleetTold{true, false, 2, 12, {node}, std::nullopt},
             FleetTold{false, true, 2, 12, {}, node},
             RolloutsTold{{4, {{3, "s", "v2", 12.5, rollout::Stage::moving, {"v0"}}}}},
-            rollout::Ballot{"edge-1", "north", 77, 5, 3, 1.25, 1, 2, {{"r", {40, 1}, {{"i-1", {3, 2}}}}}}};
+            rollout::RolloutReport{"edge-1", "north", 77, 5, 3, 1.25, 1, 2, {{"r", {40, 1}, {{"i-1", {3, 2}}}}}}};
 }
 
 }   // namespace
@@ -67,9 +67,9 @@
     const auto read = std::get<leases::LeaseReply>(*decode(encode(reply)));
     CHECK(read.tenants.at("small").granted == 1);
     CHECK(read.tenants.at("large").granted == 54321);
-    leases::LeaseAsk ask{{"edge-1", 1}, 1, 0, 0, 0, {}};
+    leases::LeaseRequest ask{{"edge-1", 1}, 1, 0, 0, 0, {}};
     ask.tenants["t"].held = 0.3334;
-    CHECK(std::get<leases::LeaseAsk>(*decode(encode(ask))).tenants.at("t").held == 0.334);
+    CHECK(std::get<leases::LeaseRequest>(*decode(encode(ask))).tenants.at("t").held == 0.334);
 }
 
 TEST_CASE("what is cut short or changed is refused or another message, never a crash") {
--- a/tests/system/metrics_answer_test.cpp
+++ b/tests/system/metrics_answer_test.cpp
@@ -91,14 +91,14 @@
 namespace {
 
 // The last ask for leases that a proxy has sent to its control node.
-std::optional<leases::LeaseAsk> last_ask(const std::string& received) {
+std::optional<leases::LeaseRequest> last_ask(const std::string& received) {
     messages::FrameReader reader;
     reader.feed(received);
-    std::optional<leases::LeaseAsk> last;
+    std::optional<leases::LeaseRequest> last;
     while (const auto json = reader.next()) {
         const auto message = messages::decode(*json);
         REQUIRE(message);
-        if (const auto* ask = std::get_if<leases::LeaseAsk>(&*message)) last = *ask;
+        if (const auto* ask = std::get_if<leases::LeaseRequest>(&*message)) last = *ask;
     }
     return last;
 }
--- a/tests/system/quota_report_test.cpp
+++ b/tests/system/quota_report_test.cpp
@@ -43,8 +43,8 @@
     // The allocator lends that much, in reply to an ask for a request that waits.
     void lent(const std::string& tenant, double units, double overload) {
         leases.connected(true);
-        leases.request(tenant, units + 1, 1, Span{0.1}, now);
-        const auto ask = leases.ask(now);
+        leases.acquire(tenant, units + 1, 1, Span{0.1}, now);
+        const auto ask = leases.next_request(now);
         leases::LeaseReply reply{ask->holder, ask->number, 1, false, {}};
         reply.tenants[tenant].granted = units;
         reply.tenants[tenant].overload = overload;
--- a/tests/system/registry_test.cpp
+++ b/tests/system/registry_test.cpp
@@ -80,7 +80,7 @@
 TEST_CASE("time in which nothing could be heard counts for nobody") {
     HostTable table({});
     table.merge(host("1", 1), Time{0});
-    table.excuse(Span{10});
+    table.extend_deadlines(Span{10});
     CHECK(table.expire(Time{12}).empty());
     CHECK(table.expire(Time{15}).size() == 1);
 }
@@ -88,18 +88,18 @@
 TEST_CASE("a host known from before a restart is trusted for a short time only") {
     registry::HostTableOptions options;
     HostTable table(options);
-    table.remember(host("1", 0), Time{100});
-    table.remember(host("2", 0), Time{100});
+    table.restore(host("1", 0), Time{100});
+    table.restore(host("2", 0), Time{100});
     CHECK(table.merge(host("1", 7), Time{101}) == false);   // known already, and as before
-    CHECK(table.expire(Time{100} + options.confirmed_within - Span{0.1}).empty());
-    const auto lost = table.expire(Time{100} + options.confirmed_within + Span{0.1});
+    CHECK(table.expire(Time{100} + options.restored_timeout - Span{0.1}).empty());
+    const auto lost = table.expire(Time{100} + options.restored_timeout + Span{0.1});
     REQUIRE(lost.size() == 1);
     CHECK(lost[0].id == "2");
 }
 
 TEST_CASE("the table is bounded, those that are gone give way first") {
     registry::HostTableOptions options;
-    options.most_hosts = 3;
+    options.max_hosts = 3;
     HostTable table(options);
     for (const auto* id : {"1", "2", "3"}) table.merge(host(id, 1), Time{0});
     table.merge(host("2", 0, HostState::gone), Time{0});
--- a/tests/system/replica_test.cpp
+++ b/tests/system/replica_test.cpp
@@ -34,7 +34,7 @@
             }
     }
     void hear(int from, const Message& message, uint64_t disk = 0) {
-        self->received(replica(from, disk), message, now);
+        self->receive(replica(from, disk), message, now);
         collect();
     }
     void pass(Span span) {
@@ -53,7 +53,7 @@
     // Elected by the votes of the others, which then hold its first entry.
     void lead() {
         const int voters = static_cast<int>(self->entry()->state.voters.size());
-        for (int other = 2; other <= voters; ++other) self->greeted(replica(other), true, now);
+        for (int other = 2; other <= voters; ++other) self->peer_connected(replica(other), true, now);
         while (!last<VoteRequest>(2)) pass(Span{0.05});
         const auto trial = last<VoteRequest>(2)->term;
         for (int other = 2; other <= voters; ++other) hear(other, VoteReply{true, trial, true});
@@ -208,7 +208,7 @@
     Alone alone;
     alone.lead();
     REQUIRE(alone.self->role() == Role::leader);
-    alone.self->met(replica(3, 77), true, alone.now + Span{0.01});
+    alone.self->peer_reachable(replica(3, 77), true, alone.now + Span{0.01});
     alone.now = alone.now + Span{0.05};
     alone.pass(Span{0.1});
     CHECK_FALSE(alone.self->is_voter(replica(3)));
@@ -226,16 +226,16 @@
     alone.pass(Span{0.3});
     alone.answer(2);
     alone.answer(3);
-    CHECK(alone.self->is_copied());
+    CHECK(alone.self->is_fully_replicated());
     auto state = alone.self->entry()->state;
     state.version = 9;
     REQUIRE(alone.self->propose(state, alone.now));
     alone.collect();
     alone.answer(2);
     CHECK(alone.self->committed() == alone.self->entry()->position.index);
-    CHECK_FALSE(alone.self->is_copied());   // one more voter answers, and lacks it
+    CHECK_FALSE(alone.self->is_fully_replicated());   // one more voter answers, and lacks it
     alone.answer(3);
-    CHECK(alone.self->is_copied());
+    CHECK(alone.self->is_fully_replicated());
 }
 
 TEST_CASE("of four voters one that is silent for two seconds is dropped, of three none is") {
@@ -267,7 +267,7 @@
         alone.pass(Span{0.1});
     }
     CHECK_FALSE(alone.self->is_voter(replica(4)));   // it still answers, and is about to end
-    alone.self->greeted(replica(4), true, alone.now);
+    alone.self->peer_connected(replica(4), true, alone.now);
     alone.pass(Span{0.3});
     for (int other = 2; other <= 4; ++other) alone.answer(other);
     alone.pass(Span{0.1});
@@ -299,14 +299,14 @@
         return count;
     };
     follower.hear(2, append(1, 1, last, 0, 0));
-    follower.self->disconnected(replica(3), follower.now);   // of another follower
-    follower.self->disconnected(replica(2), follower.now);   // reset, and up again
+    follower.self->peer_disconnected(replica(3), follower.now);   // of another follower
+    follower.self->peer_disconnected(replica(2), follower.now);   // reset, and up again
     follower.pass(Span{0.25});
     follower.hear(2, append(1, 2, last, 0, 1));
     follower.pass(Span{0.8});
     CHECK(elections() == 0);
     follower.hear(2, append(1, 3, last, 0, 2));
-    follower.self->disconnected(replica(2), follower.now);
+    follower.self->peer_disconnected(replica(2), follower.now);
     follower.hear(3, VoteRequest{true, 2, last, false});   // another one that has lost it is not held up
     CHECK(follower.last<VoteReply>(3)->granted);
     follower.pass(Span{0.3});
@@ -317,7 +317,7 @@
 
 TEST_CASE("a vote is on disk, with whom it went to, before it is given") {
     Alone alone;
-    alone.self->received(replica(2), VoteRequest{false, 5, {0, 1}, true}, alone.now);
+    alone.self->receive(replica(2), VoteRequest{false, 5, {0, 1}, true}, alone.now);
     std::vector<Persist> writes;
     const auto replies = [&] {
         size_t count = 0;
@@ -346,7 +346,7 @@
     alone.hear(4, Departure{alone.self->term()});
     alone.pass(Span{0.1});
     REQUIRE_FALSE(alone.self->is_voter(replica(4)));   // proposed; nobody has answered yet
-    alone.self->greeted(replica(5), true, alone.now);
+    alone.self->peer_connected(replica(5), true, alone.now);
     alone.pass(Span{0.25});
     alone.answer(5);
     alone.pass(Span{0.1});
--- a/tests/system/rollout_fleet.hpp
+++ b/tests/system/rollout_fleet.hpp
@@ -47,7 +47,7 @@
             rollout::WatcherOptions own;
             own.node = "edge-" + std::to_string(i);
             own.zone = "zone-" + std::to_string(i % options_.zones);
-            own.life = i + 1;
+            own.incarnation = i + 1;
             watchers_.emplace_back(own, seed * 1000 + i);
         }
     }
@@ -76,7 +76,7 @@
         ordered_ = now_;
         rollout::Rollouts rollouts = rollout::begun({}, "s", "v2", 16);
         for (auto& watcher : watchers_) {
-            watcher.told(rollouts, now_);
+            watcher.update(rollouts, now_);
         }
     }
     void serve(const Hosts& hosts, Span span, const std::function<bool(Time)>& decided) {
@@ -96,40 +96,40 @@
         request.route = routes[chance_.next() % routes.size()];
         request.now = now_;
         auto& watcher = watchers_[request.proxy];
-        watcher.heard_current(now_);
+        watcher.confirm_control(now_);
         if (ordered_) {
             ++of_all_;
             request.since_order = (now_ - *ordered_).s;
-            request.at_candidate = request.since_order > 1 && watcher.wants_candidate("s", now_);
+            request.at_candidate = request.since_order > 1 && watcher.choose_candidate("s", now_);
         }
         request.host = chance_.next() % (request.at_candidate ? options_.candidates : 60);
         note(request, hosts(request, chance_), watcher);
     }
     void note(const Request& request, const Answered& answered, rollout::Watcher& watcher) {
         const bool lies = request.proxy < options_.liars && request.at_candidate;
-        rollout::AttemptEnd end;
+        rollout::AttemptResult end;
         end.route = request.route;
         end.host = (request.at_candidate ? "new-" : "old-") + std::to_string(request.host);
         end.group = request.at_candidate ? rollout::Group::candidate : rollout::Group::serving;
         end.failed = answered.failed || lies;
         const double usual = request.route == "summary" ? 0.1 : 0.5;
-        end.total = Span{usual * answered.slower * std::exp(chance_.share() - 0.5)};
-        end.pieces = request.route == "summary" ? 2 : 20;
-        end.between_pieces = end.total * 0.8;
+        end.duration = Span{usual * answered.slower * std::exp(chance_.share() - 0.5)};
+        end.chunks = request.route == "summary" ? 2 : 20;
+        end.streaming_time = end.duration * 0.8;
         if (request.at_candidate) {
             ++at_candidates_;
             bad_ += answered.failed || answered.slower > 2;
         }
-        watcher.ended("s", end);
+        watcher.record("s", end);
     }
     void tell() {
         const bool changes = options_.leader_changes && (now_ - *ordered_).s > 4 && !changed_;
         if (changes) judge_ = rollout::Judge{};
         changed_ = changed_ || changes;
         for (auto& watcher : watchers_)
-            for (const auto& ballot : watcher.take_ballots(
+            for (const auto& ballot : watcher.take_reports(
                      watchers_.size(), [](const auto&) { return size_t{0}; }, now_))
-                judge_.take(ballot, now_);
+                judge_.add(ballot, now_);
     }
 
     Options options_;
--- a/tests/system/rollout_order_test.cpp
+++ b/tests/system/rollout_order_test.cpp
@@ -21,14 +21,14 @@
 // A control node that leads alone, and a proxy that tells it what it sees of candidates.
 struct OrderedRollout {
     Control control{{}, document(3)};
-    rollout::Ballot ballot;
+    rollout::RolloutReport ballot;
 
     OrderedRollout() {
         control.subscribe();
         CHECK(order("v2") == 200);
         ballot.node = "edge-1";
         ballot.zone = "north";
-        ballot.life = 1;
+        ballot.incarnation = 1;
         ballot.rollout = 1;
         ballot.routes = {{"r", {}, {{"new-1", {}}, {"new-2", {}}}}};
     }
--- a/tests/system/rollout_proxy_test.cpp
+++ b/tests/system/rollout_proxy_test.cpp
@@ -62,13 +62,13 @@
             if (i % 5 == 0) stay(Span{0.25});
         }
     }
-    std::optional<rollout::Ballot> last_ballot() {
+    std::optional<rollout::RolloutReport> last_ballot() {
         messages::FrameReader reader;
         reader.feed(world.control.last().received);
-        std::optional<rollout::Ballot> last;
+        std::optional<rollout::RolloutReport> last;
         while (const auto json = reader.next())
             if (const auto message = messages::decode(*json))
-                if (const auto* ballot = std::get_if<rollout::Ballot>(&*message)) last = *ballot;
+                if (const auto* ballot = std::get_if<rollout::RolloutReport>(&*message)) last = *ballot;
         return last;
     }
 
