--- a/src/messages/messages.hpp
+++ b/src/messages/messages.hpp
@@ -13,7 +13,7 @@
 #include "leases/configuration_lease.hpp"
 #include "leases/lease.hpp"
 #include "registry/host_table.hpp"
-#include "rollout/ballot.hpp"
+#include "rollout/report.hpp"
 #include "rollout/rollout.hpp"
 
 namespace myrtleroute::messages {
@@ -91,10 +91,10 @@
 
 // Proxies ask for leases at the control node to which they subscribe; asks and replies go by way of it to the leader and
 // back, and so do ballots.
-using Message =
-    std::variant<PeerHello, ConsensusMessage, HostsUpdate, HostsConfirmation, HostHeartbeats, ProxiesStatus, Subscribe,
-                 leases::LeaseAsk, leases::LeaseReply, leases::ConfigurationLeaseAsk, leases::ConfigurationLeaseReply,
-                 ConfigurationUpdate, FleetStatus, RolloutsUpdate, rollout::Ballot>;
+using Message = std::variant<PeerHello, ConsensusMessage, HostsUpdate, HostsConfirmation, HostHeartbeats, ProxiesStatus,
+                             Subscribe, leases::LeaseRequest, leases::LeaseReply, leases::ConfigurationLeaseRequest,
+                             leases::ConfigurationLeaseReply, ConfigurationUpdate, FleetStatus, RolloutsUpdate,
+                             rollout::RolloutReport>;
 
 std::string encode(const Message& message);             // the JSON, without a frame
 std::optional<Message> decode(std::string_view json);   // nothing where it is no sound message
--- a/src/roles/control/node.hpp
+++ b/src/roles/control/node.hpp
@@ -82,14 +82,14 @@
     void handle(ConnectionId link, const messages::HostHeartbeats& heard, Time now);
     void handle(ConnectionId link, const messages::ProxiesStatus& proxies, Time now);
     void handle(ConnectionId link, const messages::Subscribe& subscribe, Time now);
-    void handle(ConnectionId link, const leases::LeaseAsk& ask, Time now);
+    void handle(ConnectionId link, const leases::LeaseRequest& ask, Time now);
     void handle(ConnectionId link, const leases::LeaseReply& reply, Time now);
-    void handle(ConnectionId link, const leases::ConfigurationLeaseAsk& ask, Time now);
+    void handle(ConnectionId link, const leases::ConfigurationLeaseRequest& ask, Time now);
     void handle(ConnectionId, const leases::ConfigurationLeaseReply&, Time) {}   // for proxies only
     void handle(ConnectionId, const messages::ConfigurationUpdate&, Time) {}
     void handle(ConnectionId, const messages::FleetStatus&, Time) {}
     void handle(ConnectionId, const messages::RolloutsUpdate&, Time) {}
-    void handle(ConnectionId link, const rollout::Ballot& ballot, Time now);
+    void handle(ConnectionId link, const rollout::RolloutReport& ballot, Time now);
 
     void configuration_request(const HttpRequest& request, Time now);
     void rollout_request(const HttpRequest& request, Time now);
@@ -138,7 +138,7 @@
     HostService hosts_;
     LendingService lending_;
     ProxyDirectory proxies_;
-    std::vector<std::pair<ConnectionId, leases::LeaseAsk>> waiting_asks_;   // until this node lends
+    std::vector<std::pair<ConnectionId, leases::LeaseRequest>> waiting_asks_;   // until this node lends
     std::map<Endpoint, messages::ControlNode> known_;   // control nodes, by peer endpoint; not this one
     std::map<ConnectionId, Link> links_;                // of other control nodes
     uint64_t told_index_ = 0;                           // of the newest committed entry that was looked at whole
