--- a/src/median.hpp
+++ b/src/median.hpp
@@ -1,4 +1,4 @@
-// The middle of some figures; their order is changed.
+// The median, or `otherwise` if there are no values; reorders them. Of an even number, the upper of the middle two.
 #pragma once
 #include <algorithm>
 #include <vector>
--- a/src/random.hpp
+++ b/src/random.hpp
@@ -1,4 +1,4 @@
-// Chance: a permuted congruential generator (PCG-XSH-RR), started from the instance's seed.
+// Pseudo-random numbers: a permuted congruential generator (PCG-XSH-RR 64/32). The same seed gives the same sequence.
 #pragma once
 #include <cstdint>
 
@@ -11,10 +11,10 @@
         const uint64_t old = state_;
         state_ = old * 6364136223846793005ULL + step_;
         const auto mixed = static_cast<uint32_t>(((old >> 18) ^ old) >> 27);
-        const auto turn = static_cast<uint32_t>(old >> 59);
-        return (mixed >> turn) | (mixed << (-turn & 31));
+        const auto rotation = static_cast<uint32_t>(old >> 59);
+        return (mixed >> rotation) | (mixed << (-rotation & 31));
     }
-    double uniform() { return next() / 4294967296.0; }   // even over [0, 1)
+    double uniform() { return next() / 4294967296.0; }   // over [0, 1)
 
 private:
     static constexpr uint64_t step_ = 1442695040888963407ULL;
--- a/src/time.hpp
+++ b/src/time.hpp
@@ -1,4 +1,4 @@
-// A point in time and a span of time. The two can't be mixed up: only a span can be added to a point.
+// A point in time and a duration, in seconds, as distinct types: only a duration can be added to a point in time.
 #pragma once
 #include <compare>
 
@@ -21,6 +21,6 @@
     constexpr Span operator-(Time o) const { return {s - o.s}; }
 };
 
-constexpr Time long_ago{-1e18};
+constexpr Time long_ago{-1e18};   // before any event: "never so far"
 
 }  // namespace myrtleroute
