--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -1,6 +1,6 @@
-// All decisions of myrtleroute: where each API call's shots go while things fail; logic.hpp has the events,
-// docs/design.md the mechanism. Below: Desk (what all share), Fleet (list, pool, choice, health), the stages
-// of the chain from the API call's side to the servers' side, and the Balancer, which feeds them.
+// The load balancer's decisions: which server each attempt of a call goes to, and what follows a failure.
+// logic.hpp has the events, docs/design.md the algorithm. Below: Context (shared state), ServerPool (list,
+// pool, selection, health), the stages that each call passes, and DecisionEngine, which feeds them.
 #include "logic.hpp"
 
 #include <algorithm>
@@ -18,30 +18,30 @@
 namespace myrtleroute {
 namespace {
 
-// The design's figures. Spans and counts that settings give are used as ratios where they are needed.
+// Constants of the algorithm. Values from the settings are used directly where they are needed.
 constexpr Span interval{10};                       // between resizes of the pool
-constexpr Span tick = interval * (1.0 / 40);       // between looks at medians, limit and quarantine
-constexpr Span penalty{5};                         // how long a failure counts
-constexpr double penalty_weight = 25;              // calls busier, also the most a member should carry
-constexpr Span hair{1e-6};                         // what rounding may take off a wake's time
-constexpr Span most_silence{1};
-constexpr double outstanding = 0.1;                // share of failures above the median's
-constexpr double most_wait = 0.55;                 // of the SLO
-constexpr size_t first_size = 10, least_size = 4, most_size = 200;
-constexpr Span report_counts{2};                   // a server's word on what it holds, less and less
-constexpr double begun_weight = 0.3;               // of a call whose answer is under way, by known slots
-constexpr double full_at = 1.25;                   // calls held at a server over its slots
-constexpr int worn = 6;                            // calls a member takes in an interval, else the pool grows
-constexpr uint64_t tick_cookie = 1ULL << 60, list_cookie = tick_cookie + 1;   // call ids stay below
-
-struct Desk {
-    Settings set;
-    Actions& out;
-    Pcg chance;
+constexpr Span tick_period = interval * (1.0 / 40);   // between updates of medians, limits and quarantines
+constexpr Span penalty{5};                         // how long a failure counts against a server
+constexpr double penalty_weight = 25;              // cost of a penalty, in calls; also the most per member
+constexpr Span timer_slack{1e-6};                  // a timer may fire this much early because of rounding
+constexpr Span max_silence{1};                     // upper bound of the silence timeout, see below
+constexpr double outlier_margin = 0.1;             // failure ratio above the median's that makes an outlier
+constexpr double max_wait_share = 0.55;            // of the SLO that a call may spend in a server's queue
+constexpr size_t initial_size = 10, min_pool_size = 4, max_pool_size = 200;
+constexpr Span load_report_lifetime{2};            // over which a server's load report loses its weight
+constexpr double streaming_weight = 0.3;           // of a call whose response has begun, with known_slots
+constexpr double overload_factor = 1.25;           // calls that a server may hold per slot, with known_slots
+constexpr int calls_per_member = 6;                // in an interval; with more, the pool grows
+constexpr uint64_t tick_cookie = 1ULL << 60, list_cookie = tick_cookie + 1;   // call ids are smaller
+
+struct Context {   // shared by all parts
+    Settings conf;
+    Actions& actions;
+    Pcg rng;
     Time now;
 };
 
-// The same share of [0, 1) for a key and a server at every balancer.
+// Deterministic hash of key and server to [0, 1), the same at every proxy (rendezvous hashing).
 double draw(uint64_t key, uint64_t server) {
     Pcg mixed(key * 0x9e3779b97f4a7c15ULL ^ server);
     mixed.next();
@@ -50,419 +50,427 @@
 
 bool idempotent(const Call& c) { return c.product->repeat == Idempotency::idempotent; }
 
-// Until when an answer is worth anything; later ones are not worth a further shot.
+// Latest time at which an answer still has a value; no attempt is started that would end later.
 Time useful_until(const Call& c) {
-    return c.product->late_value > 0 ? c.give_up : std::min(c.give_up, c.arrived + c.product->slo);
+    return c.product->late_value > 0 ? c.deadline : std::min(c.deadline, c.arrived + c.product->slo);
 }
 
-bool same_group(const Product& p, const Server& a, const Server& b) {
-    return p.group == Group::all || (p.group == Group::zone ? a.zone == b.zone : a.cell == b.cell);
+bool same_scope(const Product& p, const Server& a, const Server& b) {
+    return p.scope == DedupScope::all || (p.scope == DedupScope::zone ? a.zone == b.zone : a.cell == b.cell);
 }
 
-// No effect twice: whether a shot of the call, a further one or that one, may go to this server now.
-bool may_send(const Call& c, const Server& s, Time now, const Shot* that = nullptr) {
-    for (const auto& shot : c.shots) {
-        if (&shot == that || idempotent(c) || !shot.may_have_run()) continue;
+// Prevents repeated execution: whether a new attempt, or the existing one `that`, may go to this server now.
+bool may_send(const Call& c, const Server& s, Time now, const Attempt* that = nullptr) {
+    for (const auto& other : c.attempts) {
+        if (&other == that || idempotent(c) || !other.may_have_run()) continue;
         if (c.product->repeat == Idempotency::non_idempotent) return false;
-        if (!same_group(*c.product, *shot.server, s) || now - shot.sent >= c.product->window) return false;
+        if (!same_scope(*c.product, *other.server, s) || now - other.sent >= c.product->window) return false;
     }
     return true;
 }
 
-// A rate-limit reply tells the client that a retry is harmless.
+// A rate-limit response tells the client that it can retry safely, so no attempt may have run.
 bool may_rate_limit(const Call& c) {
     if (idempotent(c)) return true;
-    if (c.product->repeat == Idempotency::deduplicated && c.product->group == Group::all) return true;
-    return std::none_of(c.shots.begin(), c.shots.end(), [](const Shot& s) { return s.may_have_run(); });
+    if (c.product->repeat == Idempotency::deduplicated && c.product->scope == DedupScope::all) return true;
+    return std::ranges::none_of(c.attempts, [](const Attempt& a) { return a.may_have_run(); });
 }
 
-class Fleet {
+class ServerPool {   // all listed servers, and the members that this proxy prefers to send to
 public:
-    explicit Fleet(Desk& desk) : desk_(desk), cutting_(desk.set.tail && desk.set.cancel), started_(desk.now) {
-        tail_.assign(desk.set.products.size(), SlidingWindow<2>(penalty));
-        products_.assign(desk.set.products.size(), Kind(penalty));
-        tenants_.assign(desk.set.allowances.size() + 1, Kind(penalty));
-        least_slo_ = table_.least_slo(interval);
-    }
-    uint32_t define_product(const Product& told) {
-        const auto [number, fresh] = table_.tell(told);
+    explicit ServerPool(Context& ctx)
+        : ctx_(ctx), cuts_late_(ctx.conf.slo_penalty && ctx.conf.cancel), started_(ctx.now) {
+        by_product_.assign(ctx.conf.products.size(), SlidingWindow<2>(penalty));
+        products_.assign(ctx.conf.products.size(), LatenessStats(penalty));
+        tenants_.assign(ctx.conf.allowances.size() + 1, LatenessStats(penalty));
+        min_slo_ = table_.min_slo(interval);
+    }
+    uint32_t define_product(const Product& product) {
+        const auto [number, fresh] = table_.upsert(product);
         if (!fresh) return static_cast<uint32_t>(number);
-        tail_.resize(table_.size(), SlidingWindow<2>(penalty));
-        tail_[number] = SlidingWindow<2>(penalty);
-        products_.resize(table_.size(), Kind(penalty));
-        products_[number] = Kind(penalty);
+        by_product_.resize(table_.size(), SlidingWindow<2>(penalty));
+        by_product_[number] = SlidingWindow<2>(penalty);
+        products_.resize(table_.size(), LatenessStats(penalty));
+        products_[number] = LatenessStats(penalty);
         for (auto& [id, s] : known_) {
             s->full_until.resize(table_.size(), long_ago);
             s->full_until[number] = long_ago;
         }
-        least_slo_ = table_.least_slo(interval);
+        min_slo_ = table_.min_slo(interval);
         return static_cast<uint32_t>(number);
     }
     void data_received(ServerId id) {
-        if (auto* s = find(id)) s->last_heard = last_heard_ = desk_.now;
+        if (auto* s = find(id)) s->last_data = last_data_ = ctx_.now;
     }
     void load_reported(ServerId id, double held) {
         auto* s = find(id);
         if (!s) return;
-        s->others = std::max(0.0, held - s->load());
-        s->reported = desk_.now;
+        s->others_load = std::max(0.0, held - s->load());
+        s->reported_at = ctx_.now;
     }
     Server* find(ServerId id) {
         const auto it = known_.find(id);
         return it == known_.end() ? nullptr : it->second.get();
     }
 
-    // The list.
     void list_began(bool whole, bool cached) {
-        if (!cached) asked_again_ = 0;
+        if (!cached) list_retries_ = 0;
         if (whole)
             for (auto* s : listed_)
-                if (std::exchange(s->state, State::gone) != State::gone) s->vouched = desk_.now;
+                if (std::exchange(s->state, State::gone) != State::gone) s->last_seen = ctx_.now;
     }
     void server_listed(ServerId id, uint16_t zone, uint16_t cell, State state, double size, Time launched) {
-        auto& slot = known_[id];
-        if (slot && launched > slot->launched && !slot->drained) restarted_ = desk_.now;
-        if (!slot) {
-            slot = std::make_unique<Server>(penalty);
-            slot->full_until.assign(desk_.set.products.size(), long_ago);
-            slot->id = id;
-            listed_.push_back(slot.get());
+        auto& s = known_[id];
+        if (s && launched > s->launched && !s->drained) last_restart_ = ctx_.now;
+        if (!s) {
+            s = std::make_unique<Server>(penalty);
+            s->full_until.assign(ctx_.conf.products.size(), long_ago);
+            s->id = id;
+            listed_.push_back(s.get());
         }
-        slot->zone = zone;
-        slot->cell = cell;
-        if (state != State::gone || slot->state != State::gone) slot->vouched = desk_.now;
-        slot->state = state;
-        const bool anew = state == State::ready && launched > slot->launched;
-        slot->drained = (slot->drained && !anew) || state == State::draining;
+        s->zone = zone;
+        s->cell = cell;
+        if (state != State::gone || s->state != State::gone) s->last_seen = ctx_.now;
+        s->state = state;
+        const bool restarted = state == State::ready && launched > s->launched;
+        s->drained = (s->drained && !restarted) || state == State::draining;
         if (size <= 0) size = 1;
-        // A live weight is the size only while the server holds nothing.
-        slot->size = desk_.set.live_weights && slot->launched >= launched ? std::max(slot->size, size) : size;
-        if (launched <= slot->launched) return;
-        slot->launched = launched;
-        slot->credit = desk_.chance.uniform();   // so that balancers' turns at it are spread
+        // A live weight equals the capacity only while the server is idle, so the maximum is kept.
+        s->capacity = ctx_.conf.live_weights && s->launched >= launched ? std::max(s->capacity, size) : size;
+        if (launched <= s->launched) return;
+        s->launched = launched;
+        s->credit = ctx_.rng.uniform();   // random, so that proxies don't send to it at the same time
     }
     void list_ended() {
         std::sort(listed_.begin(), listed_.end(), [](auto* a, auto* b) { return a->id < b->id; });
-        arrange();
-        refill();
+        order_servers();
+        update_members();
     }
-    // Asks again with growing, random waits that spare the list service, but in time for drains.
+    // Retries with exponential backoff and jitter, but soon enough to learn of drains in time.
     void list_failed() {
-        const Span most = std::min(desk_.set.ask_within, most_untold);
-        const Span wait = most * (std::min(16, 1 << asked_again_) / 40.0);
-        asked_again_ = std::min(4, asked_again_ + 1);
-        desk_.out.set_timer(wait * (0.5 + desk_.chance.uniform() / 2), list_cookie);
+        const Span most = std::min(ctx_.conf.ask_within, max_list_delay);
+        const Span wait = most * (std::min(16, 1 << list_retries_) / 40.0);
+        list_retries_ = std::min(4, list_retries_ + 1);
+        ctx_.actions.set_timer(wait * (0.5 + ctx_.rng.uniform() / 2), list_cookie);
     }
 
-    // The pool: members_ are the first of order_, so that each balancer has a stable part of its own.
+    // Pool of members: the first servers of order_, so that each proxy has a stable subset of its own.
     void note_in_flight(int delta) {
         in_flight_ += delta;
         peak_ = std::max(peak_, in_flight_);
-        // A burst is over before the interval is, so growth does not wait for it; shrinking does. Guards
-        // against one with far more short calls than others, hardly any in flight, wearing out a few servers.
-        if (wanted(in_flight_) <= members_.size() || members_.size() >= order_.size()) return;
-        target_ = wanted(in_flight_);
-        refill();
-    }
-    size_t wanted(int in_flight) const { return static_cast<size_t>(std::max(in_flight, placed_ / worn)); }
-    double share() const { return 3.0 * order_.size() / desk_.set.balancers; }
-    // Twice the share where that is a third of the servers at most, so that pools of small fleets differ.
-    size_t floor() const {
-        const double wide = std::min(2 * share(), order_.size() / 3.0);
-        return std::max(least_size, static_cast<size_t>(std::ceil(std::max(share(), wide))));
+        // Grows at once, as a burst ends before the interval does; shrinking waits for it. Guards against a
+        // proxy with many short calls, hardly any in flight at a time, overloading a few servers.
+        if (wanted_size(in_flight_) <= members_.size() || members_.size() >= order_.size()) return;
+        target_size_ = wanted_size(in_flight_);
+        update_members();
+    }
+    size_t wanted_size(int in_flight) const {
+        return static_cast<size_t>(std::max(in_flight, calls_sent_ / calls_per_member));
+    }
+    double fair_share() const { return 3.0 * order_.size() / ctx_.conf.balancers; }
+    // Twice the fair share, but a third of the servers at most, so that the pools of small fleets differ.
+    size_t min_size() const {
+        const double wide = std::min(2 * fair_share(), order_.size() / 3.0);
+        return std::max(min_pool_size, static_cast<size_t>(std::ceil(std::max(fair_share(), wide))));
     }
     void resize() {
-        const auto size = std::clamp(wanted(peak_), floor(), most_size);
-        target_ = size < target_ ? std::max(size, target_ - 2) : size;   // shrinks by two at most
-        peak_ = in_flight_, placed_ = 0;
-        arrange();
-        refill();
-    }
-
-    // The choice: the member with the fewest own calls in flight, per size; ties break randomly. Penalised
-    // members are for when no other is left; when no member may take it, any listed server beats no answer.
-    // Guards against driving all calls to the last few: with over half the pool penalised, none counts.
-    Server* choose(Call& c) {
-        find_homes(c);
-        const auto blamed = [this](auto* s) { return desk_.now < s->penalty_until; };
-        wide_ = 2 * std::count_if(members_.begin(), members_.end(), blamed) > std::ssize(members_);
-        const double part = most_wait * worthiness(c), all = least_slo_.s * part;
-        const double wait = all - (desk_.now - c.arrived).s * part;
-        for (auto& [zone, side] : sides_) {
-            side.risk = side.late.total(desk_.now, risked) / (side.late.total(desk_.now, tried) + 2);
-            const double n = side.lately.total(desk_.now, shots) + 2;
-            // Where late calls are called off, chance has all its slack up to half of the SLO, soon none.
-            const double most = cutting_ ? least_slo_.s * 0.6 : all, steep = cutting_ ? 6 : 1;
-            const double taken = side.lately.total(desk_.now, spans) / n / most;
+        const auto size = std::clamp(wanted_size(peak_), min_size(), max_pool_size);
+        target_size_ = size < target_size_ ? std::max(size, target_size_ - 2) : size;   // shrinks slowly
+        peak_ = in_flight_, calls_sent_ = 0;
+        order_servers();
+        update_members();
+    }
+
+    // Selects the member with the least load per capacity, ties at random; else a penalised one, else any
+    // listed server. Guards against overloading the few left: with over half penalised, no penalty counts.
+    Server* select(Call& c) {
+        find_preferred(c);
+        const auto blamed = [this](auto* s) { return ctx_.now < s->penalty_until; };
+        most_penalised_ = 2 * std::count_if(members_.begin(), members_.end(), blamed) > std::ssize(members_);
+        const double part = max_wait_share * relative_value(c), all = min_slo_.s * part;
+        const double wait = all - (ctx_.now - c.arrived).s * part;
+        for (auto& [id, zone] : zones_) {
+            zone.risk = zone.lateness.total(ctx_.now, risks) / (zone.lateness.total(ctx_.now, samples) + 2);
+            const double n = zone.recent.total(ctx_.now, attempt_count) + 2;
+            // Where late calls are cut off, the slack for bursts is full up to 0.5 SLO latency, 0 above 0.6.
+            const double most = cuts_late_ ? min_slo_.s * 0.6 : all, steep = cuts_late_ ? 6 : 1;
+            const double taken = zone.recent.total(ctx_.now, attempt_s) / n / most;
             const double calm = std::clamp(steep * (1 - taken), 0.0, 1.0);
-            side.room = side.rate * wait;
-            const double answered = side.lately.total(desk_.now, answers) + 2;
-            side.crowd = std::clamp(2 * side.lately.total(desk_.now, waits) / answered / most - 1, 0.0, 1.0);
-            if (wait > 0) side.room += 3 * calm * std::sqrt((side.room + cutting_) / std::max(1.0, share()));
-            side.floor = side.held = side.all = side.strength = 0;
+            zone.limit = zone.response_rate * wait;
+            const double answered = zone.recent.total(ctx_.now, response_count) + 2;
+            zone.stuck_weight =
+                std::clamp(2 * zone.recent.total(ctx_.now, response_s) / answered / most - 1, 0.0, 1.0);
+            if (wait > 0)
+                zone.limit += 3 * calm * std::sqrt((zone.limit + cuts_late_) / std::max(1.0, fair_share()));
+            zone.min_limit = zone.queued = zone.queued_all = zone.capacity = 0;
         }
         for (auto* s : members_) {
-            auto& side = side_of(*s);
-            side.floor += std::max(1.0, share()) / members_.size();
-            // Guards against calls to a zone cut off standing for a queue at servers within reach: what hangs
-            // at servers that are silent or out of use counts the less, the quicker others answer.
+            auto& zone = zone_of(*s);
+            zone.min_limit += std::max(1.0, fair_share()) / members_.size();
+            // Guards against calls stuck in an unreachable zone counting as a queue at reachable servers:
+            // those at silent or excluded servers count less, the faster the other servers answer.
             const bool off = s->quarantined || penalised(*s, c);
-            if (!off) side.strength += strength(*s);
-            side.all += queue(*s);
-            side.held += queue(*s) * (off || silent(*s) ? side.crowd : 1);
+            if (!off) zone.capacity += warm_capacity(*s);
+            zone.queued_all += queue_length(*s);
+            zone.queued += queue_length(*s) * (off || is_silent(*s) ? zone.stuck_weight : 1);
         }
-        bool no_room = false;
+        bool at_limit = false;
         for (const auto* among : {&members_, &order_})
             for (const bool last : {false, true})
-                if (auto* best = pick(*among, c, last, no_room); best || no_room) return best;
+                if (auto* best = pick_best(*among, c, last, at_limit); best || at_limit) return best;
         return nullptr;
     }
 
-    // Work told ahead: a heavy call counts as several in flight. Guards against light calls placed behind it.
-    void weigh(Call& c) {
+    // Weighs a call by its declared work. Guards against light calls being queued behind a heavy one.
+    void set_weight(Call& c) {
         if (c.work <= Span{}) return;
-        usual_work_ += (c.work.s - usual_work_) / (usual_work_ > 0 ? 2 * penalty_weight : 1);
-        c.weight = std::clamp(c.work.s / usual_work_, 0.1, 10.0);
-    }
-    // Seconds that answers lately took for each second of work told ahead, 0 where none is told.
-    double pace() {
-        const double told = paced_.total(desk_.now, foretold);
-        return told > 0 ? paced_.total(desk_.now, waited) / told : 0;
-    }
-    // Guards against one tenant's or product's calls taking long at every server and holding up all others:
-    // while three quarters of them miss their SLO and most others don't, all but one a while are turned away.
-    bool drags(const Call& c) {
-        for (auto* kind : kinds(c)) {
-            const double n = kind->count(desk_.now, asked), bad = kind->count(desk_.now, missed);
-            const double others = all_.count(desk_.now, asked) - n;
-            const double worse = all_.count(desk_.now, missed) - bad;
+        mean_work_ += (c.work.s - mean_work_) / (mean_work_ > 0 ? 2 * penalty_weight : 1);
+        c.weight = std::clamp(c.work.s / mean_work_, 0.1, 10.0);
+    }
+    // Seconds of recent latency for each second of declared work; 0 if no work was declared.
+    double seconds_per_work() {
+        const double told = work_latency_.total(ctx_.now, declared_s);
+        return told > 0 ? work_latency_.total(ctx_.now, actual_s) / told : 0;
+    }
+    // Guards against a tenant's or product's calls that are slow at every server and hold up all others: if
+    // three quarters of them miss their SLO and most others don't, one per penalty time is admitted.
+    bool slows_others(const Call& c) {
+        for (auto* stats : lateness_of(c)) {
+            const double n = stats->count(ctx_.now, seen), bad = stats->count(ctx_.now, missed);
+            const double others = all_calls_.count(ctx_.now, seen) - n;
+            const double worse = all_calls_.count(ctx_.now, missed) - bad;
             const bool alone = n >= 6 && others >= 4 && 4 * bad >= 3 * n && 2 * worse <= others;
-            if (alone && desk_.now < kind->tried + penalty) return true;
+            if (alone && ctx_.now < stats->last_admitted + penalty) return true;
         }
-        for (auto* kind : kinds(c)) kind->tried = desk_.now;
+        for (auto* stats : lateness_of(c)) stats->last_admitted = ctx_.now;
         return false;
     }
-    // A client's further try whose time is cut short by the client timeout tells when the first one came.
-    Time first_came(const Product& p, Time end) const {
-        return end - desk_.now < p.patience * 0.98 ? std::min(desk_.now, end - p.client_timeout) : desk_.now;
-    }
-    // Whether one more of its product may be late at no cost; what was rate-limited in time is none.
-    bool borne(const Call& c) {
-        auto& recent = tail_[kind(c)];
-        return recent.total(desk_.now, missed) + 1 <= desk_.set.borne_misses * recent.total(desk_.now, asked);
-    }
-    // Guards against calls that can only be late, where that costs more than a refusal, holding up others. As
-    // many as cost nothing are let in: late, they still have some value.
-    bool hopeless(const Call& c) {
-        if (!desk_.set.tail) return false;
-        auto& recent = tail_[kind(c)];
-        recent.add(desk_.now, asked);
-        if (cuts(c) && (desk_.now > c.arrived + last_use(c) || drags(c))) return true;
-        const Span expected = c.work * pace();
-        if (expected <= Span{} || desk_.now + expected <= c.arrived + c.product->slo) return false;
-        if (!borne(c)) return true;
-        recent.add(desk_.now, missed);
+    // When the original call of a client's retry arrived, if the retry's timeout is what was left of its own.
+    Time first_arrival(const Product& p, Time end) const {
+        return end - ctx_.now < p.max_timeout * 0.98 ? std::min(ctx_.now, end - p.client_timeout) : ctx_.now;
+    }
+    // Whether one more call of the product may be late at no cost; calls rate-limited in time don't count.
+    bool may_be_late(const Call& c) {
+        auto& recent = by_product_[index_of(c)];
+        return recent.total(ctx_.now, missed) + 1 <= ctx_.conf.allowed_late * recent.total(ctx_.now, seen);
+    }
+    // Guards against calls that can only be late, where that costs more than a rejection, delaying others. As
+    // many as may be late at no cost are admitted: a late answer still has some value.
+    bool rejected_early(const Call& c) {
+        if (!ctx_.conf.slo_penalty) return false;
+        auto& recent = by_product_[index_of(c)];
+        recent.add(ctx_.now, seen);
+        if (may_cut_off(c) && (ctx_.now > c.arrived + cutoff(c) || slows_others(c))) return true;
+        const Span expected = c.work * seconds_per_work();
+        if (expected <= Span{} || ctx_.now + expected <= c.arrived + c.product->slo) return false;
+        if (!may_be_late(c)) return true;
+        recent.add(ctx_.now, missed);
         return false;
     }
 
-    void sent(Shot& shot) {
-        const auto& side = side_of(*shot.server);
-        const bool lent = side.all >= std::max(side.floor, side.room) && warm_share(*shot.server) >= 1;
-        for (auto* s : members_) earn(*s, lent);
-        shot.server->open.push_back(&shot);
-        turn_ = std::max(turn_, shot.server->turn);
-        ++placed_;
+    void attempt_sent(Attempt& attempt) {
+        const auto& zone = zone_of(*attempt.server);
+        const bool lent = zone.queued_all >= std::max(zone.min_limit, zone.limit) &&
+                          warm_share(*attempt.server) >= 1;
+        for (auto* s : members_) earn_credit(*s, lent);
+        attempt.server->open.push_back(&attempt);
+        round_ = std::max(round_, attempt.server->next_turn);
+        ++calls_sent_;
         note_in_flight(+1);
     }
 
-    void ended(Shot& shot) {
-        Server& s = *shot.server;
-        Product& p = *shot.call->product;
-        Zone& side = side_of(s);
-        s.open.erase(std::find(s.open.begin(), s.open.end(), &shot));
-        take_turn(s);
-        // A shot given up mostly still runs or waits there, so it counts until one sent later is answered.
-        const bool given_up = shot.outcome == Outcome::timed_out || shot.outcome == Outcome::cancelled;
-        const bool beaten = given_up && shot.call->served();   // by the call's other copy
-        const bool holds = given_up && !beaten && shot.sent >= s.answered_sent;
-        if (holds) s.ghosts.push_back({shot.sent, shot.call->weight});
+    void attempt_ended(Attempt& attempt) {
+        Server& s = *attempt.server;
+        Product& p = *attempt.call->product;
+        Zone& zone = zone_of(s);
+        s.open.erase(std::find(s.open.begin(), s.open.end(), &attempt));
+        schedule_turn(s);
+        // Counts as load until an attempt sent later is answered: the server usually still queues or runs it.
+        const bool given_up = attempt.outcome == Outcome::timed_out || attempt.outcome == Outcome::cancelled;
+        const bool beaten = given_up && attempt.call->succeeded();   // by the call's other attempt
+        const bool holds = given_up && !beaten && attempt.sent >= s.answered_sent;
+        if (holds) s.abandoned.push_back({attempt.sent, attempt.call->weight});
         else note_in_flight(-1);
-        const double took = (desk_.now - shot.sent).s;
-        const bool fulfilled = shot.outcome == Outcome::fulfilled;
+        const double took = (ctx_.now - attempt.sent).s;
+        const bool fulfilled = attempt.outcome == Outcome::fulfilled;
         if (!beaten && (given_up || fulfilled)) {
-            const bool late = given_up || desk_.now > shot.call->arrived + p.slo;
-            if (late && !(given_up && shot.call->ended)) tail_[kind(*shot.call)].add(desk_.now, missed);
-            all_.add(desk_.now, late);
-            for (auto* kind : kinds(*shot.call)) kind->add(desk_.now, late);
+            const bool late = given_up || ctx_.now > attempt.call->arrived + p.slo;
+            if (late && !(given_up && attempt.call->ended)) by_product_[p.number].add(ctx_.now, missed);
+            all_calls_.add(ctx_.now, late);
+            for (auto* stats : lateness_of(*attempt.call)) stats->add(ctx_.now, late);
         }
         if (given_up || fulfilled) {
-            side.lately.add(desk_.now, shots);
-            side.lately.add(desk_.now, spans, std::min(took, least_slo_.s));   // else one that hangs says all
-            side.late.add(desk_.now, tried);
-            side.late.add(desk_.now, risked, std::min(1.0, std::pow(took / p.slo.s, 4)));
+            zone.recent.add(ctx_.now, attempt_count);
+            zone.recent.add(ctx_.now, attempt_s, std::min(took, min_slo_.s));   // bounded: one may hang
+            zone.lateness.add(ctx_.now, samples);
+            zone.lateness.add(ctx_.now, risks, std::min(1.0, std::pow(took / p.slo.s, 4)));
         }
-        if (p.took > 0 && (given_up || fulfilled)) {
-            s.record.add(desk_.now, spent, took);
-            const double told = shot.call->work.s * pace(), usual = told > 0 ? told : p.took;
-            s.record.add(desk_.now, expected, usual / relative_size(s) / warm_share(s));
+        if (p.latency > 0 && (given_up || fulfilled)) {
+            s.stats.add(ctx_.now, spent_s, took);
+            const double est = attempt.call->work.s * seconds_per_work(), usual = est > 0 ? est : p.latency;
+            s.stats.add(ctx_.now, expected_s, usual / relative_capacity(s) / warm_share(s));
         }
-        switch (shot.outcome) {
+        switch (attempt.outcome) {
             case Outcome::fulfilled:
-                heard(s);
-                s.vouched = desk_.now;
-                s.answered_sent = std::max(s.answered_sent, shot.sent);
-                lay_ghosts(s, shot.sent);
-                side.lately.add(desk_.now, answers);
-                side.lately.add(desk_.now, waits, took);
-                if (shot.call->work > Span{}) {
-                    paced_.add(desk_.now, waited, took);
-                    paced_.add(desk_.now, foretold, shot.call->work.s);
+                note_response(s);
+                s.last_seen = ctx_.now;
+                s.answered_sent = std::max(s.answered_sent, attempt.sent);
+                drop_abandoned(s, attempt.sent);
+                zone.recent.add(ctx_.now, response_count);
+                zone.recent.add(ctx_.now, response_s, took);
+                if (attempt.call->work > Span{}) {
+                    work_latency_.add(ctx_.now, actual_s, took);
+                    work_latency_.add(ctx_.now, declared_s, attempt.call->work.s);
                 }
-                p.quick = p.quick > 0 ? p.quick * (1 + 0.05 * (0.2 - (took < p.quick))) : took;
-                p.took = p.took > 0 ? p.took + (std::min(took, p.slo.s) - p.took) / penalty_weight : took;
-                s.record.add(desk_.now, answered);
-                s.record.add(desk_.now, replied, took);
+                p.p20_latency =
+                    p.p20_latency > 0 ? p.p20_latency * (1 + 0.05 * (0.2 - (took < p.p20_latency))) : took;
+                p.latency =
+                    p.latency > 0 ? p.latency + (std::min(took, p.slo.s) - p.latency) / penalty_weight : took;
+                s.stats.add(ctx_.now, answered);
+                s.stats.add(ctx_.now, answered_s, took);
                 return;
-            case Outcome::errored: heard(s); [[fallthrough]];
-            case Outcome::reset: return blame(s, stands_out(s));
+            case Outcome::errored: note_response(s); [[fallthrough]];
+            case Outcome::reset: return record_failure(s, is_outlier(s));
             case Outcome::full:
-                // Guards against servers that turn only one product away counting as over half of the pool.
-                s.full_until[kind(*shot.call)] = desk_.now + penalty;
-                heard(s);
-                return blame(s, s.record.total(desk_.now, answered) == 0);
+                // Guards against servers that reject one product only counting as over half of the pool.
+                s.full_until[index_of(*attempt.call)] = ctx_.now + penalty;
+                note_response(s);
+                return record_failure(s, s.stats.total(ctx_.now, answered) == 0);
             case Outcome::connect_failed:
-                lay_ghosts(s, desk_.now);
-                if (s.state == State::gone) s.absent_until = desk_.now + interval;
-                return blame(s);
+                drop_abandoned(s, ctx_.now);
+                if (s.state == State::gone) s.absent_until = ctx_.now + interval;
+                return record_failure(s);
             case Outcome::timed_out:
-                // A server that answered others meanwhile was not silent: the call itself may be heavy.
-                return blame(s, s.last_heard < shot.sent || stands_out(s));
+                // A server that answered others meanwhile is responsive: the call itself may be heavy.
+                return record_failure(s, s.last_data < attempt.sent || is_outlier(s));
             case Outcome::cancelled: case Outcome::never_sent: return;
         }
     }
 
-    // Guards against a drain or the end of a window that came while the shot's connection was coming up.
-    bool may_start(const Shot& shot) const {
-        return serves(*shot.server) && may_send(*shot.call, *shot.server, desk_.now, &shot);
+    // Guards against a drain, or the end of the dedup window, while the attempt's connection was set up.
+    bool may_start(const Attempt& attempt) const {
+        return serves(*attempt.server) && may_send(*attempt.call, *attempt.server, ctx_.now, &attempt);
     }
-    bool restarting() const { return desk_.now < restarted_ + interval * 2; }
+    bool restarting() const { return ctx_.now < last_restart_ + interval * 2; }
 
-    void lay_ghosts(Server& s, Time sent_by) {
-        const auto laid = std::erase_if(s.ghosts, [&](const auto& ghost) { return ghost.sent <= sent_by; });
-        note_in_flight(-static_cast<int>(laid));
+    void drop_abandoned(Server& s, Time sent_by) {
+        const auto dropped = std::erase_if(s.abandoned, [&](const auto& a) { return a.sent <= sent_by; });
+        note_in_flight(-static_cast<int>(dropped));
     }
 
-    // Silence: a shot has waited this long while its server said nothing at all and others answered.
-    Span silence(const Call& c) const {
-        return std::min(most_silence, std::max((c.give_up - c.arrived) * 0.5, c.product->slo));
+    // How long an attempt waits, with no data at all from its server while others answer, before a probe.
+    Span silence_timeout(const Call& c) const {
+        return std::min(max_silence, std::max((c.deadline - c.arrived) * 0.5, c.product->slo));
     }
-    // Guards against late answers that cost more than a refusal: given up and told so just before the SLO.
-    bool cuts(const Call& c) const { return cutting_ && may_rate_limit(c); }
-    bool gives_up(const Call& c) { return cuts(c) && !(c.product->late_value > 0 && borne(c)); }
-    Span last_use(const Call& c) const { return c.product->slo * 0.95; }
-    Span overdue(const Call& c) const { return {3 * c.product->quick * std::max(1.0, c.weight)}; }
-    void heard_nothing(const Shot& shot) {
-        Server& s = *shot.server;
-        if (s.last_heard >= shot.sent || last_heard_ <= shot.sent || s.quarantined) return;
-        return desk_.set.probing ? probe(s) : blame(s);
+    // Guards against late answers that cost more than a rejection: calls are cut off just before their SLO.
+    bool may_cut_off(const Call& c) const { return cuts_late_ && may_rate_limit(c); }
+    bool gives_up(const Call& c) { return may_cut_off(c) && !(c.product->late_value > 0 && may_be_late(c)); }
+    Span cutoff(const Call& c) const { return c.product->slo * 0.95; }
+    Span hedge_delay(const Call& c) const { return {3 * c.product->p20_latency * std::max(1.0, c.weight)}; }
+    void on_silence(const Attempt& attempt) {
+        Server& s = *attempt.server;
+        if (s.last_data >= attempt.sent || last_data_ <= attempt.sent || s.quarantined) return;
+        return ctx_.conf.probing ? probe(s) : record_failure(s);
     }
     void probe(Server& s) {
-        if (s.probing || !desk_.set.probing) return;
-        s.probing = true;
-        desk_.out.probe(s.id);
+        if (s.probe_pending || !ctx_.conf.probing) return;
+        s.probe_pending = true;
+        ctx_.actions.probe(s.id);
     }
     void probe_ended(Server& s, bool reply) {
-        s.probing = false;
+        s.probe_pending = false;
         if (reply) {
-            if (s.quarantined) desk_.out.log("probe answered, back in the pool:", s.id);
+            if (s.quarantined) ctx_.actions.log("probe answered, back in the pool:", s.id);
             s.quarantined = false;
-            s.last_heard = desk_.now;
-            settle_trial(s);
+            s.last_data = ctx_.now;
+            finish_replacement(s);
             return;
         }
-        if (&s == replacement_) replacement_ = nullptr;   // then the old one stays
+        if (&s == replacement_) replacement_ = nullptr;   // the member to be replaced stays
         if (s.quarantined || !s.member || !serves(s)) return;
-        // Wide trouble is no member's fault: never more than half the pool.
+        // Widespread trouble is not the fault of single members: at most half of the pool is quarantined.
         size_t out = 1;
         for (auto* m : members_) out += m->quarantined;
         if (2 * out > members_.size()) return;
         s.quarantined = true;
-        ++s.offences;
-        desk_.out.log("no answer and no probe reply, quarantined:", s.id);
-        if (!desk_.set.cancel) return;
-        for (auto* shot : s.open)
-            if (idempotent(*shot->call) && !shot->call->streaming && !shot->called_off) {
-                shot->called_off = true;   // sent again once the cancel's outcome is in
-                desk_.out.cancel(shot->call->id, shot->number);
+        ++s.quarantines;
+        ctx_.actions.log("no answer and no probe reply, quarantined:", s.id);
+        if (!ctx_.conf.cancel) return;
+        for (auto* attempt : s.open)
+            if (idempotent(*attempt->call) && !attempt->call->streaming && !attempt->cancel_sent) {
+                attempt->cancel_sent = true;   // it is retried once the outcome of the cancel is known
+                ctx_.actions.cancel(attempt->call->id, attempt->number);
             }
     }
 
-    // Every tick: take rates and the median, look after the quarantined, replace repeat offenders.
-    void look() {
-        const Span seen = std::min(desk_.now - started_, most_silence * 2);
-        for (auto& [zone, side] : sides_)
-            side.rate = std::max(side.rate * 0.95, side.lately.total(desk_.now, answers) / seen.s);
+    // Runs every tick: updates rates and the median, probes quarantined members, replaces unstable ones.
+    void run_checks() {
+        const Span seen = std::min(ctx_.now - started_, max_silence * 2);
+        for (auto& [id, zone] : zones_)
+            zone.response_rate =
+                std::max(zone.response_rate * 0.95, zone.recent.total(ctx_.now, response_count) / seen.s);
         std::vector<double> shares;
         for (auto* s : members_) {
-            const double n = s->record.total(desk_.now, answered), bad = s->record.total(desk_.now, failed);
+            const double n = s->stats.total(ctx_.now, answered), bad = s->stats.total(ctx_.now, failed);
             if (n + bad > 0) shares.push_back(bad / (n + bad));
         }
         median_share_ = median(shares, 0);
         for (auto* s : listed_) {
-            lay_ghosts(*s, desk_.now - (cutting_ ? least_slo_ : penalty));
-            if (!s->member || !s->quarantined || desk_.now < s->next_probe) continue;
-            s->next_probe = desk_.now + most_silence;
+            drop_abandoned(*s, ctx_.now - (cuts_late_ ? min_slo_ : penalty));
+            if (!s->member || !s->quarantined || ctx_.now < s->next_probe) continue;
+            s->next_probe = ctx_.now + max_silence;
             probe(*s);
         }
-        replace();
-        forget();
-        settle();
+        replace_unstable();
+        forget_gone();
+        admit_one();
     }
 
 private:
-    // Where only draining binds, a list that calls a server gone is believed for an interval after a failed
-    // connect, alone it is not. Guards against lists that shrink, are empty or old; a drain told once holds.
+    // With drain_binds_alone a server listed as gone is excluded for an interval after a failed connect only;
+    // one listed as draining stays excluded. Guards against lists that are truncated, empty or stale.
     bool serves(const Server& s) const {
-        if (!desk_.set.drain_binds_alone) return s.state == State::ready;
+        if (!ctx_.conf.drain_binds_alone) return s.state == State::ready;
         if (s.drained || s.state == State::ready) return !s.drained;
-        return desk_.now >= s.absent_until && desk_.now < s.vouched + gone_server_retention;
+        return ctx_.now >= s.absent_until && ctx_.now < s.last_seen + gone_server_retention;
     }
-    // Guards against growth where new machines come under new ids all day.
-    void forget() {
+    // Guards against unbounded memory use where new machines keep arriving under new ids.
+    void forget_gone() {
         const auto forgotten = std::erase_if(listed_, [this](auto* s) {
-            const bool used = s->named || s->probing || (replacement_ && s == replaced_);
-            const bool kept = desk_.set.drain_binds_alone && desk_.now < s->vouched + gone_server_retention;
+            const bool used = s->references || s->probe_pending || (replacement_ && s == replaced_);
+            const bool kept = ctx_.conf.drain_binds_alone && ctx_.now < s->last_seen + gone_server_retention;
             if (s->state != State::gone || used || kept) return false;
-            lay_ghosts(*s, desk_.now);
-            if (s->member) leave(*s);   // time alone has put it out of use, no list
+            drop_abandoned(*s, ctx_.now);
+            if (s->member) leave(*s);   // excluded by its age alone, not by a list
             std::erase(order_, s);
             return known_.erase(s->id) == 1;
         });
-        if (forgotten > 0) refill();
+        if (forgotten > 0) update_members();
     }
-    void heard(Server& s) { s.last_answer = s.last_heard = last_heard_ = desk_.now; }
-    void blame(Server& s, bool penalise = true) {
-        s.record.add(desk_.now, failed);
-        if (penalise) s.penalty_until = desk_.now + penalty;
+    void note_response(Server& s) { s.last_response = s.last_data = last_data_ = ctx_.now; }
+    void record_failure(Server& s, bool penalise = true) {
+        s.stats.add(ctx_.now, failed);
+        if (penalise) s.penalty_until = ctx_.now + penalty;
     }
-    // Guards against stray errors and resets idling sound servers: held against one whose share of failures,
-    // this one included, stands out from the fleet's median.
-    bool stands_out(Server& s) const {
-        const double bad = s.record.total(desk_.now, failed) + 1;
-        return bad / (bad + s.record.total(desk_.now, answered)) > median_share_ + outstanding;
+    // Guards against stray errors and resets taking healthy servers out of use: a server is penalised only if
+    // its failure ratio, this failure included, is well above the median of the pool.
+    bool is_outlier(Server& s) const {
+        const double bad = s.stats.total(ctx_.now, failed) + 1;
+        return bad / (bad + s.stats.total(ctx_.now, answered)) > median_share_ + outlier_margin;
     }
 
-    // Members are taken along the sorted list from a place of this balancer's own. Where crossing is dear,
-    // every third is of the other zones in turn, the least at risk first. Guards against a zone that jams
-    // while the next is idle.
-    void arrange() {
-        std::map<std::pair<double, uint16_t>, std::vector<Server*>> zones;   // abroad, by risk
+    // Orders the servers for the pool: by id, from an offset of this proxy's own. Where crossing zones is
+    // expensive, every third is of other zones in turn, the one with the least risk of lateness first. Guards
+    // against a zone that is overloaded while the next one is idle.
+    void order_servers() {
+        std::map<std::pair<double, uint16_t>, std::vector<Server*>> zones;   // remote ones by risk
         for (auto* s : listed_)
-            if (serves(*s)) zones[{far(*s) ? 1 + side_of(*s).risk : 0, far(*s) ? s->zone : 0}].push_back(s);
+            if (serves(*s))
+                zones[{is_remote(*s) ? 1 + zone_of(*s).risk : 0, is_remote(*s) ? s->zone : 0}].push_back(s);
         const size_t others = zones.size() - zones.count({0, 0});
         std::multimap<size_t, Server*> places;
         for (size_t other = 0; auto& [zone, part] : zones) {
-            const size_t from = desk_.set.me % desk_.set.balancers * part.size() / desk_.set.balancers;
+            const size_t from = ctx_.conf.index % ctx_.conf.balancers * part.size() / ctx_.conf.balancers;
             for (size_t i = 0; i < part.size(); ++i)
                 places.emplace(zone.first > 0 ? 3 * (i * others + other) + 2 : i / 2 * 3 + i % 2,
                                part[(from + i) % part.size()]);
@@ -471,467 +479,475 @@
         order_.clear();
         for (auto& [place, s] : places) order_.push_back(s);
     }
-    void refill() {
+    void update_members() {
         std::erase_if(members_, [this](auto* s) { return !(s->member = s->member && serves(*s)); });
-        const size_t size = std::min(std::max(target_, floor()), order_.size());
+        const size_t size = std::min(std::max(target_size_, min_size()), order_.size());
         for (auto* s : order_)
             if (members_.size() < size && !s->member) join(*s);
         for (auto it = order_.rbegin(); it != order_.rend() && members_.size() > size; ++it)
             if ((*it)->member) leave(**it);
-        size_sum_ = 0;
-        for (auto* s : members_) size_sum_ += s->size;
-    }
-    // Guards against servers that are new, or were gone, staying idle: one joins at a time, spread by chance.
-    void settle() {
-        const auto end = order_.begin() + static_cast<long>(std::min(members_.size(), order_.size()));
-        auto due = std::find_if(order_.begin(), end, [](auto* s) { return !s->member && s->offences < 3; });
-        if (due == end || replacement_ || desk_.chance.uniform() * interval.s > 4 * tick.s) return;
+        capacity_sum_ = 0;
+        for (auto* s : members_) capacity_sum_ += s->capacity;
+    }
+    // Guards against servers that are new, or return, staying idle: one joins at a time, at a random moment.
+    void admit_one() {
+        const auto to = order_.begin() + static_cast<long>(std::min(members_.size(), order_.size()));
+        auto due = std::find_if(order_.begin(), to, [](auto* s) { return !s->member && s->quarantines < 3; });
+        if (due == to || replacement_ || ctx_.rng.uniform() * interval.s > 4 * tick_period.s) return;
         join(**due);
-        refill();
+        update_members();
     }
     void join(Server& s) {
         s.member = true;
         s.quarantined = false;
-        s.offences = 0;
+        s.quarantines = 0;
         members_.push_back(&s);
     }
     void leave(Server& s) {
         s.member = false;
         members_.erase(std::find(members_.begin(), members_.end(), &s));
-        if (s.open.empty()) desk_.out.close_idle(s.id);
+        if (s.open.empty()) ctx_.actions.close_idle(s.id);
     }
 
     double warm_share(const Server& s) const {
-        const double age = (desk_.now - s.launched) / desk_.set.warm_after;
-        return age >= 1 ? 1 : desk_.set.start_capacity + (1 - desk_.set.start_capacity) * std::max(0.0, age);
+        const double age = (ctx_.now - s.launched) / ctx_.conf.warm_after;
+        return age >= 1 ? 1 : ctx_.conf.start_capacity + (1 - ctx_.conf.start_capacity) * std::max(0.0, age);
     }
-    double relative_size(const Server& s) const {
-        return s.size * std::max<size_t>(1, members_.size()) / std::max(size_sum_, s.size);
+    double relative_capacity(const Server& s) const {
+        return s.capacity * std::max<size_t>(1, members_.size()) / std::max(capacity_sum_, s.capacity);
     }
-    double strength(const Server& s) const { return s.size * warm_share(s); }
-    // No cold server pushed over by hundreds of balancers, none of which knows the others: with each call
-    // placed it earns its warm share of a turn, times three quarters of what the rule allows. Calls turned
-    // away, or lent the room of those that hang, earn none. A turn not taken lapses, else bursts take many.
-    void earn(Server& s, bool lent) const {
+    double warm_capacity(const Server& s) const { return s.capacity * warm_share(s); }
+    // Limits calls to a cold server, as hundreds of proxies send to it independently: each call sent anywhere
+    // earns it a credit of its warm share times three quarters of tip_multiple. Rejected calls, and calls in
+    // the room of stuck ones, earn none. Unused credit expires, else bursts would send many calls at once.
+    void earn_credit(Server& s, bool lent) const {
         const double warm = warm_share(s);
         if (warm >= 1) return;
         if (s.credit >= 1) s.credit -= 1;
-        if (!lent) s.credit += warm * s.size / std::max(size_sum_, s.size) * desk_.set.tip_multiple * 0.75;
-    }
-    // By Little's law a call that joins those held at a server is answered after about their number over its
-    // rate of answers: it is kept off where that leaves too little of its SLO, rate-limited where all are so
-    // full. This balancer's share, one at least, is let in, so that the rate can show itself. Guards against
-    // a few calls that hang or are heavy shutting out all others: one that is out longer than may be waited,
-    // and three times what answers lately took there, is no queue once a later one came.
-    double queue(Server& s) const {
-        const double n = std::max(1.0, s.record.total(desk_.now, answered));
-        const Span mean{s.record.total(desk_.now, replied) / n};
-        const Time by = std::min(s.answered_sent, desk_.now - std::max(least_slo_ * most_wait, mean * 3));
-        return s.held() - std::ranges::count_if(s.open, [by](auto* shot) { return shot->sent <= by; });
-    }
-    // To calls, also those given up: one that hangs may well answer probes.
-    bool silent(const Server& s) const {
-        Time first = s.open.empty() ? desk_.now : s.open[0]->sent;
-        if (!s.ghosts.empty()) first = std::min(first, s.ghosts[0].sent);
-        return s.last_answer < first && desk_.now - first > least_slo_ * most_wait;
-    }
-    double others(const Server& s) const {
-        return s.others * std::clamp(1 - (desk_.now - s.reported) / report_counts, 0.0, 1.0);
-    }
-    bool has_room(Server& s) {
-        if (desk_.set.known_slots) return s.held() + others(s) < s.size * full_at;
-        const auto& side = side_of(s);
-        const double own = side.room * strength(s) / std::max(side.strength, strength(s));
-        if (queue(s) >= std::max({1.0, share() / members_.size(), own})) return false;
-        // Guards against cold servers left idle in a release: the warm hold all room; turns bound the cold.
-        if (warm_share(s) < 1 || desk_.now < started_ + most_silence) return true;
-        return side.held < std::max(side.floor, side.room);
-    }
-    bool far(const Server& s) const { return !at_home(s) && price_of_crossing() > 1; }   // limited apart
-    Zone& side_of(const Server& s) { return sides_[far(s) ? s.zone : desk_.set.zone]; }
-    bool at_home(const Server& s) const { return s.zone == desk_.set.zone; }
-    double price_of_crossing() const { return desk_.set.cross_price * penalty_weight / 2; }   // in calls
-    double worthiness(const Call& c) const {
+        if (!lent) s.credit += warm * s.capacity / std::max(capacity_sum_, s.capacity) *
+                               ctx_.conf.tip_multiple * 0.75;
+    }
+    // Little's law: a call is answered after about the queue's length over the server's response rate. It
+    // goes elsewhere if that leaves too little of its SLO, and is rate-limited if that is so everywhere. This
+    // proxy's share, at least one call, is always admitted, so that a rate can be measured. Guards against a
+    // few calls that hang or are heavy shutting out all others: one older than the maximum wait and three
+    // times the server's recent mean latency no longer counts once a call sent later is answered.
+    double queue_length(Server& s) const {
+        const double n = std::max(1.0, s.stats.total(ctx_.now, answered));
+        const Span mean{s.stats.total(ctx_.now, answered_s) / n};
+        const Time by = std::min(s.answered_sent, ctx_.now - std::max(min_slo_ * max_wait_share, mean * 3));
+        return s.held() - std::ranges::count_if(s.open, [by](auto* attempt) { return attempt->sent <= by; });
+    }
+    // Silent to calls, abandoned ones included; a server that hangs may still answer probes.
+    bool is_silent(const Server& s) const {
+        Time first = s.open.empty() ? ctx_.now : s.open[0]->sent;
+        if (!s.abandoned.empty()) first = std::min(first, s.abandoned[0].sent);
+        return s.last_response < first && ctx_.now - first > min_slo_ * max_wait_share;
+    }
+    double others_load(const Server& s) const {
+        return s.others_load * std::clamp(1 - (ctx_.now - s.reported_at) / load_report_lifetime, 0.0, 1.0);
+    }
+    bool below_limit(Server& s) {
+        if (ctx_.conf.known_slots) return s.held() + others_load(s) < s.capacity * overload_factor;
+        const auto& zone = zone_of(s);
+        const double own = zone.limit * warm_capacity(s) / std::max(zone.capacity, warm_capacity(s));
+        if (queue_length(s) >= std::max({1.0, fair_share() / members_.size(), own})) return false;
+        // Guards against cold servers idle in a release, where warm ones fill the limit; credit bounds them.
+        if (warm_share(s) < 1 || ctx_.now < started_ + max_silence) return true;
+        return zone.queued < std::max(zone.min_limit, zone.limit);
+    }
+    bool is_remote(const Server& s) const { return !is_local(s) && crossing_cost() > 1; }   // own limit
+    Zone& zone_of(const Server& s) { return zones_[is_remote(s) ? s.zone : ctx_.conf.zone]; }
+    bool is_local(const Server& s) const { return s.zone == ctx_.conf.zone; }
+    double crossing_cost() const { return ctx_.conf.cross_zone_price * penalty_weight / 2; }   // in calls
+    double relative_value(const Call& c) const {
         double best = 0;
-        for (const auto& p : desk_.set.products)
-            if (p.took > 0) best = std::max(best, p.value / p.took);
-        return best > 0 && c.product->took > 0 ? 0.6 + 0.4 * c.worth / c.product->took / best : 0.6;
+        for (const auto& p : ctx_.conf.products)
+            if (p.latency > 0) best = std::max(best, p.value / p.latency);
+        return best > 0 && c.product->latency > 0 ? 0.6 + 0.4 * c.value / c.product->latency / best : 0.6;
     }
 
-    std::array<Kind*, 2> kinds(const Call& c) {
-        return {&tenants_[std::min<size_t>(c.tenant, tenants_.size() - 1)], &products_[kind(c)]};
+    std::array<LatenessStats*, 2> lateness_of(const Call& c) {
+        return {&tenants_[std::min<size_t>(c.tenant, tenants_.size() - 1)], &products_[index_of(c)]};
     }
-    size_t kind(const Call& c) const { return c.product->number; }
+    size_t index_of(const Call& c) const { return c.product->number; }
     bool penalised(const Server& s, const Call& c) const {
-        return desk_.now < s.full_until[kind(c)] || (!wide_ && desk_.now < s.penalty_until);
+        return ctx_.now < s.full_until[index_of(c)] || (!most_penalised_ && ctx_.now < s.penalty_until);
     }
-    double slowness(Server& s, double more) const {   // what its shots lately took beyond the mean, over it
-        const double usual = s.record.total(desk_.now, expected), took = s.record.total(desk_.now, spent);
+    double slowdown(Server& s, double more) const {   // recent time beyond the expected, relative to it
+        const double usual = s.stats.total(ctx_.now, expected_s), took = s.stats.total(ctx_.now, spent_s);
         return usual > 0 ? std::max(0.0, took - usual) / (usual + more) : 0;
     }
-    // Members that tie take turns, in an order of chance: each is due a round after it was last busy, or left
-    // out, and later where its calls take long, so slow ones have none to catch up.
-    void take_turn(Server& s) {
-        s.turn = turn_ + (0.5 + desk_.chance.uniform()) * (1 + 2 * slowness(s, 0)) / relative_size(s);
+    // Members with equal load take turns in random order: each is due about a round after it was last busy
+    // or skipped, and later if its calls are slow, so that a slow one has no missed turns to catch up on.
+    void schedule_turn(Server& s) {
+        s.next_turn = round_ + (0.5 + ctx_.rng.uniform()) * (1 + 2 * slowdown(s, 0)) / relative_capacity(s);
     }
-    Server* pick(const std::vector<Server*>& among, const Call& c, bool last, bool& no_room) {
+    Server* pick_best(const std::vector<Server*>& among, const Call& c, bool last, bool& at_limit) {
         Server* best = nullptr;
         std::pair<double, double> least{HUGE_VAL, 0};
         const auto consider = [&](Server* s) {
-            if (s->quarantined || !serves(*s) || !may_send(c, *s, desk_.now)) return;
+            if (s->quarantined || !serves(*s) || !may_send(c, *s, ctx_.now)) return;
             if (penalised(*s, c) != last) return;
             const double warm = warm_share(*s);
             if (warm < 1 && s->credit < 1) return;
-            if (!has_room(*s)) {
-                no_room = true;
+            if (!below_limit(*s)) {
+                at_limit = true;
                 return;
             }
-            // Idle members tie whatever their size; a cold one takes its turn first.
-            const bool by_key = c.key && c.pull <= 0 && s->held() == 0;
-            if (s->turn < turn_) take_turn(*s);
-            const double turn = by_key ? -std::pow(draw(c.key, s->id), 1 / s->size) : s->turn;
-            const std::pair cost{busyness(*s, c, warm), warm < 1 ? turn - 1e9 : turn};
+            // Idle members tie whatever their capacity; a cold one with credit comes first.
+            const bool by_key = c.key && c.affinity <= 0 && s->held() == 0;
+            if (s->next_turn < round_) schedule_turn(*s);
+            const double turn = by_key ? -std::pow(draw(c.key, s->id), 1 / s->capacity) : s->next_turn;
+            const std::pair cost{load_cost(*s, c, warm), warm < 1 ? turn - 1e9 : turn};
             if (cost < least) best = s, least = cost;
         };
         for (auto* s : among) consider(s);
-        for (auto* s : c.homes)
+        for (auto* s : c.preferred)
             if (s && &among == &members_ && !s->member) consider(s);
         return best;
     }
-    // What a call needs lies where its key is drawn the highest; the second place is for when that is busy.
-    void find_homes(Call& c) {
-        if (c.pull <= 0) return;
+    // Servers that hold what the call needs: those with the highest hash; the second is for overflow.
+    void find_preferred(Call& c) {
+        if (c.affinity <= 0) return;
         double highest[2] = {-1, -1};
-        c.homes[0] = c.homes[1] = nullptr;
+        c.preferred[0] = c.preferred[1] = nullptr;
         for (auto* s : order_) {
             if (s->quarantined || !serves(*s)) continue;
             const double drawn = draw(c.key, s->id);
             const bool first = drawn > highest[0];
             if (!first && drawn <= highest[1]) continue;
-            if (first) highest[1] = highest[0], c.homes[1] = c.homes[0];
-            highest[!first] = drawn, c.homes[!first] = s;
+            if (first) highest[1] = highest[0], c.preferred[1] = c.preferred[0];
+            highest[!first] = drawn, c.preferred[!first] = s;
         }
     }
-    // Guards against slowness that few own calls in flight don't show: a half more than the mean, two shots
-    // of it added, counts as calls of others there, but for a quarter. Less is mostly chance, for turns only.
-    double hidden(Server& s, const Call& c) const {
-        const double over = slowness(s, 2 * c.product->took);
+    // Guards against slowness that few own calls in flight don't show: what attempts took over 1.5 times the
+    // expected (two means added) counts as load of others, plus 0.25. Less is mostly random: for turns only.
+    double hidden_load(Server& s, const Call& c) const {
+        const double over = slowdown(s, 2 * c.product->latency);
         return over > 0.5 ? over - 0.25 : 0;
     }
-    double busyness(Server& s, const Call& c, double warm) {
-        double cost = s.load() / (relative_size(s) * warm);
-        cost += desk_.set.known_slots ? others(s) / relative_size(s) : hidden(s, c);
-        if (&s == c.homes[0]) cost -= c.pull;
-        if (&s == c.homes[1]) cost -= c.pull / 2;
-        if (price_of_crossing() > 1) cost += penalty_weight / 2 * side_of(s).risk;
-        if (!at_home(s)) cost += price_of_crossing();
-        for (const auto& shot : c.shots)
-            if (shot.server == &s) cost += penalty_weight;   // a further shot goes elsewhere
+    double load_cost(Server& s, const Call& c, double warm) {
+        double cost = s.load() / (relative_capacity(s) * warm);
+        cost += ctx_.conf.known_slots ? others_load(s) / relative_capacity(s) : hidden_load(s, c);
+        if (&s == c.preferred[0]) cost -= c.affinity;
+        if (&s == c.preferred[1]) cost -= c.affinity / 2;
+        if (crossing_cost() > 1) cost += penalty_weight / 2 * zone_of(s).risk;
+        if (!is_local(s)) cost += crossing_cost();
+        for (const auto& attempt : c.attempts)
+            if (attempt.server == &s) cost += penalty_weight;   // a further attempt goes elsewhere
         return cost;
     }
 
-    // A member quarantined again and again, unlike the rest, is replaced, one in six intervals at most.
-    void replace() {
-        if (replacement_ || desk_.now < next_replacement_) return;
-        std::vector<double> offences;
-        for (auto* s : members_) offences.push_back(s->offences);
-        const double usual = median(offences, 0);
+    // Replaces a member that is quarantined far more often than the others, one in six intervals at most.
+    void replace_unstable() {
+        if (replacement_ || ctx_.now < next_replacement_) return;
+        std::vector<double> quarantines;
+        for (auto* s : members_) quarantines.push_back(s->quarantines);
+        const double usual = median(quarantines, 0);
         for (auto* s : members_) {
-            if (s->offences < 3 || s->offences < 2 * usual + 1) continue;
+            if (s->quarantines < 3 || s->quarantines < 2 * usual + 1) continue;
             const auto it = std::find_if(order_.begin(), order_.end(), [](auto* o) { return !o->member; });
             if (it == order_.end()) return;
-            next_replacement_ = desk_.now + interval * 6;
+            next_replacement_ = ctx_.now + interval * 6;
             replacement_ = *it;
             replaced_ = s;
             probe(*replacement_);
             return;
         }
     }
-    void settle_trial(Server& s) {
+    void finish_replacement(Server& s) {
         if (&s != replacement_) return;
         replacement_ = nullptr;
         if (s.member || !serves(s) || !replaced_->member) return;
-        desk_.out.log("often quarantined, replaced:", replaced_->id);
+        ctx_.actions.log("often quarantined, replaced:", replaced_->id);
         join(s);
         leave(*replaced_);
     }
 
-    Desk& desk_;
-    std::unordered_map<ServerId, std::unique_ptr<Server>> known_;   // looked up only, never walked
+    Context& ctx_;
+    std::unordered_map<ServerId, std::unique_ptr<Server>> known_;   // not iterated: unordered
     std::vector<Server*> listed_, order_, members_;
-    size_t target_ = first_size;
-    int in_flight_ = 0, peak_ = 0, asked_again_ = 0, placed_ = 0;
-    double size_sum_ = 0, median_share_ = 0, turn_ = 0;
-    bool wide_ = false;           // over half the pool is penalised
-    const bool cutting_;          // calls are called off just before their SLO
-    double usual_work_ = 0;       // told lately, in seconds
-    enum { waited, foretold };
-    SlidingWindow<2> paced_{most_silence * 2};   // what answers took, and the work told of them
-    std::vector<Kind> tenants_, products_;
-    Kind all_{penalty};
-    std::vector<SlidingWindow<2>> tail_;   // by product: calls, and those that missed the SLO
-    Span least_slo_ = interval;   // the queue is shared, so the tightest SLO sets its length for all
-    ProductTable table_{desk_.set.products};
+    size_t target_size_ = initial_size;
+    int in_flight_ = 0, peak_ = 0, list_retries_ = 0, calls_sent_ = 0;
+    double capacity_sum_ = 0, median_share_ = 0, round_ = 0;
+    bool most_penalised_ = false; // over half of the pool is penalised
+    const bool cuts_late_;        // calls are cut off just before their SLO
+    double mean_work_ = 0;        // declared recently, in seconds
+    enum { actual_s, declared_s };
+    SlidingWindow<2> work_latency_{max_silence * 2};   // latency of answers, and the work declared for them
+    std::vector<LatenessStats> tenants_, products_;
+    LatenessStats all_calls_{penalty};
+    std::vector<SlidingWindow<2>> by_product_;   // calls, and those that missed the SLO
+    Span min_slo_ = interval;     // products share the queues, so the tightest SLO limits them for all
+    ProductTable table_{ctx_.conf.products};
     Time started_;
-    std::map<uint16_t, Zone> sides_;   // by zone
-    Time last_heard_ = long_ago, restarted_ = long_ago, next_replacement_ = long_ago;
+    std::map<uint16_t, Zone> zones_;
+    Time last_data_ = long_ago, last_restart_ = long_ago, next_replacement_ = long_ago;
     Server *replacement_ = nullptr, *replaced_ = nullptr;
 };
 
-// Fairness: what a tenant sends beyond its allowance is worth little, so it is turned away first.
-class Shares : public Stage {
+// Fairness: lowers the value of calls beyond a tenant's allowance, so that these are rejected first.
+class TenantAllowances : public Stage {
 public:
-    explicit Shares(Desk& desk) : desk_(desk), taken_(desk.set.allowances.size(), SlidingWindow<1>(interval)) {}
-    Step there(Call& c) override {
-        c.worth = c.product->value;
-        if (c.tenant >= taken_.size()) return Step::pass;
-        auto& taken = taken_[c.tenant];
-        taken.add(desk_.now, 0);
-        const double allowed = desk_.set.allowances[c.tenant] / desk_.set.balancers * interval.s;
-        if (taken.total(desk_.now, 0) > allowed) c.worth *= desk_.set.surplus_value;
+    explicit TenantAllowances(Context& ctx)
+        : ctx_(ctx), recent_calls_(ctx.conf.allowances.size(), SlidingWindow<1>(interval)) {}
+    Step on_call(Call& c) override {
+        c.value = c.product->value;
+        if (c.tenant >= recent_calls_.size()) return Step::pass;
+        auto& recent = recent_calls_[c.tenant];
+        recent.add(ctx_.now, 0);
+        const double allowed = ctx_.conf.allowances[c.tenant] / ctx_.conf.balancers * interval.s;
+        if (recent.total(ctx_.now, 0) > allowed) c.value *= ctx_.conf.surplus_value_factor;
         return Step::pass;
     }
 
 private:
-    Desk& desk_;
-    std::vector<SlidingWindow<1>> taken_;
+    Context& ctx_;
+    std::vector<SlidingWindow<1>> recent_calls_;
 };
 
-// Further shots, elsewhere, after a failure or a cancel. How many are made follows how many of the recent
-// ones were fulfilled in time, so in wide trouble they dry up instead of adding to it.
-class Further : public Stage {
+// Retries at another server after a failure or a cancel, and hedged attempts. Their budget follows how many
+// recent ones succeeded in time, so that in a widespread failure they stop instead of adding load.
+class Retries : public Stage {
 public:
-    Further(Desk& desk, Chain& chain, Fleet& fleet)
-        : desk_(desk), chain_(chain), fleet_(fleet), recent_(interval) {}
-    Step there(Call&) override {
-        recent_.add(desk_.now, calls);
+    Retries(Context& ctx, Chain& chain, ServerPool& pool)
+        : ctx_(ctx), chain_(chain), pool_(pool), recent_(interval) {}
+    Step on_call(Call&) override {
+        recent_.add(ctx_.now, calls);
         return Step::pass;
     }
-    // Guards against servers that stand still for a moment, or hold one call up: a copy of an overdue call
-    // goes elsewhere, where allowed and of use. Copies dry up where they seldom come first, as in a queue.
-    void later(Call& c) {
-        if (c.ended || c.shots.size() != 1 || !c.out() || !idempotent(c) || c.streaming) return;
-        if (!fleet_.cuts(c) || !desk_.set.duplicates || desk_.set.max_attempts < 2) return;
-        const bool overdue = desk_.now - c.shots[0].sent + hair >= fleet_.overdue(c);
-        if (!overdue || desk_.now + Span{c.product->quick} >= useful_until(c)) return;
-        const double n = recent_.total(desk_.now, copies);
-        const double first = (recent_.total(desk_.now, ahead) + 2) / (n + 2);
-        if (n >= 2 + recent_.total(desk_.now, calls) * (first - 0.5)) return;
-        if (chain_.there(c, this) == Step::keep) recent_.add(desk_.now, copies);
-    }
-    Step back(Call& c, Shot& shot) override {
-        if (shot.number > 0 && shot.outcome == Outcome::fulfilled && desk_.now <= c.arrived + c.product->slo)
-            recent_.add(desk_.now, c.out() ? ahead : won);
-        if (c.out()) return Step::keep;
-        if (c.ended || shot.outcome == Outcome::fulfilled || !worthwhile(c)) return Step::pass;
-        recent_.add(desk_.now, made);
-        return chain_.there(c, this);
+    // Guards against servers that pause for a moment, or hold up single calls: an overdue call gets a hedged
+    // attempt elsewhere, where allowed and useful. Hedging stops if it seldom wins, as in an overload.
+    void on_timer(Call& c) {
+        if (c.ended || c.attempts.size() != 1 || !c.has_open() || !idempotent(c) || c.streaming) return;
+        if (!pool_.may_cut_off(c) || !ctx_.conf.hedging || ctx_.conf.max_attempts < 2) return;
+        const bool overdue = ctx_.now - c.attempts[0].sent + timer_slack >= pool_.hedge_delay(c);
+        if (!overdue || ctx_.now + Span{c.product->p20_latency} >= useful_until(c)) return;
+        const double n = recent_.total(ctx_.now, hedges);
+        const double first = (recent_.total(ctx_.now, hedges_won) + 2) / (n + 2);
+        if (n >= 2 + recent_.total(ctx_.now, calls) * (first - 0.5)) return;
+        if (chain_.on_call(c, this) == Step::keep) recent_.add(ctx_.now, hedges);
+    }
+    Step on_attempt_end(Call& c, Attempt& attempt) override {
+        if (attempt.number > 0 && attempt.outcome == Outcome::fulfilled &&
+            ctx_.now <= c.arrived + c.product->slo)
+            recent_.add(ctx_.now, c.has_open() ? hedges_won : successes);
+        if (c.has_open()) return Step::keep;
+        if (c.ended || attempt.outcome == Outcome::fulfilled || !may_retry(c)) return Step::pass;
+        recent_.add(ctx_.now, retries);
+        return chain_.on_call(c, this);
     }
 
 private:
-    enum { calls, made, won, copies, ahead, lanes };
-    bool worthwhile(const Call& c) {
-        const auto reached = [](const Shot& s) {
+    enum { calls, retries, successes, hedges, hedges_won, counters };
+    bool may_retry(const Call& c) {
+        const auto reached = [](const Attempt& s) {
             return s.outcome != Outcome::connect_failed && s.outcome != Outcome::never_sent;
         };
-        const int most = c.product->attempts ? c.product->attempts : desk_.set.max_attempts;
-        if (std::count_if(c.shots.begin(), c.shots.end(), reached) >= most) return false;
-        const bool limited = static_cast<int>(c.shots.size()) >= desk_.set.max_attempts;
-        if (limited || !desk_.out.may_repeat(c.id)) return false;
-        // Guards against calls that bring down whatever takes them: what broke off at two servers is not sent
-        // to a third, nor what broke off at all while the list shows servers starting anew.
-        const auto broke_off = [](const Shot& s) { return s.outcome == Outcome::reset; };
-        if (std::count_if(c.shots.begin(), c.shots.end(), broke_off) > !fleet_.restarting()) return false;
-        if (desk_.now + Span{c.product->took} >= useful_until(c)) return false;
-        const double success = (recent_.total(desk_.now, won) + 2) / (recent_.total(desk_.now, made) + 2);
-        return recent_.total(desk_.now, made) < 2 + recent_.total(desk_.now, calls) * success / 2;
-    }
-    Desk& desk_;
+        const int most = c.product->max_attempts ? c.product->max_attempts : ctx_.conf.max_attempts;
+        if (std::count_if(c.attempts.begin(), c.attempts.end(), reached) >= most) return false;
+        const bool limited = static_cast<int>(c.attempts.size()) >= ctx_.conf.max_attempts;
+        if (limited || !ctx_.actions.may_repeat(c.id)) return false;
+        // Guards against calls that crash every server that takes them: a call whose connection broke at two
+        // servers gets no third, and while the list shows servers restarting, it gets no second.
+        const auto broke_off = [](const Attempt& s) { return s.outcome == Outcome::reset; };
+        if (std::ranges::count_if(c.attempts, broke_off) > !pool_.restarting()) return false;
+        if (ctx_.now + Span{c.product->latency} >= useful_until(c)) return false;
+        const double rate = (recent_.total(ctx_.now, successes) + 2) / (recent_.total(ctx_.now, retries) + 2);
+        return recent_.total(ctx_.now, retries) < 2 + recent_.total(ctx_.now, calls) * rate / 2;
+    }
+    Context& ctx_;
     Chain& chain_;
-    Fleet& fleet_;
-    SlidingWindow<lanes> recent_;
+    ServerPool& pool_;
+    SlidingWindow<counters> recent_;
 };
 
-// Sends to the member chosen, and watches for silence.
+// Sends calls to the selected server, and acts on silence and on the cutoff before the SLO.
 class Send : public Stage {
 public:
-    Send(Desk& desk, Fleet& fleet) : desk_(desk), fleet_(fleet) {}
-    Step there(Call& c) override {
-        Server* server = c.shots.empty() && fleet_.hopeless(c) ? nullptr : fleet_.choose(c);
+    Send(Context& ctx, ServerPool& pool) : ctx_(ctx), pool_(pool) {}
+    Step on_call(Call& c) override {
+        Server* server = c.attempts.empty() && pool_.rejected_early(c) ? nullptr : pool_.select(c);
         if (!server) return Step::end;
-        Shot shot;
-        shot.call = &c;
-        shot.server = server;
-        shot.sent = desk_.now;
-        shot.number = static_cast<int>(c.shots.size());
-        c.shots.push_back(shot);
-        desk_.out.send(c.id, server->id, c.give_up - desk_.now);
-        desk_.out.set_timer(fleet_.silence(c), c.id);
-        const Span left = c.arrived + fleet_.last_use(c) - desk_.now;   // a repeat has less
-        if (shot.number == 0 && desk_.set.tail && left > Span{}) desk_.out.set_timer(left, c.id);
-        if (desk_.set.duplicates && shot.number == 0) desk_.out.set_timer(fleet_.overdue(c), c.id);
-        ++server->named;
-        fleet_.sent(c.shots.back());
+        Attempt attempt;
+        attempt.call = &c;
+        attempt.server = server;
+        attempt.sent = ctx_.now;
+        attempt.number = static_cast<int>(c.attempts.size());
+        c.attempts.push_back(attempt);
+        ctx_.actions.send(c.id, server->id, c.deadline - ctx_.now);
+        ctx_.actions.set_timer(pool_.silence_timeout(c), c.id);
+        const Span left = c.arrived + pool_.cutoff(c) - ctx_.now;   // less for a client's retry
+        if (attempt.number == 0 && ctx_.conf.slo_penalty && left > Span{}) ctx_.actions.set_timer(left, c.id);
+        if (ctx_.conf.hedging && attempt.number == 0) ctx_.actions.set_timer(pool_.hedge_delay(c), c.id);
+        ++server->references;
+        pool_.attempt_sent(c.attempts.back());
         return Step::keep;
     }
-    Step back(Call&, Shot& shot) override {
-        fleet_.ended(shot);
+    Step on_attempt_end(Call&, Attempt& attempt) override {
+        pool_.attempt_ended(attempt);
         return Step::pass;
     }
-    Step later(Call& c) {   // woken for it
-        for (const auto& shot : c.shots)
-            if (shot.out && desk_.now - shot.sent + hair >= fleet_.silence(c)) fleet_.heard_nothing(shot);
-        const bool in_time = desk_.now - c.arrived + hair < fleet_.last_use(c);
-        return c.ended || c.streaming || !c.out() || in_time || !fleet_.gives_up(c) ? Step::keep : Step::end;
+    Step on_timer(Call& c) {
+        for (const auto& attempt : c.attempts)
+            if (attempt.open && ctx_.now - attempt.sent + timer_slack >= pool_.silence_timeout(c))
+                pool_.on_silence(attempt);
+        const bool in_time = ctx_.now - c.arrived + timer_slack < pool_.cutoff(c);
+        const bool keeps = c.ended || c.streaming || !c.has_open() || in_time || !pool_.gives_up(c);
+        return keeps ? Step::keep : Step::end;
     }
 
 private:
-    Desk& desk_;
-    Fleet& fleet_;
+    Context& ctx_;
+    ServerPool& pool_;
 };
 
-class Decisions : public Balancer {
+class DecisionEngine : public Balancer {   // passes the events on to the pool and the stages
 public:
-    Decisions(Time now, Settings settings, uint64_t seed, Actions& out)
-        : desk_{std::move(settings), out, Pcg(seed), now}, fleet_(desk_), shares_(desk_),
-          further_(desk_, chain_, fleet_), send_(desk_, fleet_), next_resize_(now + interval) {
-        chain_.add(shares_);
-        chain_.add(further_);
+    DecisionEngine(Time now, Settings settings, uint64_t seed, Actions& actions)
+        : ctx_{std::move(settings), actions, Pcg(seed), now}, pool_(ctx_), allowances_(ctx_),
+          retries_(ctx_, chain_, pool_), send_(ctx_, pool_), next_resize_(now + interval) {
+        chain_.add(allowances_);
+        chain_.add(retries_);
         chain_.add(send_);
-        out.set_timer(tick, tick_cookie);
-        if (!desk_.set.pushed) out.watch_list();
+        actions.set_timer(tick_period, tick_cookie);
+        if (!ctx_.conf.pushed) actions.watch_list();
     }
 
-    void list_began(Time now, bool whole, bool cached) override { at(now).list_began(whole, cached); }
-    void server_listed(ServerId id, uint16_t zone, uint16_t cell, State state, double size, Time launched) override {
-        fleet_.server_listed(id, zone, cell, state, size, launched);
+    void list_began(Time now, bool whole, bool cached) override { pool_at(now).list_began(whole, cached); }
+    void server_listed(ServerId id, uint16_t zone, uint16_t cell, State state, double size,
+                       Time launched) override {
+        pool_.server_listed(id, zone, cell, state, size, launched);
     }
-    void list_ended() override { fleet_.list_ended(); }
-    void list_failed(Time now) override { at(now).list_failed(); }
+    void list_ended() override { pool_.list_ended(); }
+    void list_failed(Time now) override { pool_at(now).list_failed(); }
 
-    void call_arrived(Time now, CallId id, uint32_t product, uint32_t tenant, Span patience,
-                      Span work, uint64_t key, bool again, double pull) override {
-        desk_.now = now;
-        if (product >= desk_.set.products.size()) throw std::runtime_error("unknown product");
+    void call_arrived(Time now, CallId id, uint32_t product, uint32_t tenant, Span timeout,
+                      Span work, uint64_t key, bool again, double affinity) override {
+        ctx_.now = now;
+        if (product >= ctx_.conf.products.size())
+            throw std::runtime_error("unknown product number " + std::to_string(product));
         auto [it, fresh] = calls_.try_emplace(id);
         if (!fresh) return;
         Call& c = it->second;
         c.id = id;
-        c.product = &desk_.set.products[product];
-        ++c.product->calls;
+        c.product = &ctx_.conf.products[product];
+        ++c.product->open_calls;
         c.tenant = tenant;
         c.work = work;
-        c.key = desk_.set.warm_keys || pull > 0 ? key : 0;
-        c.pull = pull;
-        c.give_up = now + patience;
-        c.arrived = again ? fleet_.first_came(*c.product, c.give_up) : now;
-        if (!again) c.product->patience = std::max(c.product->patience, patience);
-        c.shots.reserve(desk_.set.max_attempts);
-        fleet_.weigh(c);
-        if (patience <= Span{} || chain_.there(c) == Step::end) answer(c);
-        forget_if_over(c);
+        c.key = ctx_.conf.warm_keys || affinity > 0 ? key : 0;
+        c.affinity = affinity;
+        c.deadline = now + timeout;
+        c.arrived = again ? pool_.first_arrival(*c.product, c.deadline) : now;
+        if (!again) c.product->max_timeout = std::max(c.product->max_timeout, timeout);
+        c.attempts.reserve(ctx_.conf.max_attempts);
+        pool_.set_weight(c);
+        if (timeout <= Span{} || chain_.on_call(c) == Step::end) reject(c);
+        release_if_done(c);
     }
     void client_left(Time now, CallId id) override {
         auto* c = find(now, id);
         if (!c) return;
-        over(*c);
-        forget_if_over(*c);
+        finish(*c);
+        release_if_done(*c);
     }
-    bool may_start(Time now, CallId id, int shot) override {
+    bool may_start(Time now, CallId id, int attempt) override {
         auto* c = find(now, id);
-        return c && c->out(shot) && !c->ended && fleet_.may_start(*c->out(shot));
+        return c && c->open_attempt(attempt) && !c->ended && pool_.may_start(*c->open_attempt(attempt));
     }
-    void stream_began(Time now, CallId id, int shot) override {
+    void stream_began(Time now, CallId id, int attempt) override {
         auto* c = find(now, id);
-        if (!c || !c->out(shot)) return;
+        if (!c || !c->open_attempt(attempt)) return;
         c->streaming = true;
-        if (desk_.set.known_slots) c->weight = std::min(c->weight, begun_weight);
-        call_off(*c, shot);   // a stream belongs to the client: its twin is of no use
+        if (ctx_.conf.known_slots) c->weight = std::min(c->weight, streaming_weight);
+        cancel_attempts(*c, attempt);   // the client reads this stream: a hedged attempt is of no use
     }
     void attempt_ended(Time now, CallId id, int number, Outcome outcome, bool call_done) override {
         auto* c = find(now, id);
-        if (!c || !c->out(number)) return;
-        Shot& shot = *c->out(number);
-        shot.out = false;
-        shot.outcome = outcome;
+        if (!c || !c->open_attempt(number)) return;
+        Attempt& attempt = *c->open_attempt(number);
+        attempt.open = false;
+        attempt.outcome = outcome;
         if (call_done) c->ended = true;
-        if (chain_.back(*c, shot) == Step::end && !c->ended) answer(*c);
-        if (call_done) over(*c);
-        forget_if_over(*c);
+        if (chain_.on_attempt_end(*c, attempt) == Step::end && !c->ended) reject(*c);
+        if (call_done) finish(*c);
+        release_if_done(*c);
     }
     void probe_ended(Time now, ServerId id, bool reply) override {
-        if (auto* s = at(now).find(id)) fleet_.probe_ended(*s, reply);
+        if (auto* s = pool_at(now).find(id)) pool_.probe_ended(*s, reply);
     }
     void timer_fired(Time now, uint64_t cookie) override {
-        desk_.now = now;
-        if (cookie == list_cookie) return desk_.out.watch_list();
+        ctx_.now = now;
+        if (cookie == list_cookie) return ctx_.actions.watch_list();
         if (auto* c = find(now, cookie))
-            return send_.later(*c) == Step::end ? answer(*c) : further_.later(*c);
+            return send_.on_timer(*c) == Step::end ? reject(*c) : retries_.on_timer(*c);
         if (cookie != tick_cookie) return;
-        fleet_.look();
+        pool_.run_checks();
         if (now >= next_resize_) {
             next_resize_ = now + interval;
-            fleet_.resize();
+            pool_.resize();
         }
-        desk_.out.set_timer(tick, tick_cookie);
+        ctx_.actions.set_timer(tick_period, tick_cookie);
     }
 
-    void position_changed(int me, int balancers) override {
-        desk_.set.me = me;
-        desk_.set.balancers = std::max(1, balancers);
+    void position_changed(int index, int balancers) override {
+        ctx_.conf.index = index;
+        ctx_.conf.balancers = std::max(1, balancers);
     }
-    uint32_t define_product(const Product& product) override { return fleet_.define_product(product); }
+    uint32_t define_product(const Product& product) override { return pool_.define_product(product); }
     const Product* product_of(CallId id) const override {
         const auto it = calls_.find(id);
         return it == calls_.end() ? nullptr : it->second.product;
     }
-    void data_received(Time now, ServerId id) override { at(now).data_received(id); }
-    void load_reported(Time now, ServerId id, double held) override { at(now).load_reported(id, held); }
+    void data_received(Time now, ServerId id) override { pool_at(now).data_received(id); }
+    void load_reported(Time now, ServerId id, double held) override { pool_at(now).load_reported(id, held); }
 
 private:
-    Fleet& at(Time now) { return desk_.now = now, fleet_; }
+    ServerPool& pool_at(Time now) { return ctx_.now = now, pool_; }
     Call* find(Time now, CallId id) {
-        desk_.now = now;
+        ctx_.now = now;
         const auto it = calls_.find(id);
         return it == calls_.end() ? nullptr : &it->second;
     }
-    // The one final answer, as soon as the call is given up; a client is told to stay away as long as may be.
-    void answer(Call& c) {
-        const Span stay_away = desk_.set.retry_after ? desk_.set.max_retry_after : Span{};
-        if (may_rate_limit(c)) desk_.out.rate_limit(c.id, stay_away);
-        else desk_.out.error(c.id);
-        over(c);
+    // Sends the one final failure response; the client gets the longest permitted Retry-After.
+    void reject(Call& c) {
+        const Span retry_after = ctx_.conf.retry_after ? ctx_.conf.max_retry_after : Span{};
+        if (may_rate_limit(c)) ctx_.actions.rate_limit(c.id, retry_after);
+        else ctx_.actions.error(c.id);
+        finish(c);
     }
-    void over(Call& c) {
+    void finish(Call& c) {
         c.ended = true;
-        if (!c.streaming) call_off(c);
-    }
-    void call_off(Call& c, int but = -1) {
-        for (auto& shot : c.shots)
-            if (desk_.set.cancel && shot.out && shot.number != but && !std::exchange(shot.called_off, true))
-                desk_.out.cancel(c.id, shot.number);
-    }
-    void forget_if_over(Call& c) {
-        if (!c.ended || c.out()) return;
-        for (const auto& shot : c.shots) --shot.server->named;
-        --c.product->calls;
+        if (!c.streaming) cancel_attempts(c);
+    }
+    void cancel_attempts(Call& c, int except = -1) {
+        for (auto& attempt : c.attempts)
+            if (ctx_.conf.cancel && attempt.open && attempt.number != except &&
+                !std::exchange(attempt.cancel_sent, true))
+                ctx_.actions.cancel(c.id, attempt.number);
+    }
+    void release_if_done(Call& c) {
+        if (!c.ended || c.has_open()) return;
+        for (const auto& attempt : c.attempts) --attempt.server->references;
+        --c.product->open_calls;
         calls_.erase(c.id);
     }
 
-    Desk desk_;
-    Fleet fleet_;
+    Context ctx_;
+    ServerPool pool_;
     Chain chain_;
-    Shares shares_;
-    Further further_;
+    TenantAllowances allowances_;
+    Retries retries_;
     Send send_;
     Time next_resize_;
-    std::unordered_map<CallId, Call> calls_;   // looked up only, never walked
+    std::unordered_map<CallId, Call> calls_;   // not iterated: unordered
 };
 
 }  // namespace
 
 std::unique_ptr<Balancer> start_balancer(Time now, Settings settings, uint64_t seed, Actions& actions) {
-    return std::make_unique<Decisions>(now, std::move(settings), seed, actions);
+    return std::make_unique<DecisionEngine>(now, std::move(settings), seed, actions);
 }
 
 }  // namespace myrtleroute
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -33,7 +33,8 @@
 
 // Whether calls of both may do the same.
 bool same_rules(const Product& a, const Product& b) {
-    return a.slo == b.slo && a.client_timeout == b.client_timeout && a.repeat == b.repeat && a.attempts == b.attempts;
+    return a.slo == b.slo && a.client_timeout == b.client_timeout && a.repeat == b.repeat &&
+           a.max_attempts == b.max_attempts;
 }
 
 }   // namespace
@@ -56,10 +57,10 @@
     product.client_timeout = route.timeout;
     product.repeat = route.is_retryable() ? Idempotency::idempotent : Idempotency::non_idempotent;
     product.late_value = late_worth;
-    product.attempts = std::min(route.max_attempts, most_attempts);
+    product.max_attempts = std::min(route.max_attempts, most_attempts);
     product.name = std::to_string(static_cast<int>(route.kind)) + "/" + std::to_string(route.resumable) + "/" +
                    std::to_string(product.slo.s) + "/" + std::to_string(product.client_timeout.s) + "/" +
-                   std::to_string(product.attempts);
+                   std::to_string(product.max_attempts);
     budget_->request(context_.now());
     const auto number = balancer_->define_product(product);
     const double unread = std::max(0.0, request.prompt.tokens_in - read_part * request.prompt.shared_tokens);
