--- a/tests/wire_machines_test.cpp
+++ b/tests/wire_machines_test.cpp
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "play.hpp"
+#include "balancer_harness.hpp"
 #include "wire/discovery.hpp"
 #include "wire/http.hpp"
 #include "wire/json.hpp"
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -4,7 +4,7 @@
 #include <sstream>
 
 #include "adapter/wire.hpp"
-#include "play.hpp"
+#include "balancer_harness.hpp"
 
 using namespace myrtleroute;
 
