--- a/tests/system/pool_test.cpp
+++ b/tests/system/pool_test.cpp
@@ -180,6 +180,6 @@
         REQUIRE(product);
         CHECK(product->slo == Span{target});
         CHECK(product->client_timeout == Span{target * 4});
-        CHECK(product->attempts == 1);
+        CHECK(product->max_attempts == 1);
     }
 }
