--- a/src/base/bounds.hpp
+++ b/src/base/bounds.hpp
@@ -1,4 +1,4 @@
-// How often the tables of a process that are bounded were full: one family of counters, by table.
+// Counts how often a bounded table of the process was full: one metric family, labelled by table.
 #pragma once
 #include <string>
 
@@ -6,7 +6,7 @@
 
 namespace myrtleroute {
 
-// The counter of that table. docs/bounds.md tells what happens at each bound.
+// Returns the counter of `table`. docs/bounds.md describes what happens when each table is full.
 inline metrics::Counter bound_reached_counter(metrics::Registry& registry, const std::string& table) {
     return registry.counter("myrtleroute_bound_reached_total", "Times that a bounded table was full, by table.",
                             {{"table", table}});
--- a/src/base/counters_by.hpp
+++ b/src/base/counters_by.hpp
@@ -1,4 +1,4 @@
-// Counters by cause: one series for each value of an enumeration.
+// Counters by cause: one series per value of an enumeration.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -9,7 +9,8 @@
 
 namespace myrtleroute {
 
-// The counters of that name, in the order of `causes`, each with the cause's text under `label`.
+// Registers one counter per cause and returns them in the order of `causes`. Each series has the label `label` with the
+// cause's to_string() as its value.
 template <class Cause, size_t count>
 std::array<metrics::Counter, count> counters_by(metrics::Registry& registry, const std::string& name,
                                                 const std::string& help, const std::string& label,
--- a/src/base/endpoint.hpp
+++ b/src/base/endpoint.hpp
@@ -1,4 +1,4 @@
-// An IPv4 address with a port, as settings and messages write it: 10.1.0.3:8367.
+// An IPv4 address and a port in the form that settings and messages use: 10.1.0.3:8367.
 #pragma once
 #include <compare>
 #include <cstdint>
@@ -17,7 +17,7 @@
     std::string text() const { return address + ":" + std::to_string(port); }
 };
 
-// Nothing where the text is no address and port.
+// Parses ADDRESS:PORT; returns nullopt if the text is not a valid IPv4 address and port.
 inline std::optional<Endpoint> parse_endpoint(std::string_view text) {
     const auto socket_address = wire::read_endpoint(text);
     if (!socket_address) return {};
--- a/src/base/findings.hpp
+++ b/src/base/findings.hpp
@@ -1,4 +1,4 @@
-// Findings: faults in something that was read, each with its place, collected and reported together.
+// Findings: errors in an input, each with its location, collected so that all of them can be reported at once.
 #pragma once
 #include <string>
 #include <utility>
@@ -7,7 +7,7 @@
 
 namespace myrtleroute {
 
-// One fault: where it is (a file and line, or a path inside a document) and what is wrong there.
+// One error: its location (file and line, byte offset, or JSON pointer) and what is wrong there.
 struct Finding {
     std::string location;
     std::string message;
@@ -16,11 +16,11 @@
 
 using Findings = std::vector<Finding>;
 
-// Either the value that was read, or all that is wrong with its source.
+// The parsed value, or every error found in the input.
 template <class Value>
 using ParseResult = std::variant<Value, Findings>;
 
-// All findings as one line: `place: text; place: text`.
+// Joins all findings into one line: `location: message; location: message`.
 inline std::string join_findings(const Findings& findings) {
     std::string line;
     for (const auto& finding : findings) {
--- a/src/base/invariants.hpp
+++ b/src/base/invariants.hpp
@@ -1,7 +1,7 @@
-// Checks of what must always hold, which run in the program itself.
+// Invariants that are checked at run time, also in production.
 //
-// A violation is counted in the registry, and the first one of each name is logged with its details; the program goes
-// on. In tests a violation throws instead, so that the test fails where it happens.
+// A violation increments a metric, and the first one per invariant is logged with its details; the program continues.
+// In tests a violation throws instead, so that the test fails where it happens.
 #pragma once
 #include <atomic>
 #include <functional>
@@ -14,21 +14,22 @@
 
 namespace myrtleroute {
 
-// What a violation throws where `throw_on_violations` is set.
+// Thrown by a violation if `throw_on_violations` is set.
 class InvariantViolation : public std::logic_error {
 public:
     using std::logic_error::logic_error;
 };
 
-// A test's main function sets it once, before anything runs. The program never does.
+// Set once by the main function of the tests, before anything runs; never set in production.
 inline std::atomic<bool> throw_on_violations{false};
 
-// One check that has a name. The handle is kept by whoever checks; it is valid as long as its `Invariants`.
+// A named invariant. Callers keep a reference to it, which is valid as long as its `Invariants` object.
 class Invariant {
 public:
     using Log = std::function<void(const std::string& line)>;
 
-    // `details` makes the text for the log, and is called only for a violation that is logged or thrown.
+    // Reports a violation if `holds` is false. `details` builds the message and is called only for a violation that is
+    // logged or thrown.
     template <class Details>
     void check(bool holds, const Details& details) {
         if (holds) return;
@@ -49,18 +50,18 @@
     bool logged_ = false;
 };
 
-// The invariants of a process.
+// All invariants of a process.
 class Invariants {
 public:
-    // `log` takes the line about the first violation of each name, at the level of an error.
+    // `log` receives one line for the first violation of each invariant; it should log at error level.
     Invariants(metrics::Registry& registry, Invariant::Log log) : registry_(registry), log_(std::move(log)) {}
     Invariants(const Invariants&) = delete;
     Invariants& operator=(const Invariants&) = delete;
 
-    // The check of that name; the same one at every call. Its series exists, at 0, from the first call on.
+    // Returns the invariant of that name and creates it at the first call; its counter is exported, at 0, from then on.
     Invariant& named(const std::string& name) {
-        const auto known = invariants_.find(name);
-        if (known != invariants_.end()) return known->second;
+        const auto existing = invariants_.find(name);
+        if (existing != invariants_.end()) return existing->second;
         auto violations =
             registry_.counter("myrtleroute_invariant_violations_total",
                               "Violations of what must always hold; any is a fault.", {{"invariant", name}});
@@ -70,7 +71,7 @@
 private:
     metrics::Registry& registry_;
     Invariant::Log log_;
-    std::map<std::string, Invariant> invariants_;   // handles stay where they are
+    std::map<std::string, Invariant> invariants_;   // a std::map: references to its elements stay valid
 };
 
 }   // namespace myrtleroute
--- a/src/base/log_rate_limiter.hpp
+++ b/src/base/log_rate_limiter.hpp
@@ -1,4 +1,4 @@
-// Bounds lines in the log about one cause: at most one a second.
+// Rate limit for the log lines of one cause: at most one line per second.
 #pragma once
 #include <optional>
 #include <utility>
@@ -9,21 +9,21 @@
 
 class LogRateLimiter {
 public:
-    // How many lines were left out since the last one, where a line may be written now; it counts as written. Nothing: this
-    // one is left out as well.
+    // If a line may be logged now, counts it as logged and returns how many were suppressed since the last one.
+    // Otherwise counts it as suppressed and returns nullopt.
     std::optional<unsigned> try_log(Time now) {
-        constexpr Span line_every{1};
-        if (now - written_ < line_every) {
-            ++left_out_;
+        constexpr Span min_interval{1};
+        if (now - last_logged_ < min_interval) {
+            ++suppressed_;
             return {};
         }
-        written_ = now;
-        return std::exchange(left_out_, 0);
+        last_logged_ = now;
+        return std::exchange(suppressed_, 0);
     }
 
 private:
-    Time written_ = long_ago;
-    unsigned left_out_ = 0;
+    Time last_logged_ = long_ago;
+    unsigned suppressed_ = 0;
 };
 
 }   // namespace myrtleroute
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -9,19 +9,19 @@
 namespace {
 
 constexpr std::string_view overflow_help = "Series that were refused: no room, an unsound name or another kind.";
-constexpr double most_exact_integer = 9007199254740992;   // 2^53
+constexpr double max_exact_integer = 9007199254740992;   // 2^53; a double represents all integers below it exactly
 
-bool is_letter(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
+bool is_name_start(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
 
-bool is_sound_name(std::string_view name) {
+bool is_valid_name(std::string_view name) {
     const auto is_allowed = [](char c) {
-        return is_letter(c) || (c >= '0' && c <= '9');
+        return is_name_start(c) || (c >= '0' && c <= '9');
     };
-    return !name.empty() && is_letter(name.front()) && std::all_of(name.begin(), name.end(), is_allowed);
+    return !name.empty() && is_name_start(name.front()) && std::all_of(name.begin(), name.end(), is_allowed);
 }
 
-bool are_sound(const Labels& labels) {
-    return std::all_of(labels.begin(), labels.end(), [](const auto& label) { return is_sound_name(label.first); });
+bool are_valid(const Labels& labels) {
+    return std::all_of(labels.begin(), labels.end(), [](const auto& label) { return is_valid_name(label.first); });
 }
 
 std::string escape_help(std::string_view help) {
@@ -51,13 +51,13 @@
     if (std::isnan(value)) return "NaN";
     if (std::isinf(value)) return value > 0 ? "+Inf" : "-Inf";
     char digits[32];
-    const bool is_whole = std::abs(value) < most_exact_integer && std::trunc(value) == value;
+    const bool is_whole = std::abs(value) < max_exact_integer && std::trunc(value) == value;
     const auto end = is_whole ? std::to_chars(digits, digits + sizeof digits, static_cast<int64_t>(value)).ptr
                               : std::to_chars(digits, digits + sizeof digits, value).ptr;
     return {digits, end};
 }
 
-void render_head(std::string& text, std::string_view name, std::string_view help, std::string_view kind) {
+void render_header(std::string& text, std::string_view name, std::string_view help, std::string_view kind) {
     text.append("# HELP ").append(name).append(" ").append(escape_help(help)).append("\n");
     text.append("# TYPE ").append(name).append(" ").append(kind).append("\n");
 }
@@ -93,21 +93,21 @@
 
 std::shared_ptr<double> Registry::find_or_add(const std::string& name, const std::string& help, const Labels& labels,
                                               Kind kind) {
-    if (!is_sound_name(name) || name == overflow_name || !are_sound(labels)) return refused();
+    if (!is_valid_name(name) || name == overflow_name || !are_valid(labels)) return reject_series();
     const auto key = render_labels(labels);
     const auto family = families_.find(name);
     if (family != families_.end()) {
-        if (family->second.kind != kind) return refused();
-        const auto known = family->second.series.find(key);
-        if (known != family->second.series.end()) return known->second;
+        if (family->second.kind != kind) return reject_series();
+        const auto existing = family->second.series.find(key);
+        if (existing != family->second.series.end()) return existing->second;
     }
-    if (series_ >= options_.max_series) return refused();
+    if (series_ >= options_.max_series) return reject_series();
     auto& series = families_.try_emplace(name, Family{kind, help, {}}).first->second.series;
     ++series_;
     return series[key] = std::make_shared<double>(0);
 }
 
-std::shared_ptr<double> Registry::refused() {
+std::shared_ptr<double> Registry::reject_series() {
     ++overflow_;
     return std::make_shared<double>(0);
 }
@@ -122,13 +122,13 @@
 std::string Registry::render() const {
     std::string text;
     for (const auto& [name, family] : families_) render_family(text, name, family);
-    render_head(text, overflow_name, overflow_help, "counter");
+    render_header(text, overflow_name, overflow_help, "counter");
     render_sample(text, overflow_name, "", overflow_);
     return text;
 }
 
 void Registry::render_family(std::string& text, const std::string& name, const Family& family) {
-    render_head(text, name, family.help, family.kind == Kind::counter ? "counter" : "gauge");
+    render_header(text, name, family.help, family.kind == Kind::counter ? "counter" : "gauge");
     for (const auto& [labels, value] : family.series) render_sample(text, name, labels, *value);
 }
 
--- a/src/base/metrics.hpp
+++ b/src/base/metrics.hpp
@@ -1,8 +1,8 @@
-// Figures that a process tells about itself: counters and gauges, rendered in the Prometheus text exposition format 0.0.4.
+// Metrics of a process: counters and gauges, rendered in the Prometheus text exposition format 0.0.4.
 //
-// One registry belongs to one process (or to one test) and is passed by reference. Whoever counts asks the registry for
-// a handle once and keeps it; adding to a handle is a single addition. Not safe for several threads: handles and
-// registry are used from the thread of the event loop.
+// There is one registry per process (or per test), passed by reference. Code that counts something gets a handle from
+// the registry once and keeps it; updating a handle is a single addition or assignment. Not thread-safe: use the
+// registry and its handles only on the event loop's thread.
 #pragma once
 #include <cstddef>
 #include <map>
@@ -14,16 +14,16 @@
 
 namespace myrtleroute::metrics {
 
-// Content type of what `Registry::render` gives.
+// Content type of the output of `Registry::render`.
 inline constexpr std::string_view content_type = "text/plain; version=0.0.4; charset=utf-8";
 
-// Counts the series that a registry had no room for, or whose name it refused.
+// Counts the series that a registry rejected: too many series, an invalid name, or a name in use by the other kind.
 inline constexpr std::string_view overflow_name = "myrtleroute_metrics_overflow_series_total";
 
-// A name and a value each; names are [a-zA-Z_][a-zA-Z0-9_]*, values are any UTF-8 text.
+// Pairs of label name and value; names match [a-zA-Z_][a-zA-Z0-9_]*, values are any UTF-8 text.
 using Labels = std::vector<std::pair<std::string, std::string>>;
 
-// A value that only rises, from 0 at the start of the process. Its handle stays valid after the series is removed.
+// A value that only increases, from 0 at process start. The handle stays valid after its series is removed.
 class Counter {
 public:
     void add(double amount = 1) { *value_ += amount; }
@@ -35,7 +35,7 @@
     std::shared_ptr<double> value_;
 };
 
-// A value that goes up and down. Its handle stays valid after the series is removed.
+// A value that can go up and down. The handle stays valid after its series is removed.
 class Gauge {
 public:
     void set(double value) { *value_ = value; }
@@ -48,7 +48,7 @@
 };
 
 struct RegistryOptions {
-    size_t max_series = 4096;   // further ones are counted, and not shown
+    size_t max_series = 4096;   // further series are not rendered, only counted in `overflow_name`
 };
 
 class Registry {
@@ -57,18 +57,19 @@
     Registry(const Registry&) = delete;
     Registry& operator=(const Registry&) = delete;
 
-    // The series of that name and those labels, made at the first call; the same series at every later one. `help` is
-    // that of the name's first call. Where there is no room, where a name is unsound or where the name belongs to the
-    // other kind, the handle works, is not shown, and the overflow counter rises.
+    // Returns a handle of the series with that name and labels, which is created at the first call. `help` is taken
+    // from the first call with that name. If there are too many series, a name is invalid or the name is in use by the
+    // other kind, the overflow counter is incremented and the handle works, but its series is not rendered.
     Counter counter(const std::string& name, const std::string& help, const Labels& labels = {});
     Gauge gauge(const std::string& name, const std::string& help, const Labels& labels = {});
 
-    // Forgets a series; nothing where there is none. What handles add to it afterwards is not shown.
+    // Removes a series if it exists. Later updates of its handles are not rendered.
     void remove(const std::string& name, const Labels& labels);
 
+    // Number of series, without rejected ones.
     size_t series() const { return series_; }
 
-    // Everything as text, sorted by name and labels.
+    // Renders all series in the text format, sorted by name and labels.
     std::string render() const;
 
 private:
@@ -76,11 +77,11 @@
     struct Family {
         Kind kind;
         std::string help;
-        std::map<std::string, std::shared_ptr<double>> series;   // by labels as they are rendered
+        std::map<std::string, std::shared_ptr<double>> series;   // by rendered labels
     };
     std::shared_ptr<double> find_or_add(const std::string& name, const std::string& help, const Labels& labels,
                                         Kind kind);
-    std::shared_ptr<double> refused();
+    std::shared_ptr<double> reject_series();
     static void render_family(std::string& text, const std::string& name, const Family& family);
 
     RegistryOptions options_;
@@ -89,7 +90,7 @@
     double overflow_ = 0;
 };
 
-// A label's value as it stands between quotes: backslash, quote and line feed are escaped.
+// Escapes backslash, double quote and line feed for use in a quoted label value.
 std::string escape_label_value(std::string_view value);
 
 }   // namespace myrtleroute::metrics
--- a/src/base/packed_text.cpp
+++ b/src/base/packed_text.cpp
@@ -10,18 +10,19 @@
 namespace myrtleroute {
 namespace {
 
-constexpr int fast = 1;   // compression level: what costs the least processor time
+constexpr int compression_level = 1;   // the fastest of zlib's levels: least CPU time
 constexpr char length_end = ':';
 constexpr std::string_view digits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 constexpr char padding = '=';
 constexpr size_t group_bytes = 3, group_digits = 4;
-constexpr int bits_a_digit = 6, bits_a_byte = 8;
+constexpr int bits_per_digit = 6, bits_per_byte = 8;
 
 std::string compressed(const std::string& text) {
     uLongf length = compressBound(text.size());
     std::string bytes(length, '\0');
     const auto* from = reinterpret_cast<const Bytef*>(text.data());
-    if (compress2(reinterpret_cast<Bytef*>(bytes.data()), &length, from, text.size(), fast) != Z_OK) length = 0;
+    if (compress2(reinterpret_cast<Bytef*>(bytes.data()), &length, from, text.size(), compression_level) != Z_OK)
+        length = 0;
     bytes.resize(length);
     return bytes;
 }
@@ -31,38 +32,40 @@
     for (size_t at = 0; at < bytes.size(); at += group_bytes) {
         uint32_t group = 0;
         for (size_t i = 0; i < group_bytes; ++i)
-            group = group << bits_a_byte | (at + i < bytes.size() ? static_cast<unsigned char>(bytes[at + i]) : 0);
+            group = group << bits_per_byte | (at + i < bytes.size() ? static_cast<unsigned char>(bytes[at + i]) : 0);
         for (size_t i = 0; i < group_digits; ++i) {
-            const auto shift = bits_a_digit * static_cast<int>(group_digits - 1 - i);
-            const bool pads = at + i > bytes.size();
-            to.push_back(pads ? padding : digits[group >> shift & 63]);
+            const auto shift = bits_per_digit * static_cast<int>(group_digits - 1 - i);
+            const bool is_padding = at + i > bytes.size();
+            to.push_back(is_padding ? padding : digits[group >> shift & 63]);
         }
     }
 }
 
-std::array<int8_t, 256> values_of_digits() {
+// The value of each base64 digit by its character; -1 for any other character.
+std::array<int8_t, 256> digit_values() {
     std::array<int8_t, 256> values{};
     values.fill(-1);
     for (size_t i = 0; i < digits.size(); ++i) values[static_cast<unsigned char>(digits[i])] = static_cast<int8_t>(i);
     return values;
 }
 
+// Decodes base64; returns nullopt if the text is malformed.
 std::optional<std::string> read_base64(std::string_view text) {
-    static const auto values = values_of_digits();
+    static const auto values = digit_values();
     if (text.size() % group_digits != 0) return {};
     while (!text.empty() && text.back() == padding) text.remove_suffix(1);
     std::string bytes;
     bytes.reserve(text.size() / group_digits * group_bytes + group_bytes);
-    uint32_t gathered = 0;
+    uint32_t pending_bits = 0;
     int bits = 0;
     for (const char digit : text) {
         const auto value = values[static_cast<unsigned char>(digit)];
         if (value < 0) return {};
-        gathered = gathered << bits_a_digit | static_cast<uint32_t>(value);
-        bits += bits_a_digit;
-        if (bits < bits_a_byte) continue;
-        bits -= bits_a_byte;
-        bytes.push_back(static_cast<char>(gathered >> bits));
+        pending_bits = pending_bits << bits_per_digit | static_cast<uint32_t>(value);
+        bits += bits_per_digit;
+        if (bits < bits_per_byte) continue;
+        bits -= bits_per_byte;
+        bytes.push_back(static_cast<char>(pending_bits >> bits));
     }
     return bytes;
 }
@@ -77,33 +80,33 @@
 }
 
 const std::string& PackedText::text() const {
-    static const std::string none;
-    return data_ ? data_->text : none;
+    static const std::string empty;
+    return data_ ? data_->text : empty;
 }
 
 const std::string& PackedText::packed() const {
-    static const std::string none = "0:";
-    if (!data_) return none;
-    std::call_once(data_->is_packed, [this] {
+    static const std::string empty = "0:";
+    if (!data_) return empty;
+    std::call_once(data_->packed_once, [this] {
         data_->packed = std::to_string(data_->text.size()) + length_end;
         append_base64(data_->packed, compressed(data_->text));
     });
     return data_->packed;
 }
 
-std::optional<PackedText> PackedText::unpack(std::string_view packed, size_t most) {
+std::optional<PackedText> PackedText::unpack(std::string_view packed, size_t max_size) {
     size_t length = 0;
     const auto* end = packed.data() + packed.size();
-    const auto read = std::from_chars(packed.data(), end, length);
-    if (read.ec != std::errc{} || read.ptr == end || *read.ptr != length_end || length > most) return {};
+    const auto parsed = std::from_chars(packed.data(), end, length);
+    if (parsed.ec != std::errc{} || parsed.ptr == end || *parsed.ptr != length_end || length > max_size) return {};
     if (length == 0) return PackedText{};
-    const auto bytes = read_base64(packed.substr(static_cast<size_t>(read.ptr - packed.data()) + 1));
+    const auto bytes = read_base64(packed.substr(static_cast<size_t>(parsed.ptr - packed.data()) + 1));
     if (!bytes) return {};
     std::string text(length, '\0');
-    uLongf got = length;
+    uLongf unpacked_length = length;
     const auto* from = reinterpret_cast<const Bytef*>(bytes->data());
-    const bool sound = uncompress(reinterpret_cast<Bytef*>(text.data()), &got, from, bytes->size()) == Z_OK;
-    if (!sound || got != length) return {};
+    const bool valid = uncompress(reinterpret_cast<Bytef*>(text.data()), &unpacked_length, from, bytes->size()) == Z_OK;
+    if (!valid || unpacked_length != length) return {};
     return PackedText(std::move(text));
 }
 
--- a/src/base/packed_text.hpp
+++ b/src/base/packed_text.hpp
@@ -1,4 +1,5 @@
-// A long text that many hold and that is sent to many: copies share it, and its packed form is made once, for all of them.
+// An immutable text that is shared and sent often. Copies share the text and its packed form (compressed, in base64),
+// which is computed at most once for all of them.
 #pragma once
 #include <memory>
 #include <mutex>
@@ -11,7 +12,7 @@
 class PackedText {
 public:
     PackedText() = default;
-    PackedText(std::string text);   // NOLINT(google-explicit-constructor): it stands wherever a text does
+    PackedText(std::string text);   // NOLINT(google-explicit-constructor): usable wherever a string is
     PackedText(const char* text) : PackedText(std::string(text)) {}   // NOLINT(google-explicit-constructor)
 
     const std::string& text() const;
@@ -19,25 +20,26 @@
     size_t size() const { return text().size(); }
     bool empty() const { return text().empty(); }
 
-    // Whether it is long enough for its packed form to be sent and stored in its place; and the bytes that this takes.
-    bool is_worth_packing() const { return size() >= least_packed; }
-    size_t encoded_size() const { return is_worth_packing() ? packed().size() : size(); }
+    // Whether the text is long enough to be sent and stored in its packed form.
+    bool should_pack() const { return size() >= min_packed_size; }
+    // Bytes of the form that is sent and stored.
+    size_t encoded_size() const { return should_pack() ? packed().size() : size(); }
 
-    // Compressed by zlib and written in base64, with the length of the text in front. May be called from several threads.
+    // The text compressed with zlib, in base64, behind the decimal length of the text and a colon. Thread-safe.
     const std::string& packed() const;
-    // Nothing where it is no packed text, or one that is longer than `most` bytes.
-    static std::optional<PackedText> unpack(std::string_view packed, size_t most);
+    // Decodes a packed text. Returns nullopt if it is malformed or its text is longer than `max_size` bytes.
+    static std::optional<PackedText> unpack(std::string_view packed, size_t max_size);
 
     bool operator==(const PackedText& other) const { return data_ == other.data_ || text() == other.text(); }
 
 private:
-    static constexpr size_t least_packed = 1024;
+    static constexpr size_t min_packed_size = 1024;   // bytes
     struct Data {
         std::string text;
-        mutable std::once_flag is_packed;
+        mutable std::once_flag packed_once;
         mutable std::string packed;
     };
-    std::shared_ptr<const Data> data_;   // null: empty
+    std::shared_ptr<const Data> data_;   // null for an empty text
 };
 
 }   // namespace myrtleroute
