--- a/src/messages/messages.cpp
+++ b/src/messages/messages.cpp
@@ -5,19 +5,21 @@
 
 using Json = nlohmann::json;
 
-// The JSON form of each type, found by nlohmann/json in the type's own namespace.
+// JSON conversion of each type; nlohmann/json finds these functions by argument-dependent lookup in the type's
+// namespace.
 namespace myrtleroute {
 
 void to_json(Json& j, const Endpoint& e) { j = e.text(); }
 void from_json(const Json& j, Endpoint& e) {
     const auto parsed = parse_endpoint(j.get<std::string>());
-    if (!parsed) throw std::runtime_error("no endpoint");
+    if (!parsed) throw std::runtime_error("invalid endpoint");
     e = *parsed;
 }
 
-// A long text goes packed, as the only member of an object; a short one, and one of before, as it is.
+// A long text is written in packed form, as the only member of an object; a short one as a plain string. Plain strings
+// of any length are read, since earlier versions wrote them.
 void to_json(Json& j, const PackedText& t) {
-    if (t.is_worth_packing())
+    if (t.should_pack())
         j = {{"zlib", t.packed()}};
     else
         j = t.text();
@@ -28,7 +30,7 @@
         return;
     }
     auto unpacked = PackedText::unpack(j.at("zlib").get_ref<const std::string&>(), messages::max_frame_bytes);
-    if (!unpacked) throw std::runtime_error("no packed text");
+    if (!unpacked) throw std::runtime_error("invalid packed text");
     t = std::move(*unpacked);
 }
 
@@ -47,7 +49,8 @@
     j.at("target").get_to(r.target_version), j.at("duration").get_to(r.duration);
     j.at("rejected").get_to(r.rejected);
     const int stage = j.at("stage").get<int>();
-    if (stage < 0 || stage > static_cast<int>(Stage::rolled_back)) throw std::runtime_error("no stage of a rollout");
+    if (stage < 0 || stage > static_cast<int>(Stage::rolled_back))
+        throw std::runtime_error("invalid stage of a rollout");
     r.stage = static_cast<Stage>(stage);
 }
 void to_json(Json& j, const Rollouts& r) { j = {{"revision", r.revision}, {"all", r.all}}; }
@@ -56,7 +59,7 @@
 void to_json(Json& j, const Tally& t) { j = Json::array({t.requests, t.bad}); }
 void from_json(const Json& j, Tally& t) {
     j.at(0).get_to(t.requests), j.at(1).get_to(t.bad);
-    if (t.bad > t.requests) throw std::runtime_error("no tally");
+    if (t.bad > t.requests) throw std::runtime_error("invalid tally: more bad requests than requests");
 }
 void to_json(Json& j, const CandidateTally& c) { j = Json::array({c.host, c.tally}); }
 void from_json(const Json& j, CandidateTally& c) { j.at(0).get_to(c.host), j.at(1).get_to(c.tally); }
@@ -96,7 +99,7 @@
 void from_json(const Json& j, ClusterState& s) {
     j.at("voters").get_to(s.voters), j.at("version").get_to(s.version);
     j.at("body").get_to(s.configuration), j.at("accepted").get_to(s.accepted);
-    if (j.contains("lease_holders")) j.at("lease_holders").get_to(s.lease_holders);   // disks of before have none
+    if (j.contains("lease_holders")) j.at("lease_holders").get_to(s.lease_holders);   // absent in older records
     if (j.contains("rollouts")) j.at("rollouts").get_to(s.rollouts);
 }
 void to_json(Json& j, const Entry& e) { j = {{"position", e.position}, {"state", e.state}}; }
@@ -178,7 +181,7 @@
     j.at("zone").get_to(h.zone), j.at("capacity").get_to(h.capacity), j.at("sequence").get_to(h.sequence);
     const int state = j.at("state").get<int>();
     h.version = j.value("version", "");
-    if (state < 0 || state > static_cast<int>(HostState::gone)) throw std::runtime_error("no state of a host");
+    if (state < 0 || state > static_cast<int>(HostState::gone)) throw std::runtime_error("invalid state of a host");
     h.state = static_cast<HostState>(state);
 }
 
@@ -187,12 +190,15 @@
 namespace leases {
 namespace {
 
-// Large amounts go over the wire in whole units, small ones in thousandths. What is lent is rounded down, what is held is
-// rounded up; no more is made of an amount on its way.
-constexpr double large_amount = 1000, thousandths = 1000, rest = 1e-6;
-double parts_of(double units) { return units >= large_amount ? 1 : thousandths; }
-double rounded_down(double units) { return std::floor(units * parts_of(units) + rest) / parts_of(units); }
-double rounded_up(double units) { return std::ceil(units * parts_of(units) - rest) / parts_of(units); }
+// Large amounts are sent in whole units, small ones in thousandths. Granted amounts are rounded down and held amounts
+// are rounded up, so that rounding never adds units. `tolerance` allows for the rounding error of floating-point
+// arithmetic.
+constexpr double large_amount = 1000, thousandths = 1000, tolerance = 1e-6;
+double steps_per_unit(double units) { return units >= large_amount ? 1 : thousandths; }
+double rounded_down(double units) {
+    return std::floor(units * steps_per_unit(units) + tolerance) / steps_per_unit(units);
+}
+double rounded_up(double units) { return std::ceil(units * steps_per_unit(units) - tolerance) / steps_per_unit(units); }
 
 }   // namespace
 
@@ -249,7 +255,7 @@
 namespace {
 
 template <class Alternative>
-struct Kind;   // the name of a message's type on the wire
+struct Kind;   // the message type's `kind` on the wire
 #define MYRTLEROUTE_KIND(type, name)               \
     template <>                                    \
     struct Kind<type> {                            \
@@ -280,7 +286,7 @@
 MYRTLEROUTE_KIND(rollout::RolloutReport, "ballot");
 #undef MYRTLEROUTE_KIND
 
-// Reads the alternative whose name is `kind`.
+// Reads the alternative of `Variant` whose kind is `kind`; nullopt if there is none.
 template <class Variant, size_t I = 0>
 std::optional<Variant> read_alternative(const std::string& kind, const Json& j) {
     if constexpr (I == std::variant_size_v<Variant>) {
@@ -323,7 +329,7 @@
     j.at("to_disk").get_to(m.to_disk);
     const auto& inner = j.at("message");
     auto read = read_alternative<consensus::Message>(inner.at("kind").get<std::string>(), inner);
-    if (!read) throw std::runtime_error("no consensus message");
+    if (!read) throw std::runtime_error("unknown kind of consensus message");
     m.message = std::move(*read);
 }
 void to_json(Json& j, const HostsUpdate& m) {
@@ -377,7 +383,7 @@
     try {
         const Json j = Json::parse(json);
         return read_alternative<Message>(j.at("kind").get<std::string>(), j);
-    } catch (const std::exception&) {   // whatever it is, it is none of our messages
+    } catch (const std::exception&) {   // malformed JSON, a missing member or an invalid value
         return {};
     }
 }
@@ -413,24 +419,24 @@
 }
 
 std::optional<std::string> FrameReader::next() {
-    constexpr size_t head = 4;
-    if (broken_ || buffer_.size() - taken_ < head) return {};
+    constexpr size_t header_bytes = 4;
+    if (frame_too_long_ || buffer_.size() - consumed_ < header_bytes) return {};
     uint32_t length = 0;
-    for (size_t i = 0; i < head; ++i)
-        length |= static_cast<uint32_t>(static_cast<unsigned char>(buffer_[taken_ + i])) << (8 * i);
+    for (size_t i = 0; i < header_bytes; ++i)
+        length |= static_cast<uint32_t>(static_cast<unsigned char>(buffer_[consumed_ + i])) << (8 * i);
     if (length > max_frame_bytes) {
-        broken_ = true;
+        frame_too_long_ = true;
         return {};
     }
-    if (buffer_.size() - taken_ - head < length) {
-        buffer_.erase(0, std::exchange(taken_, 0));
+    if (buffer_.size() - consumed_ - header_bytes < length) {
+        buffer_.erase(0, std::exchange(consumed_, 0));
         return {};
     }
-    auto json = buffer_.substr(taken_ + head, length);
-    taken_ += head + length;
-    if (taken_ == buffer_.size()) {
+    auto json = buffer_.substr(consumed_ + header_bytes, length);
+    consumed_ += header_bytes + length;
+    if (consumed_ == buffer_.size()) {
         buffer_.clear();
-        taken_ = 0;
+        consumed_ = 0;
     }
     return json;
 }
