--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -12,31 +12,32 @@
 
 using rapidjson::Value;
 
-constexpr double milliseconds = 1e-3;
+constexpr double seconds_per_millisecond = 1e-3;
 
-std::string text(const Value& object, const char* key) {
+std::string string_member(const Value& object, const char* key) {
     const auto member = object.FindMember(key);
     if (member == object.MemberEnd() || !member->value.IsString()) return {};
     return {member->value.GetString(), member->value.GetStringLength()};
 }
 
-double number(const Value& object, const char* key, double otherwise) {
+double number_member(const Value& object, const char* key, double fallback) {
     const auto member = object.FindMember(key);
-    return member == object.MemberEnd() || !member->value.IsNumber() ? otherwise : member->value.GetDouble();
+    return member == object.MemberEnd() || !member->value.IsNumber() ? fallback : member->value.GetDouble();
 }
 
-bool truth(const Value& object, const char* key) {
+bool bool_member(const Value& object, const char* key) {
     const auto member = object.FindMember(key);
     return member != object.MemberEnd() && member->value.IsBool() && member->value.GetBool();
 }
 
-// Calls `take(item, its place)` for each item of an array that may be missing.
-template <class Take>
-void each(const Value& object, const char* key, const std::string& place, Take&& take) {
+// Calls `visit(item, location of the item)` for each item of the array at `key`, if there is one.
+template <class Visit>
+void for_each_item(const Value& object, const char* key, const std::string& location, Visit&& visit) {
     const auto member = object.FindMember(key);
     if (member == object.MemberEnd() || !member->value.IsArray()) return;
     size_t number = 0;
-    for (const auto& item : member->value.GetArray()) take(item, place + "/" + key + "/" + std::to_string(number++));
+    for (const auto& item : member->value.GetArray())
+        visit(item, location + "/" + key + "/" + std::to_string(number++));
 }
 
 RouteKind route_kind(const std::string& name) {
@@ -44,32 +45,32 @@
     return name == "streaming" ? RouteKind::streaming : RouteKind::non_idempotent;
 }
 
-Route read_route(const Value& from, const std::string& place) {
+Route read_route(const Value& from, const std::string& location) {
     Route route;
-    route.name = text(from, "name");
-    route.hostname = text(from, "hostname");
-    route.path_prefix = text(from, "pathPrefix");
-    route.kind = route_kind(text(from, "kind"));
-    route.timeout = Span{number(from, "timeoutMs", 0) * milliseconds};
-    route.target_latency = Span{number(from, "targetLatencyMs", 0) * milliseconds};
+    route.name = string_member(from, "name");
+    route.hostname = string_member(from, "hostname");
+    route.path_prefix = string_member(from, "pathPrefix");
+    route.kind = route_kind(string_member(from, "kind"));
+    route.timeout = Span{number_member(from, "timeoutMs", 0) * seconds_per_millisecond};
+    route.target_latency = Span{number_member(from, "targetLatencyMs", 0) * seconds_per_millisecond};
     if (route.target_latency <= Span{}) route.target_latency = route.timeout;
-    route.priority = static_cast<int>(number(from, "priority", 0));
-    each(from, "backends", place, [&](const Value& backend, const std::string&) {
-        route.backends.push_back({text(backend, "service"), number(backend, "weight", 1)});
+    route.priority = static_cast<int>(number_member(from, "priority", 0));
+    for_each_item(from, "backends", location, [&](const Value& backend, const std::string&) {
+        route.backends.push_back({string_member(backend, "service"), number_member(backend, "weight", 1)});
     });
-    if (route.backends.empty()) route.backends.push_back({text(from, "service"), 1});
-    route.max_attempts = std::max(1, static_cast<int>(number(from, "maxAttempts", 1)));
-    route.is_public = truth(from, "public");
-    route.sticky = truth(from, "sticky");
-    route.resumable = truth(from, "resumable");
+    if (route.backends.empty()) route.backends.push_back({string_member(from, "service"), 1});
+    route.max_attempts = std::max(1, static_cast<int>(number_member(from, "maxAttempts", 1)));
+    route.is_public = bool_member(from, "public");
+    route.sticky = bool_member(from, "sticky");
+    route.resumable = bool_member(from, "resumable");
     return route;
 }
 
 Service read_service(const Value& from) {
     Service service;
-    service.name = text(from, "name");
-    service.health_check = text(from, "healthCheck");
-    service.max_connections = static_cast<int>(number(from, "maxConnections", 0));
+    service.name = string_member(from, "name");
+    service.health_check = string_member(from, "healthCheck");
+    service.max_connections = static_cast<int>(number_member(from, "maxConnections", 0));
     const auto engine = from.FindMember("engine");
     service.is_engine = engine != from.MemberEnd() && engine->value.IsObject();
     return service;
@@ -79,59 +80,59 @@
     Limits limits;
     const auto from = document.FindMember("limits");
     if (from == document.MemberEnd() || !from->value.IsObject()) return limits;
-    limits.header_bytes = static_cast<size_t>(number(from->value, "maxHeaderBytes", 16384));
-    limits.body_bytes = static_cast<size_t>(number(from->value, "maxBodyBytes", 4 << 20));
-    limits.header_timeout = Span{number(from->value, "headerTimeoutMs", 3000) * milliseconds};
-    limits.idle_timeout = Span{number(from->value, "idleTimeoutMs", 15000) * milliseconds};
+    limits.header_bytes = static_cast<size_t>(number_member(from->value, "maxHeaderBytes", 16384));
+    limits.body_bytes = static_cast<size_t>(number_member(from->value, "maxBodyBytes", 4 << 20));
+    limits.header_timeout = Span{number_member(from->value, "headerTimeoutMs", 3000) * seconds_per_millisecond};
+    limits.idle_timeout = Span{number_member(from->value, "idleTimeoutMs", 15000) * seconds_per_millisecond};
     return limits;
 }
 
-Tenant read_tenant(const Value& from, const std::string& place) {
+Tenant read_tenant(const Value& from, const std::string& location) {
     Tenant tenant;
-    tenant.name = text(from, "name");
-    each(from, "apiKeys", place, [&](const Value& key, const std::string&) {
+    tenant.name = string_member(from, "name");
+    for_each_item(from, "apiKeys", location, [&](const Value& key, const std::string&) {
         if (key.IsString()) tenant.api_keys.emplace_back(key.GetString(), key.GetStringLength());
     });
-    tenant.priority = static_cast<int>(number(from, "priority", -1));
-    tenant.counts_tokens = text(from, "unit") == "token_rate";
-    tenant.uncached_tokens = number(from, "uncachedTokens", 1);
-    tenant.rate_per_second = number(from, "ratePerS", 0);
-    tenant.burst = number(from, "burst", 0);
+    tenant.priority = static_cast<int>(number_member(from, "priority", -1));
+    tenant.counts_tokens = string_member(from, "unit") == "token_rate";
+    tenant.uncached_tokens = number_member(from, "uncachedTokens", 1);
+    tenant.rate_per_second = number_member(from, "ratePerS", 0);
+    tenant.burst = number_member(from, "burst", 0);
     return tenant;
 }
 
-// What a schema can't say.
-class Checker {
+// Collects violations of the rules that the schema can't express.
+class Validator {
 public:
     Findings findings;
 
-    void service(const Service& service) { services_.insert(service.name); }
+    void service(const Service& service) { service_names_.insert(service.name); }
 
-    void route(const Route& route, const std::string& place) {
-        if (!places_.emplace(route.hostname, route.path_prefix).second)
-            findings.push_back({place + "/pathPrefix", "another route has this host and prefix"});
-        if (route.timeout <= Span{}) findings.push_back({place + "/timeoutMs", "must be above 0"});
+    void route(const Route& route, const std::string& location) {
+        if (!matches_.emplace(route.hostname, route.path_prefix).second)
+            findings.push_back({location + "/pathPrefix", "another route has this host and prefix"});
+        if (route.timeout <= Span{}) findings.push_back({location + "/timeoutMs", "must be above 0"});
         double weights = 0;
         for (const auto& backend : route.backends) {
             weights += backend.weight;
-            if (!services_.count(backend.service))
-                findings.push_back({place, "there is no service '" + backend.service + "'"});
+            if (!service_names_.count(backend.service))
+                findings.push_back({location, "there is no service '" + backend.service + "'"});
         }
-        if (weights <= 0) findings.push_back({place + "/backends", "the weights add up to 0"});
+        if (weights <= 0) findings.push_back({location + "/backends", "the weights add up to 0"});
     }
 
-    void tenant(const Tenant& tenant, const std::string& place) {
+    void tenant(const Tenant& tenant, const std::string& location) {
         for (const auto& key : tenant.api_keys) {
-            const auto [owner, fresh] = keys_.emplace(key, tenant.name);
-            if (!fresh && owner->second != tenant.name)
-                findings.push_back({place + "/apiKeys", "another tenant holds one of these keys"});
+            const auto [owner, inserted] = key_owners_.emplace(key, tenant.name);
+            if (!inserted && owner->second != tenant.name)
+                findings.push_back({location + "/apiKeys", "another tenant holds one of these keys"});
         }
     }
 
 private:
-    std::set<std::string> services_;
-    std::set<std::pair<std::string, std::string>> places_;
-    std::map<std::string, std::string> keys_;
+    std::set<std::string> service_names_;
+    std::set<std::pair<std::string, std::string>> matches_;   // hostname and path prefix of each route
+    std::map<std::string, std::string> key_owners_;           // tenant by API key
 };
 
 }   // namespace
@@ -142,22 +143,22 @@
     if (auto findings = parse_document(json, schema, document); !findings.empty()) return findings;
 
     Configuration configuration;
-    Checker checker;
-    configuration.version = static_cast<uint64_t>(number(document, "version", 0));
+    Validator validator;
+    configuration.version = static_cast<uint64_t>(number_member(document, "version", 0));
     configuration.limits = read_limits(document);
-    each(document, "services", "", [&](const Value& from, const std::string&) {
+    for_each_item(document, "services", "", [&](const Value& from, const std::string&) {
         configuration.services.push_back(read_service(from));
-        checker.service(configuration.services.back());
+        validator.service(configuration.services.back());
     });
-    each(document, "routes", "", [&](const Value& from, const std::string& place) {
-        configuration.routes.push_back(read_route(from, place));
-        checker.route(configuration.routes.back(), place);
+    for_each_item(document, "routes", "", [&](const Value& from, const std::string& location) {
+        configuration.routes.push_back(read_route(from, location));
+        validator.route(configuration.routes.back(), location);
     });
-    each(document, "tenants", "", [&](const Value& from, const std::string& place) {
-        configuration.tenants.push_back(read_tenant(from, place));
-        checker.tenant(configuration.tenants.back(), place);
+    for_each_item(document, "tenants", "", [&](const Value& from, const std::string& location) {
+        configuration.tenants.push_back(read_tenant(from, location));
+        validator.tenant(configuration.tenants.back(), location);
     });
-    if (!checker.findings.empty()) return std::move(checker.findings);
+    if (!validator.findings.empty()) return std::move(validator.findings);
     return configuration;
 }
 
--- a/src/configuration/configuration.hpp
+++ b/src/configuration/configuration.hpp
@@ -1,7 +1,7 @@
-// The operator's configuration: which requests go to which service, for which tenants, within which limits.
+// The operator's configuration: routes of requests to services, tenants with their quotas, and limits.
 //
-// A document is checked against a schema (schema.cpp) and then for what a schema can't say. All faults are reported
-// together, each with its place as a JSON pointer (RFC 6901).
+// A document is validated against a schema (schema.cpp) and then against rules that a schema can't express. Violations
+// of these rules are reported together, each with its location as a JSON pointer (RFC 6901).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -23,21 +23,21 @@
 struct Route {
     std::string name, hostname, path_prefix;
     RouteKind kind = RouteKind::non_idempotent;
-    Span timeout;          // the longest that a request is held
-    Span target_latency;   // an answer within it has its full worth
-    int priority = 0;      // 0 is highest
+    Span timeout;          // longest time that the proxy holds a request
+    Span target_latency;   // a response within it has its full value; the default is `timeout`
+    int priority = 0;      // 0 is the highest
     std::vector<Backend> backends;
-    int max_attempts = 1;     // hosts that one try may be sent to
-    bool is_public = false;   // needs no key
-    bool sticky = false;      // prompts with shared parts
-    bool resumable = false;   // a stream that may go on at another host
+    int max_attempts = 1;     // hosts that one request of a client may be sent to
+    bool is_public = false;   // needs no API key
+    bool sticky = false;      // requests carry prompts that share parts
+    bool resumable = false;   // a stream may be resumed at another host
     bool is_retryable() const { return kind == RouteKind::idempotent || (kind == RouteKind::streaming && resumable); }
 };
 
 struct Service {
     std::string name, health_check;
-    int max_connections = 0;   // of a host, from all callers together; 0 = not said
-    bool is_engine = false;    // model hosts
+    int max_connections = 0;   // per host, from all clients together; 0: no limit is configured
+    bool is_engine = false;    // its hosts run a model engine
 };
 
 struct Limits {
@@ -48,11 +48,11 @@
 struct Tenant {
     std::string name;
     std::vector<std::string> api_keys;
-    int priority = -1;            // below 0: the route's holds
-    bool counts_tokens = false;   // the quota's unit; else requests
-    double uncached_tokens = 1;   // charged to a request that names no tokens
-    double rate_per_second = 0;   // 0 = no limit
-    double burst = 0;
+    int priority = -1;            // below 0: the route's priority applies
+    bool counts_tokens = false;   // unit of the quota: tokens if true, else requests
+    double uncached_tokens = 1;   // charged for a request that gives no token count
+    double rate_per_second = 0;   // quota in units per second; 0: no limit
+    double burst = 0;             // units
 };
 
 struct Configuration {
@@ -63,7 +63,7 @@
     std::vector<Tenant> tenants;
 };
 
-// Whether a version is newer than the current one is the caller's to check.
+// Parses and validates a configuration. The caller checks whether its version is newer than the current one.
 ParseResult<Configuration> read_configuration(std::string_view json);
 
 }   // namespace myrtleroute::configuration
--- a/src/configuration/json_document.cpp
+++ b/src/configuration/json_document.cpp
@@ -9,9 +9,9 @@
 Findings check_schema(const rapidjson::Document& document, const rapidjson::SchemaDocument& schema) {
     rapidjson::SchemaValidator validator(schema);
     if (document.Accept(validator)) return {};
-    rapidjson::StringBuffer place;
-    validator.GetInvalidDocumentPointer().Stringify(place);
-    return {{place.GetSize() ? place.GetString() : "/",
+    rapidjson::StringBuffer location;
+    validator.GetInvalidDocumentPointer().Stringify(location);
+    return {{location.GetSize() ? location.GetString() : "/",
              std::string("breaks the schema's '") + validator.GetInvalidSchemaKeyword() + "'"}};
 }
 
--- a/src/configuration/json_document.hpp
+++ b/src/configuration/json_document.hpp
@@ -1,4 +1,4 @@
-// JSON documents that operators send: parsed, and checked against a schema.
+// Parses JSON documents that operators send and validates them against a schema.
 #pragma once
 #include <rapidjson/document.h>
 #include <rapidjson/schema.h>
@@ -12,8 +12,8 @@
 
 rapidjson::SchemaDocument compile_schema(const std::string& schema);
 
-// Reads the document. What is wrong with it, with the byte at which it can't be read, or the first place, as a JSON pointer
-// (RFC 6901), at which it breaks the schema.
+// Parses `json` into `document`. Returns no finding if it is valid, else one: a syntax error with its byte offset, or
+// the first violation of the schema with its location as a JSON pointer (RFC 6901).
 Findings parse_document(std::string_view json, const rapidjson::SchemaDocument& schema, rapidjson::Document& document);
 
 }   // namespace myrtleroute::configuration
--- a/src/configuration/node_settings.cpp
+++ b/src/configuration/node_settings.cpp
@@ -13,7 +13,7 @@
     std::string_view value;
 };
 
-// Takes typed values from the lines and collects what is wrong with them.
+// Reads typed values by key and collects findings about missing and invalid ones. An empty value counts as missing.
 class Reader {
 public:
     Reader(std::string_view text, const std::string& file) : file_(file) {
@@ -36,18 +36,18 @@
         return {};
     }
 
-    double number(const std::string& key, double otherwise) {
+    double number(const std::string& key, double fallback) {
         const auto line = lines_.find(key);
-        if (line == lines_.end() || line->second.value.empty()) return otherwise;
+        if (line == lines_.end() || line->second.value.empty()) return fallback;
         const auto value = wire::decimal(line->second.value);
         if (value && *value >= 0) return *value;
         report(key, "must be a number of 0 or more, not '" + std::string(line->second.value) + "'");
-        return otherwise;
+        return fallback;
     }
 
-    bool truth(const std::string& key, bool otherwise) {
+    bool boolean(const std::string& key, bool fallback) {
         const auto line = lines_.find(key);
-        if (line == lines_.end() || line->second.value.empty()) return otherwise;
+        if (line == lines_.end() || line->second.value.empty()) return fallback;
         if (line->second.value == "true") return true;
         if (line->second.value != "false")
             report(key, "must be true or false, not '" + std::string(line->second.value) + "'");
@@ -63,17 +63,17 @@
     }
 
     std::vector<std::string> list(const std::string& key) {
-        std::vector<std::string> parts;
+        std::vector<std::string> items;
         const auto value = text(key, false);
-        for (std::string_view rest = value; !rest.empty();) parts.emplace_back(wire::next_part(rest));
-        return parts;
+        for (std::string_view rest = value; !rest.empty();) items.emplace_back(wire::next_part(rest));
+        return items;
     }
 
-    void report(const std::string& key, std::string fault) {
+    void report(const std::string& key, std::string message) {
         const auto line = lines_.find(key);
-        std::string place = file_;
-        if (line != lines_.end()) place += ":" + std::to_string(line->second.number);
-        findings.push_back({std::move(place), key + " " + std::move(fault)});
+        std::string location = file_;
+        if (line != lines_.end()) location += ":" + std::to_string(line->second.number);
+        findings.push_back({std::move(location), key + " " + std::move(message)});
     }
 
 private:
@@ -105,7 +105,7 @@
     settings.last_internal_port = *last;
 }
 
-// What may stand in the path of a URL that is asked for as it is written here.
+// Characters that a URL path may contain without percent-encoding, since request paths are compared literally.
 bool is_path_character(char c) { return c > ' ' && c <= '~' && c != '?' && c != '#'; }
 
 std::optional<MetricsAddress> parse_metrics_address(std::string_view text) {
@@ -141,13 +141,13 @@
         else
             reader.report("seeds", "must be addresses with ports, not '" + seed + "'");
     }
-    if (settings.seeds.empty()) reader.report("seeds", "names none");
+    if (settings.seeds.empty()) reader.report("seeds", "must name at least one address");
 }
 
 }   // namespace
 
 ParseResult<NodeSettings> read_node_settings(std::string_view text, const std::string& file) {
-    constexpr double milliseconds = 1e-3;
+    constexpr double seconds_per_millisecond = 1e-3;
     Reader reader(text, file);
     NodeSettings settings;
     settings.node_name = reader.text("nodeName", true);
@@ -160,16 +160,16 @@
     read_metrics(reader, settings);
     read_internal_ports(reader, settings);
     read_seeds(reader, settings);
-    settings.bootstrap = reader.truth("bootstrap", false);
-    settings.counts_for_quorum = reader.truth("countsForQuorum", false);
+    settings.bootstrap = reader.boolean("bootstrap", false);
+    settings.counts_for_quorum = reader.boolean("countsForQuorum", false);
     settings.tolerated_machines = static_cast<int>(reader.number("faultTolerance.machines", 1));
     settings.data_directory = reader.text("dataDir", false);
     settings.memory_megabytes = static_cast<size_t>(reader.number("limits.memoryMb", 256));
     settings.max_descriptors = static_cast<size_t>(reader.number("limits.maxFds", 1024));
     settings.link_megabits = reader.number("limits.linkMbps", 1000);
-    settings.heartbeat = Span{reader.number("heartbeatMs", 1200) * milliseconds};
-    settings.contact = Span{reader.number("bounds.contactMs", 3000) * milliseconds};
-    settings.drain = Span{reader.number("bounds.drainMs", 2000) * milliseconds};
+    settings.heartbeat = Span{reader.number("heartbeatMs", 1200) * seconds_per_millisecond};
+    settings.contact = Span{reader.number("bounds.contactMs", 3000) * seconds_per_millisecond};
+    settings.drain = Span{reader.number("bounds.drainMs", 2000) * seconds_per_millisecond};
     settings.termination_grace = Span{reader.number("bounds.graceS", 8)};
     settings.retry_budget_ratio = reader.number("bounds.retryBudgetRatio", settings.retry_budget_ratio);
     settings.retry_budget_window = Span{reader.number("bounds.budgetWindowS", 10)};
@@ -177,8 +177,8 @@
     settings.quota_window = Span{reader.number("bounds.quotaWindowS", 8)};
     settings.quota_tolerance = reader.number("bounds.quotaOver", 0);
     settings.quota_slack = reader.number("bounds.quotaSlack", 0);
-    if (reader.truth("bounds.closed", false))
-        settings.revocation_bound = Span{reader.number("bounds.revokeMs", 5000) * milliseconds};
+    if (reader.boolean("bounds.closed", false))
+        settings.revocation_bound = Span{reader.number("bounds.revokeMs", 5000) * seconds_per_millisecond};
     if (!reader.findings.empty()) return std::move(reader.findings);
     return settings;
 }
--- a/src/configuration/patch.cpp
+++ b/src/configuration/patch.cpp
@@ -23,7 +23,7 @@
 
 std::string text_of(const Value& value) { return {value.GetString(), value.GetStringLength()}; }
 
-// The name of an item; empty where it has none.
+// The item's name; empty if it has none.
 std::string name_of(const Value& item) {
     const auto member = item.FindMember("name");
     return member == item.MemberEnd() || !member->value.IsString() ? std::string() : text_of(member->value);
@@ -34,13 +34,13 @@
     return member == object.MemberEnd() ? nullptr : &member->value;
 }
 
-// The list of that name in `upsert` or `delete`; null where the patch has none.
-const Value* list_in(const Value& patch, const char* part, const char* list) {
-    const auto* lists = member_of(patch, part);
+// The list named `list` in the patch's `operation` (upsert or delete); null if there is none.
+const Value* list_in(const Value& patch, const char* operation, const char* list) {
+    const auto* lists = member_of(patch, operation);
     return lists ? member_of(*lists, list) : nullptr;
 }
 
-// Applies the parts of a patch that concern one list of the configuration.
+// Applies a patch to one list of the configuration.
 class ListPatch {
 public:
     ListPatch(Document& result, const char* name, Findings& findings)
@@ -51,21 +51,21 @@
         const auto* deletions = list_in(patch, "delete", name_);
         if (!upserts && !deletions) return;
         auto& items = list();
-        index(items);
+        build_index(items);
         if (deletions) remove(*deletions);
         if (upserts) upsert(*upserts, items);
         erase_removed(items);
     }
 
-    // Where the patch has the item at that place of the result; empty where it stood there before.
-    std::string origin(size_t at) const {
-        const auto found = origins_.find(at);
-        return found == origins_.end() ? std::string() : place("upsert", found->second);
+    // JSON pointer into the patch for the item at `index` of the result; empty if the item isn't from the patch.
+    std::string origin(size_t index) const {
+        const auto found = origins_.find(index);
+        return found == origins_.end() ? std::string() : location("upsert", found->second);
     }
 
 private:
-    std::string place(const char* part, size_t number) const {
-        return std::string("/") + part + "/" + name_ + "/" + std::to_string(number);
+    std::string location(const char* operation, size_t index) const {
+        return std::string("/") + operation + "/" + name_ + "/" + std::to_string(index);
     }
 
     Value& list() {
@@ -79,31 +79,31 @@
         return member->value;
     }
 
-    void index(const Value& items) {
-        for (rapidjson::SizeType i = 0; i < items.Size(); ++i) places_[name_of(items[i])].push_back(i);
+    void build_index(const Value& items) {
+        for (rapidjson::SizeType i = 0; i < items.Size(); ++i) indices_[name_of(items[i])].push_back(i);
     }
 
-    // Whether the name is used once in the patch, and stands for one item at the most.
-    bool is_clear(const std::string& name, const std::string& at) {
+    // Checks that the patch uses the name only once, and that at most one item of the configuration has it.
+    bool is_unambiguous(const std::string& name, const std::string& name_location) {
         if (!used_.insert(name).second) {
-            findings_.push_back({at, "the patch names '" + name + "' twice"});
+            findings_.push_back({name_location, "the patch names '" + name + "' twice"});
             return false;
         }
-        const auto known = places_.find(name);
-        if (known == places_.end() || known->second.size() == 1) return true;
-        findings_.push_back({at, "several items have the name '" + name + "'"});
+        const auto existing = indices_.find(name);
+        if (existing == indices_.end() || existing->second.size() == 1) return true;
+        findings_.push_back({name_location, "several items have the name '" + name + "'"});
         return false;
     }
 
     void remove(const Value& names) {
         for (rapidjson::SizeType i = 0; i < names.Size(); ++i) {
             const auto name = text_of(names[i]);
-            if (!is_clear(name, place("delete", i))) continue;
-            const auto known = places_.find(name);
-            if (known == places_.end())
-                findings_.push_back({place("delete", i), "there is no item '" + name + "'"});
+            if (!is_unambiguous(name, location("delete", i))) continue;
+            const auto existing = indices_.find(name);
+            if (existing == indices_.end())
+                findings_.push_back({location("delete", i), "there is no item '" + name + "'"});
             else
-                removed_.insert(known->second.front());
+                removed_.insert(existing->second.front());
         }
     }
 
@@ -111,20 +111,20 @@
         auto& allocator = result_.GetAllocator();
         for (rapidjson::SizeType i = 0; i < upserts.Size(); ++i) {
             const auto name = name_of(upserts[i]);
-            const auto at = place("upsert", i) + "/name";
+            const auto name_location = location("upsert", i) + "/name";
             if (name.empty()) {
-                findings_.push_back({at, "an item must have a name"});
+                findings_.push_back({name_location, "an item must have a name"});
                 continue;
             }
-            if (!is_clear(name, at)) continue;
+            if (!is_unambiguous(name, name_location)) continue;
             Value item(upserts[i], allocator);
-            const auto known = places_.find(name);
-            const auto position = known == places_.end() ? items.Size() : known->second.front();
-            if (known == places_.end())
+            const auto existing = indices_.find(name);
+            const auto index = existing == indices_.end() ? items.Size() : existing->second.front();
+            if (existing == indices_.end())
                 items.PushBack(item, allocator);
             else
-                items[position] = item;
-            origins_[position] = i;
+                items[index] = item;
+            origins_[index] = i;
         }
     }
 
@@ -144,25 +144,26 @@
     Document& result_;
     const char* name_;
     Findings& findings_;
-    std::map<std::string, std::vector<rapidjson::SizeType>> places_;   // of the items before, by name
-    std::set<std::string> used_;                                       // names in the patch
-    std::set<size_t> removed_;
-    std::map<size_t, size_t> origins_;   // number in the patch, by place in the result
+    std::map<std::string, std::vector<rapidjson::SizeType>> indices_;   // in the list before the patch, by item name
+    std::set<std::string> used_;                                        // names in the patch
+    std::set<size_t> removed_;                                          // indices of deleted items
+    std::map<size_t, size_t> origins_;                                  // index in `upsert` by index in the result
 };
 
-// A place in the result, as a place in the patch where it comes from there.
-std::string place_in_patch(const std::string& place, const std::vector<std::pair<std::string, ListPatch>>& lists) {
+// Translates a location in the result to one in the patch if the item there is from the patch.
+std::string location_in_patch(const std::string& location,
+                              const std::vector<std::pair<std::string, ListPatch>>& lists) {
     for (const auto& [name, list] : lists) {
         const auto prefix = "/" + name + "/";
-        if (!place.starts_with(prefix)) continue;
-        const auto rest = place.find('/', prefix.size());
-        const auto origin = list.origin(std::stoul(place.substr(prefix.size())));
-        if (!origin.empty()) return origin + (rest == place.npos ? "" : place.substr(rest));
+        if (!location.starts_with(prefix)) continue;
+        const auto rest = location.find('/', prefix.size());
+        const auto origin = list.origin(std::stoul(location.substr(prefix.size())));
+        if (!origin.empty()) return origin + (rest == location.npos ? "" : location.substr(rest));
     }
-    return place;
+    return location;
 }
 
-std::string written(const Document& document) {
+std::string serialize(const Document& document) {
     rapidjson::StringBuffer text;
     rapidjson::Writer<rapidjson::StringBuffer> writer(text);
     document.Accept(writer);
@@ -173,8 +174,8 @@
 
 ParseResult<Patched> apply_patch(std::string_view current, std::string_view patch) {
     static const rapidjson::SchemaDocument schema = compile_schema(patch_schema());
-    Document change;
-    if (auto findings = parse_document(patch, schema, change); !findings.empty()) return findings;
+    Document parsed_patch;
+    if (auto findings = parse_document(patch, schema, parsed_patch); !findings.empty()) return findings;
     if (current.empty()) current = no_configuration;
     Document result;
     result.Parse(current.data(), current.size());
@@ -183,15 +184,15 @@
     std::vector<std::pair<std::string, ListPatch>> lists;
     for (const auto* name : list_names) {
         lists.emplace_back(name, ListPatch(result, name, findings));
-        lists.back().second.apply(change);
+        lists.back().second.apply(parsed_patch);
     }
     if (!findings.empty()) return findings;
-    result["version"].SetUint64(change["version"].GetUint64());
-    Patched patched{change["version"].GetUint64(), written(result)};
+    result["version"].SetUint64(parsed_patch["version"].GetUint64());
+    Patched patched{parsed_patch["version"].GetUint64(), serialize(result)};
     auto checked = read_configuration(patched.document);
-    if (auto* faults = std::get_if<Findings>(&checked)) {
-        for (auto& fault : *faults) fault.location = place_in_patch(fault.location, lists);
-        return std::move(*faults);
+    if (auto* errors = std::get_if<Findings>(&checked)) {
+        for (auto& error : *errors) error.location = location_in_patch(error.location, lists);
+        return std::move(*errors);
     }
     return patched;
 }
--- a/src/configuration/patch.hpp
+++ b/src/configuration/patch.hpp
@@ -1,9 +1,9 @@
-// A change of a configuration by named items: a version, items to add or to replace, and names of items to remove.
+// Patches of a configuration: a new version, items to add or replace, and names of items to delete.
 //
 //     {"version": 9, "upsert": {"routes": [{"name": "r1", ...}]}, "delete": {"tenants": ["t1"]}}
 //
-// An item takes the place of the one with its name, else it is added behind the others. What the change doesn't name stays as
-// it is. The result must be a valid configuration.
+// An item replaces the one with the same name, or is appended if there is none. Items that the patch doesn't name are
+// kept unchanged. The result must be a valid configuration.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -13,14 +13,15 @@
 
 namespace myrtleroute::configuration {
 
-// A whole configuration, made from another one.
+// The complete configuration that results from a patch.
 struct Patched {
     uint64_t version = 0;
     std::string document;   // JSON
 };
 
-// `current`: a valid configuration, or empty where there is none yet. Places of findings are those of the patch where it
-// brings the fault in, else of the result (an item that is left and names one that is deleted).
+// Applies `patch` to `current`, which is a valid configuration or empty if there is none yet. Locations of findings are
+// JSON pointers into the patch if it introduces the error, else into the result (for example an unchanged route whose
+// service is deleted).
 ParseResult<Patched> apply_patch(std::string_view current, std::string_view patch);
 
 }   // namespace myrtleroute::configuration
--- a/src/configuration/schema.cpp
+++ b/src/configuration/schema.cpp
@@ -3,7 +3,7 @@
 namespace myrtleroute::configuration {
 namespace {
 
-// Members that are not named here are let through: later versions of the operator's tools may send more.
+// Members that are not named here are accepted: later versions of the operator's tools may send more.
 constexpr const char* route_schema = R"json({
   "type": "object",
   "required": ["hostname", "pathPrefix", "timeoutMs"],
@@ -62,7 +62,7 @@
 
 constexpr const char* version_schema = R"("version": {"type": "integer", "minimum": 1})";
 
-// A list of items, each of which meets the schema.
+// Schema of a list whose items match the schema `item`.
 std::string list_of(const std::string& item, const char* type = R"("array")") {
     return std::string(R"({"type": )") + type + R"(, "items": )" + item + "}";
 }
--- a/src/configuration/schema.hpp
+++ b/src/configuration/schema.hpp
@@ -1,10 +1,10 @@
-// JSON schemas of what operators send.
+// JSON schemas of the documents that operators send.
 #pragma once
 #include <string>
 
 namespace myrtleroute::configuration {
 
 std::string configuration_schema();   // of a whole configuration
-std::string patch_schema();           // of a change of named items
+std::string patch_schema();           // of a patch (configuration/patch.hpp)
 
 }   // namespace myrtleroute::configuration
--- a/src/storage/posix_files.hpp
+++ b/src/storage/posix_files.hpp
@@ -1,4 +1,4 @@
-// The ring's files in a folder of the system.
+// The files of a record ring in a directory of the file system.
 #pragma once
 #include <memory>
 #include <string>
@@ -10,12 +10,14 @@
 
 namespace myrtleroute::storage {
 
-// Makes what is missing and gives every file its full length. A finding names the path and the system's reason; with
-// `passing` the fault may pass (a disk that is full or in trouble), so that trying again makes sense.
+// Why the files can't be opened: the path and the system's error message.
 struct FileError {
     Finding finding;
-    bool transient = false;
+    bool transient = false;   // the error may go away (for example a full disk or an I/O error); a retry makes sense
 };
+
+// Opens `count` files of `bytes` bytes each in `directory`; creates the directory and files that are missing, and
+// extends files that are shorter.
 std::variant<std::vector<std::unique_ptr<File>>, FileError> open_files(const std::string& directory, size_t count,
                                                                        uint64_t bytes);
 
--- a/src/storage/record_ring.cpp
+++ b/src/storage/record_ring.cpp
@@ -11,60 +11,63 @@
 namespace myrtleroute::storage {
 namespace {
 
-constexpr uint32_t record_mark = 0x4d59524c, seal_mark = 0x4d59534c;
+// Magic numbers at the start of a record and of a seal.
+constexpr uint32_t record_magic = 0x4d59524c, seal_magic = 0x4d59534c;
 
 struct Header {
-    uint32_t mark = record_mark;
-    uint32_t length = 0;   // of the payload, without its padding
+    uint32_t magic = record_magic;
+    uint32_t length = 0;   // of the payload without its padding
     uint64_t generation = 0;
     uint64_t offset = 0;
     uint64_t checksum = 0;
 };
 static_assert(sizeof(Header) == 32);
 
-constexpr uint64_t place = sizeof(Header);        // everything begins at a multiple of this
-constexpr size_t scanned_at_a_time = 64 * 1024;   // a multiple of `place`
-constexpr uint64_t scanned_share = 4;             // a part of the file so large is searched behind what can't be read
+constexpr uint64_t alignment = sizeof(Header);   // records and seals begin at multiples of this
+constexpr size_t scan_chunk_bytes = 64 * 1024;   // a multiple of `alignment`
+constexpr uint64_t scan_divisor = 4;             // behind an unreadable record 1/4 of the file's size is scanned
 
-uint64_t padded(uint64_t length) { return (length + place - 1) / place * place; }
-uint64_t room(uint64_t payload) { return place + padded(payload) + place; }   // with the seal
+uint64_t padded(uint64_t length) { return (length + alignment - 1) / alignment * alignment; }
+// Bytes of a record with its header and its seal.
+uint64_t record_size(uint64_t payload) { return alignment + padded(payload) + alignment; }
 
 uint64_t checksum(Header header, std::string_view payload) {
     header.checksum = XXH3_64bits(payload.data(), payload.size());
     return XXH3_64bits(&header, sizeof header);
 }
 
-std::string record(uint32_t mark, uint64_t generation, uint64_t offset, std::string_view payload) {
-    Header header{mark, static_cast<uint32_t>(payload.size()), generation, offset, 0};
+// The bytes of a record, or of a seal, with its padding.
+std::string encode(uint32_t magic, uint64_t generation, uint64_t offset, std::string_view payload) {
+    Header header{magic, static_cast<uint32_t>(payload.size()), generation, offset, 0};
     header.checksum = checksum(header, payload);
     std::string bytes(sizeof header, '\0');
     std::memcpy(bytes.data(), &header, sizeof header);
     bytes.append(payload);
-    bytes.resize(place + padded(payload.size()), '\0');
+    bytes.resize(alignment + padded(payload.size()), '\0');
     return bytes;
 }
 
-// The header at the beginning of `bytes` where there is one that claims to lie at `offset`.
+// The header at the start of `bytes`; nullopt unless its magic number is known and its offset field equals `offset`.
 std::optional<Header> read_header(std::string_view bytes, uint64_t offset) {
     if (bytes.size() < sizeof(Header)) return {};
     Header header;
     std::memcpy(&header, bytes.data(), sizeof header);
-    const bool known = header.mark == record_mark || header.mark == seal_mark;
+    const bool known = header.magic == record_magic || header.magic == seal_magic;
     return known && header.offset == offset ? std::optional(header) : std::nullopt;
 }
 
-struct Sound {
+struct ValidRecord {
     Header header;
     std::string payload;
 };
 
-// The record or seal at that offset, if it is sound.
-std::optional<Sound> read_sound(File& file, uint64_t offset, uint64_t file_bytes) {
+// Reads the record or seal at that offset; nullopt if it is invalid.
+std::optional<ValidRecord> read_valid(File& file, uint64_t offset, uint64_t file_bytes) {
     const auto header = read_header(file.read(offset, sizeof(Header)), offset);
     if (!header || header->length > file_bytes) return {};
     auto payload = file.read(offset + sizeof(Header), header->length);
     if (payload.size() < header->length || checksum(*header, payload) != header->checksum) return {};
-    return Sound{*header, std::move(payload)};
+    return ValidRecord{*header, std::move(payload)};
 }
 
 }   // namespace
@@ -72,28 +75,28 @@
 RecordRing::RecordRing(std::vector<std::unique_ptr<File>> files, RingOptions options)
     : files_(std::move(files)), options_(options) {}
 
-RecordRing::Found RecordRing::read_file(File& file) const {
-    Found found;
+RecordRing::FileContents RecordRing::read_file(File& file) const {
+    FileContents contents;
     for (;;) {
-        auto sound = read_sound(file, found.end, options_.file_bytes);
-        if (!sound || sound->header.mark != record_mark) break;
-        if (!found.records.empty() && sound->header.generation != found.generation) break;
-        found.generation = sound->header.generation;
-        found.end += room(sound->payload.size());
-        found.records.push_back(std::move(sound->payload));
+        auto record = read_valid(file, contents.end, options_.file_bytes);
+        if (!record || record->header.magic != record_magic) break;
+        if (!contents.records.empty() && record->header.generation != contents.generation) break;
+        contents.generation = record->header.generation;
+        contents.end += record_size(record->payload.size());
+        contents.records.push_back(std::move(record->payload));
     }
-    found.behind = newest_behind(file, found.end);
-    return found;
+    contents.newest_generation_after = newest_generation_after(file, contents.end);
+    return contents;
 }
 
-uint64_t RecordRing::newest_behind(File& file, uint64_t from) const {
+uint64_t RecordRing::newest_generation_after(File& file, uint64_t from) const {
     uint64_t newest = 0;
-    const uint64_t until = std::min(options_.file_bytes, from + options_.file_bytes / scanned_share);
-    for (uint64_t at = from; at < until; at += scanned_at_a_time) {
-        const auto bytes = file.read(at, std::min<uint64_t>(scanned_at_a_time, until - at));
-        for (uint64_t i = 0; i + place <= bytes.size(); i += place) {
+    const uint64_t until = std::min(options_.file_bytes, from + options_.file_bytes / scan_divisor);
+    for (uint64_t at = from; at < until; at += scan_chunk_bytes) {
+        const auto bytes = file.read(at, std::min<uint64_t>(scan_chunk_bytes, until - at));
+        for (uint64_t i = 0; i + alignment <= bytes.size(); i += alignment) {
             const auto header = read_header(std::string_view(bytes).substr(i), at + i);
-            if (header && header->generation > newest && read_sound(file, at + i, options_.file_bytes))
+            if (header && header->generation > newest && read_valid(file, at + i, options_.file_bytes))
                 newest = header->generation;
         }
     }
@@ -101,52 +104,52 @@
 }
 
 Recovered RecordRing::recover() {
-    Found newest;
-    uint64_t newest_behind = 0;
+    FileContents newest;
+    uint64_t newest_after_end = 0;
     for (size_t i = 0; i < files_.size(); ++i) {
-        auto found = read_file(*files_[i]);
-        newest_behind = std::max(newest_behind, found.behind);
-        if (found.records.empty() || found.generation <= newest.generation) continue;
-        newest = std::move(found);
+        auto contents = read_file(*files_[i]);
+        newest_after_end = std::max(newest_after_end, contents.newest_generation_after);
+        if (contents.records.empty() || contents.generation <= newest.generation) continue;
+        newest = std::move(contents);
         current_ = i;
     }
     end_ = newest.end;
-    sound_ = false;   // what lies behind the last record may be half of one: go on in a new file
-    // Of an older generation there may be anything behind the last record, or in a file whose first one is torn.
-    const bool damaged = newest_behind > 0 && newest_behind >= newest.generation;
-    generation_ = std::max(newest.generation, newest_behind);
+    appendable_ = false;   // a partly written record may follow the last one: continue in a new file
+    // Data of an older generation may remain behind the last record, or in a file whose first record is torn.
+    const bool damaged = newest_after_end > 0 && newest_after_end >= newest.generation;
+    generation_ = std::max(newest.generation, newest_after_end);
     if (damaged) newest.records.clear();
     return {std::move(newest.records), damaged};
 }
 
 bool RecordRing::seal(File& file, uint64_t generation, uint64_t at) {
-    return file.write(at, record(seal_mark, generation, at, {}));
+    return file.write(at, encode(seal_magic, generation, at, {}));
 }
 
-bool RecordRing::begin_file(std::string_view whole) {
+bool RecordRing::start_file(std::string_view snapshot) {
     const size_t next = generation_ == 0 ? 0 : (current_ + 1) % files_.size();
-    const auto bytes = record(record_mark, generation_ + 1, 0, whole);
-    if (room(whole.size()) > options_.file_bytes) return false;
-    // A failed attempt is made again in the same file: the one before it still holds the last safe state.
+    const auto bytes = encode(record_magic, generation_ + 1, 0, snapshot);
+    if (record_size(snapshot.size()) > options_.file_bytes) return false;
+    // A failed attempt is retried in the same file, because the previous file still holds the last durable state.
     auto& file = *files_[next];
     if (!file.write(0, bytes) || !file.sync()) return false;
-    // Without its seal a first record that rots would pass for one that was never safe.
+    // Without the seal, bit rot in the first record would look like a record that was never acknowledged.
     if (!seal(file, generation_ + 1, bytes.size()) || !file.sync()) return false;
     ++generation_;
     current_ = next;
-    end_ = room(whole.size());
-    sound_ = true;
+    end_ = record_size(snapshot.size());
+    appendable_ = true;
     return true;
 }
 
-bool RecordRing::append(std::string_view change, const std::function<std::string()>& whole) {
-    if (!sound_ || end_ + room(change.size()) > options_.file_bytes) return begin_file(whole());
+bool RecordRing::append(std::string_view change, const std::function<std::string()>& snapshot) {
+    if (!appendable_ || end_ + record_size(change.size()) > options_.file_bytes) return start_file(snapshot());
     auto& file = *files_[current_];
-    const auto bytes = record(record_mark, generation_, end_, change);
-    sound_ = file.write(end_, bytes) && file.sync();
-    if (!sound_) return false;
-    seal(file, generation_, end_ + bytes.size());   // reaches the disk with the next sync, or by itself
-    end_ += room(change.size());
+    const auto bytes = encode(record_magic, generation_, end_, change);
+    appendable_ = file.write(end_, bytes) && file.sync();
+    if (!appendable_) return false;
+    seal(file, generation_, end_ + bytes.size());   // durable after the next sync, or earlier by write-back
+    end_ += record_size(change.size());
     return true;
 }
 
--- a/src/storage/record_ring.hpp
+++ b/src/storage/record_ring.hpp
@@ -1,15 +1,15 @@
-// The state of a replica on disk: a ring of preallocated files.
+// Durable state of a replica: a write-ahead log in a ring of preallocated files.
 //
-// Each file begins with a record of the whole state and goes on with records of what changed. When a file is full, or
-// a write to it has failed, the next file is begun with the whole state. Only one file is written to; the one before
-// it stays as it was until the new one's first record is safe, so a crash at any point leaves one whole state.
+// Each file begins with a snapshot of the whole state, followed by records of changes. When a file is full, or a write
+// to it has failed, the next file is started with a new snapshot. Only one file is written at a time; the previous one
+// is kept unchanged until the new file's snapshot is durable, so that a crash at any point leaves one complete state.
 //
-// A record carries its file's generation, its place in the file and a checksum (XXH3). Once it is synced a seal is
-// written behind it. So a record that can't be read is one of two things. With nothing sound of its generation behind it,
-// it is the write that a loss of power interrupted, and nothing was promised of it. With a sound record or a seal behind
-// it, the disk has lost what it had taken (bit rot, a lost write): what is left is older than what this replica has
-// promised to others, and it must not go on as the replica that it was. (Alagappan et al., "Protocol-Aware Recovery for
-// Consensus-Based Storage", 2018, draw the same line.)
+// A record carries its file's generation, its offset in the file and a checksum (XXH3). After it is synced, a seal is
+// written behind it. This tells apart two reasons for an unreadable record. If nothing valid of its generation follows,
+// a power loss interrupted the write, and the record was never acknowledged. If a valid record or a seal follows, the
+// disk has lost acknowledged data (bit rot, a lost write): what is left is older than what this replica has promised to
+// other replicas, and it must not continue under its identity. (Alagappan et al., "Protocol-Aware Recovery for
+// Consensus-Based Storage", 2018, make the same distinction.)
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -21,60 +21,61 @@
 
 namespace myrtleroute::storage {
 
-// One file of the ring. Failures are told by false.
+// One file of the ring. write() and sync() return false on failure.
 class File {
 public:
     virtual ~File() = default;
     virtual bool write(uint64_t offset, std::string_view bytes) = 0;
-    virtual bool sync() = 0;                                        // what was written survives a loss of power
-    virtual std::string read(uint64_t offset, size_t length) = 0;   // less where there is less, or a fault
+    virtual bool sync() = 0;                                        // makes earlier writes durable
+    virtual std::string read(uint64_t offset, size_t length) = 0;   // fewer bytes at the end of the file or on an error
 };
 
 struct RingOptions {
-    uint64_t file_bytes = 6 << 20;   // of each file; the whole state must take less than half
+    uint64_t file_bytes = 6 << 20;   // size of each file; a snapshot must take less than half of it
 };
 
-// What was found: whole states and changes as they were written, the oldest first. The first is a whole state.
+// Payloads of recovered records, oldest first. The first one is a snapshot.
 using Records = std::vector<std::string>;
 
 struct Recovered {
-    Records records;        // empty: this disk is new, or nothing on it can be used
-    bool damaged = false;   // records that had been safe can't be read: there may be promises that are forgotten
+    Records records;        // empty: the disk is new, or nothing on it is usable
+    bool damaged = false;   // acknowledged records are unreadable, so promises of this replica may be lost
 };
 
 class RecordRing {
 public:
-    // Two files or more, made and of their full length.
+    // Needs at least two files, which exist at their full length.
     RecordRing(std::vector<std::unique_ptr<File>> files, RingOptions options);
 
-    // Reads what is there, once, before the first write.
+    // Reads the stored records. Must be called exactly once, before the first append.
     Recovered recover();
 
-    // Appends a change and syncs it. `whole` makes the state that includes it, written instead where a new file is begun.
-    // False: nothing is promised of it; the next call begins a new file.
-    bool append(std::string_view change, const std::function<std::string()>& whole);
-    bool append(std::string_view change, std::string_view whole) {
-        return append(change, [&] { return std::string(whole); });
+    // Appends a change and syncs it. `snapshot` returns the whole state including the change; it is written instead of
+    // the change if a new file must be started. On false the change must not be acknowledged, and the next call starts
+    // a new file.
+    bool append(std::string_view change, const std::function<std::string()>& snapshot);
+    bool append(std::string_view change, std::string_view snapshot) {
+        return append(change, [&] { return std::string(snapshot); });
     }
 
 private:
-    struct Found {
+    struct FileContents {
         uint64_t generation = 0;
         Records records;
-        uint64_t end = 0;      // where the first record that can't be read begins
-        uint64_t behind = 0;   // the newest generation of what is sound behind that; 0 = nothing is
+        uint64_t end = 0;                       // offset of the first record that can't be read
+        uint64_t newest_generation_after = 0;   // of valid records or seals behind `end`; 0: there are none
     };
-    Found read_file(File& file) const;
-    uint64_t newest_behind(File& file, uint64_t from) const;
-    bool begin_file(std::string_view whole);
+    FileContents read_file(File& file) const;
+    uint64_t newest_generation_after(File& file, uint64_t from) const;
+    bool start_file(std::string_view snapshot);
     bool seal(File& file, uint64_t generation, uint64_t at);
 
     std::vector<std::unique_ptr<File>> files_;
     RingOptions options_;
-    uint64_t generation_ = 0;   // of the file that is written to
-    size_t current_ = 0;
-    uint64_t end_ = 0;     // where its next record goes
-    bool sound_ = false;   // the current file may be appended to
+    uint64_t generation_ = 0;   // of the current file
+    size_t current_ = 0;        // index of the file that is written to
+    uint64_t end_ = 0;          // offset of its next record
+    bool appendable_ = false;   // the current file may be appended to
 };
 
 }   // namespace myrtleroute::storage
