--- a/src/messages/messages.hpp
+++ b/src/messages/messages.hpp
@@ -48,7 +48,7 @@
     bool complete = false;   // these are all hosts known to the sender
 };
 
-// The hosts of the update with that id are stored on the sender's disk.
+// Reply to a HostsUpdate: its hosts are stored on the disk of the sender of this message.
 struct HostsConfirmation {
     uint64_t confirmation_id = 0;
 };
@@ -123,9 +123,8 @@
 public:
     void feed(std::string_view bytes) { buffer_.append(bytes); }
     std::optional<std::string> next();   // the next frame's JSON; nullopt until the frame is complete
-    bool frame_too_long() const {
-        return frame_too_long_;
-    }   // a frame exceeds `max_frame_bytes`; no further ones are read
+    // Whether a frame exceeded `max_frame_bytes`; no further frames are read then.
+    bool frame_too_long() const { return frame_too_long_; }
 
 private:
     std::string buffer_;
