--- a/tests/system/messages_test.cpp
+++ b/tests/system/messages_test.cpp
@@ -1,4 +1,4 @@
-// Messages between processes: what is written is read again, and what is no message is refused.
+// Messages between processes: encoding and decoding, and rejection of invalid messages.
 #include <doctest/doctest.h>
 
 #include "messages/messages.hpp"
@@ -49,38 +49,38 @@
 
 }   // namespace
 
-TEST_CASE("every message is read as it was written") {
+TEST_CASE("every message is unchanged by encoding and decoding") {
     for (const auto& message : examples()) {
         const auto json = encode(message);
         CAPTURE(json);
-        const auto read = decode(json);
-        REQUIRE(read);
-        CHECK(read->index() == message.index());
-        CHECK(encode(*read) == json);
+        const auto decoded = decode(json);
+        REQUIRE(decoded);
+        CHECK(decoded->index() == message.index());
+        CHECK(encode(*decoded) == json);
     }
 }
 
-TEST_CASE("amounts of units are not made more on their way, and one request's is not made less") {
+TEST_CASE("encoding never adds units, and doesn't round the amount of a single request down") {
     leases::LeaseReply reply{{"edge-1", 1}, 1, 1, false, {}};
-    reply.tenants["small"].granted = 0.2 + 0.7 + 0.1;   // a little less than 1
+    reply.tenants["small"].granted = 0.2 + 0.7 + 0.1;   // slightly less than 1 in floating-point arithmetic
     reply.tenants["large"].granted = 54321.9;
-    const auto read = std::get<leases::LeaseReply>(*decode(encode(reply)));
-    CHECK(read.tenants.at("small").granted == 1);
-    CHECK(read.tenants.at("large").granted == 54321);
+    const auto decoded = std::get<leases::LeaseReply>(*decode(encode(reply)));
+    CHECK(decoded.tenants.at("small").granted == 1);
+    CHECK(decoded.tenants.at("large").granted == 54321);
     leases::LeaseRequest ask{{"edge-1", 1}, 1, 0, 0, 0, {}};
     ask.tenants["t"].held = 0.3334;
     CHECK(std::get<leases::LeaseRequest>(*decode(encode(ask))).tenants.at("t").held == 0.334);
 }
 
-TEST_CASE("what is cut short or changed is refused or another message, never a crash") {
-    Pcg chance(3);
+TEST_CASE("truncated messages are rejected, corrupted ones are rejected or decoded as another message") {
+    Pcg rng(3);
     for (const auto& message : examples()) {
         const auto json = encode(message);
         for (size_t length = 0; length < json.size(); ++length) CHECK_FALSE(decode(json.substr(0, length)));
         for (int i = 0; i < 300; ++i) {
-            auto changed = json;
-            changed[chance.next() % changed.size()] = static_cast<char>(chance.next());
-            if (const auto read = decode(changed)) CHECK_FALSE(encode(*read).empty());
+            auto corrupted = json;
+            corrupted[rng.next() % corrupted.size()] = static_cast<char>(rng.next());
+            if (const auto decoded = decode(corrupted)) CHECK_FALSE(encode(*decoded).empty());
         }
     }
     CHECK_FALSE(decode(R"({"kind":"unknown"})"));
@@ -88,34 +88,34 @@
         R"({"kind":"hosts","hosts":[{"id":"i","service":"s","address":"a","zone":"z","capacity":1,"state":9,"sequence":1}],"confirm":0})"));
 }
 
-TEST_CASE("frames are cut wherever the bytes are") {
+TEST_CASE("frames are split correctly wherever the byte stream is cut") {
     const std::string bytes = frame("first") + frame("") + frame("third");
-    for (size_t step = 1; step <= bytes.size(); ++step) {
+    for (size_t chunk = 1; chunk <= bytes.size(); ++chunk) {
         FrameReader reader;
-        std::vector<std::string> read;
-        for (size_t at = 0; at < bytes.size(); at += step) {
-            reader.feed(std::string_view(bytes).substr(at, step));
-            while (auto json = reader.next()) read.push_back(*json);
+        std::vector<std::string> frames;
+        for (size_t at = 0; at < bytes.size(); at += chunk) {
+            reader.feed(std::string_view(bytes).substr(at, chunk));
+            while (auto json = reader.next()) frames.push_back(*json);
         }
-        CHECK(read == std::vector<std::string>{"first", "", "third"});
+        CHECK(frames == std::vector<std::string>{"first", "", "third"});
     }
 }
 
-TEST_CASE("a frame longer than any may be ends the connection") {
+TEST_CASE("a frame above the maximum length is reported") {
     FrameReader reader;
     reader.feed("\xff\xff\xff\xff");
     CHECK_FALSE(reader.next());
     CHECK(reader.frame_too_long());
 }
 
-TEST_CASE("a record on disk is read as it was written") {
-    const consensus::ReplicaId voted{{"10.0.0.2", 7500}, 77};
-    const Record record{5, consensus::HardState{3, voted}, consensus::Entry{{3, 6}, cluster_state()}, std::nullopt};
-    const auto read = decode_record(encode_record(record));
-    REQUIRE(read);
-    CHECK(read->disk == 5);
-    CHECK(*read->hard_state == *record.hard_state);
-    CHECK(*read->entry == *record.entry);
-    CHECK_FALSE(read->hosts);
+TEST_CASE("a record on disk is unchanged by encoding and decoding") {
+    const consensus::ReplicaId voted_for{{"10.0.0.2", 7500}, 77};
+    const Record record{5, consensus::HardState{3, voted_for}, consensus::Entry{{3, 6}, cluster_state()}, std::nullopt};
+    const auto decoded = decode_record(encode_record(record));
+    REQUIRE(decoded);
+    CHECK(decoded->disk == 5);
+    CHECK(*decoded->hard_state == *record.hard_state);
+    CHECK(*decoded->entry == *record.entry);
+    CHECK_FALSE(decoded->hosts);
     CHECK_FALSE(decode_record("{"));
 }
--- a/tests/system/metrics_test.cpp
+++ b/tests/system/metrics_test.cpp
@@ -1,4 +1,4 @@
-// The registry of figures: how it renders them, and what it refuses.
+// The metrics registry: rendering, and rejection of invalid or too many series.
 #include <doctest/doctest.h>
 
 #include <limits>
@@ -14,7 +14,7 @@
 
 }   // namespace
 
-TEST_CASE("figures are rendered by name with help, kind and labels") {
+TEST_CASE("metrics are rendered by name with help, type and labels") {
     metrics::Registry registry;
     registry.gauge("myrtleroute_proxies", "Proxies known.").set(12);
     auto acme = registry.counter("myrtleroute_units_total", "Units.", {{"tenant", "acme"}, {"cause", "x"}});
@@ -35,7 +35,7 @@
           "myrtleroute_metrics_overflow_series_total 0\n");
 }
 
-TEST_CASE("values that are no finite number have the names of the format") {
+TEST_CASE("infinities and NaN are rendered as the text format names them") {
     metrics::Registry registry;
     registry.gauge("a", "").set(std::numeric_limits<double>::infinity());
     registry.gauge("b", "").set(-std::numeric_limits<double>::infinity());
@@ -64,12 +64,12 @@
     CHECK(contains(registry.render(), "a_total{l=\"1\"} 5\n"));
 }
 
-TEST_CASE("series beyond the bound are counted in the overflow and not shown") {
+TEST_CASE("series beyond the maximum are counted as overflow and not rendered") {
     metrics::Registry registry({.max_series = 2});
     registry.counter("a_total", "", {{"l", "1"}});
     registry.counter("a_total", "", {{"l", "2"}});
-    auto refused = registry.counter("a_total", "", {{"l", "3"}});
-    refused.add(7);   // the handle works
+    auto rejected = registry.counter("a_total", "", {{"l", "3"}});
+    rejected.add(7);   // the handle still works
     registry.gauge("b", "").set(1);
     CHECK(registry.series() == 2);
     const auto text = registry.render();
@@ -78,7 +78,7 @@
     CHECK(contains(text, "myrtleroute_metrics_overflow_series_total 2\n"));
 }
 
-TEST_CASE("a removed series makes room, and its handle stays harmless") {
+TEST_CASE("a removed series makes room for another, and its handle stays usable") {
     metrics::Registry registry({.max_series = 1});
     auto first = registry.counter("a_total", "", {{"l", "1"}});
     registry.remove("a_total", {{"l", "1"}});
@@ -91,7 +91,7 @@
     CHECK(contains(text, "myrtleroute_metrics_overflow_series_total 0\n"));
 }
 
-TEST_CASE("unsound names, and a name of the other kind, are refused") {
+TEST_CASE("invalid names, and a name in use by the other kind, are rejected") {
     metrics::Registry registry;
     registry.counter("a_total", "");
     registry.gauge("a_total", "").set(9);
--- a/tests/system/random_text.hpp
+++ b/tests/system/random_text.hpp
@@ -1,4 +1,4 @@
-// Texts that compression does not make shorter, for tests of what long texts take of a link.
+// Incompressible texts, for tests that measure how much bandwidth long texts take.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -8,12 +8,12 @@
 
 namespace myrtleroute::testing {
 
-// Of that many of these characters, drawn by lot.
+// A text of `length` random characters from `alphabet`; the same for the same arguments.
 inline std::string random_text(
-    size_t length, std::string_view of = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/") {
-    Pcg chance{11};
+    size_t length, std::string_view alphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/") {
+    Pcg rng{11};
     std::string text;
-    while (text.size() < length) text.push_back(of[chance.next() % of.size()]);
+    while (text.size() < length) text.push_back(alphabet[rng.next() % alphabet.size()]);
     return text;
 }
 
