--- a/bench/loopback_cost.cpp
+++ b/bench/loopback_cost.cpp
@@ -16,14 +16,14 @@
 #include <vector>
 
 #include "run/loop.hpp"
-#include "run/posix_home.hpp"
+#include "run/posix_system.hpp"
 #include "wire/ask.hpp"
 #include "wire/endpoint.hpp"
 #include "wire/reply.hpp"
 
 using namespace myrtleroute;
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
@@ -35,7 +35,7 @@
            std::to_string(pid & 255) + ":" + std::to_string(20000 + number);
 }
 
-struct Asked : wire::HttpReader {
+struct Asked : wire::HttpHandler {
     std::string target;
     int start(std::string_view, std::string_view where, std::string_view) override {
         target = where;
@@ -46,45 +46,46 @@
 };
 
 struct Peer : Connection {   // of a server or of discovery
-    Peer(memory::Owner& by, int fd) : Connection(by, fd, 80'000, 80'000), http(wire::HttpMachine::Side::ask, asked) {}
+    Peer(memory::ConnectionHandler& by, int fd)
+        : Connection(by, fd, 80'000, 80'000), http(wire::HttpParser::Side::request, asked) {}
     std::string name() const override { return "peer"; }
     Asked asked;
-    wire::HttpMachine http;
+    wire::HttpParser http;
 };
 struct Door : Connection {
-    Door(memory::Owner& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
+    Door(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
     std::string name() const override { return "door"; }
 };
 struct Caller : Connection {
-    Caller(memory::Owner& by, int fd) : Connection(by, fd, 80'000, 80'000), http(wire::HttpMachine::Side::answer, reader) {}
+    Caller(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 80'000, 80'000), http(wire::HttpParser::Side::response, reader) {}
     std::string name() const override { return "caller"; }
-    wire::ReplyReader reader;
-    wire::HttpMachine http;
+    wire::ResponseReader reader;
+    wire::HttpParser http;
 };
 
-class Peers : public memory::Owner {
+class Peers : public memory::ConnectionHandler {
 public:
     explicit Peers(run::Loop& loop) : loop_(loop) {
         for (int i = 0; i <= servers; ++i)   // the last is discovery
-            loop.adopt(std::make_unique<Door>(*this, loop.home().listen_at(*wire::read_endpoint(address(i + 1)))));
+            loop.add(std::make_unique<Door>(*this, loop.system().listen(*wire::parse_endpoint(address(i + 1)))));
     }
-    void came(Connection& c) override {
+    void on_readable(Connection& c) override {
         if (c.listens) {
-            for (int fd; (fd = loop_.home().accept(c.fd)) >= 0;) loop_.adopt(std::make_unique<Peer>(*this, fd));
+            for (int fd; (fd = loop_.system().accept(c.fd)) >= 0;) loop_.add(std::make_unique<Peer>(*this, fd));
             return;
         }
         auto& peer = static_cast<Peer&>(c);
         while (!c.in.empty() && !peer.http.done()) c.in.drop(peer.http.feed(c.in.front()));
-        if (c.ended || peer.http.fault()) return loop_.end(c, Why::peer_closed);
+        if (c.ended || peer.http.fault()) return loop_.close(c, CloseReason::peer_closed);
         if (!peer.http.done()) return;
         peer.http.next();
         if (peer.asked.target.find("hold_ms") != std::string::npos) return;   // nothing ever changes
         const bool list = peer.asked.target.starts_with("/discovery");
-        c.out.push(wire::answer(200, list ? targets() : std::string(200, 'a'), true));
+        c.out.push(wire::format_response(200, list ? targets() : std::string(200, 'a'), true));
         loop_.flush(c);
     }
-    void broke(Connection& c, int) override { loop_.end(c, Why::peer_reset); }
-    void due(Connection&) override {}
+    void on_error(Connection& c, int) override { loop_.close(c, CloseReason::peer_reset); }
+    void on_timer(Connection&) override {}
     static std::string targets() {
         std::string all = R"({"rev":1,"all":true,"targets":[)";
         for (int i = 0; i < servers; ++i)
@@ -97,20 +98,20 @@
     run::Loop& loop_;
 };
 
-class Callers : public memory::Owner {
+class Callers : public memory::ConnectionHandler {
 public:
     Callers(run::Loop& loop, int calls) : loop_(loop), left_(calls) {
         for (int i = 0; i < at_a_time; ++i) {
             bool at_once = false;
-            const int fd = loop.home().connect_to(*wire::read_endpoint(address(0)), at_once);
+            const int fd = loop.system().connect(*wire::parse_endpoint(address(0)), at_once);
             auto caller = std::make_unique<Caller>(*this, fd);
             caller->connecting = !at_once;
-            call(loop.adopt(std::move(caller)));
+            call(loop.add(std::move(caller)));
         }
     }
     bool over() const { return answered_ == asked_ && left_ == 0; }
     int fulfilled = 0;
-    void came(Connection& c) override {
+    void on_readable(Connection& c) override {
         auto& caller = static_cast<Caller&>(c);
         while (!c.in.empty() && !caller.http.done()) c.in.drop(caller.http.feed(c.in.front()));
         if (!caller.http.done()) return;
@@ -119,8 +120,8 @@
         caller.http.next();
         call(c);
     }
-    void broke(Connection&, int) override { std::abort(); }   // then nothing is measured
-    void due(Connection&) override {}
+    void on_error(Connection&, int) override { std::abort(); }   // then nothing is measured
+    void on_timer(Connection&) override {}
 
 private:
     void call(Connection& c) {
@@ -152,9 +153,9 @@
     char path[] = "/tmp/myrtleroute-cost-XXXXXX";
     ::close(::mkstemp(path));
     std::ofstream(path) << configuration();
-    run::PosixHome home;
-    run::Log log(run::Level::error, home);
-    run::Loop loop(log, home);
+    run::PosixSystem system;
+    run::Log log(run::Level::error, system);
+    run::Loop loop(log, system);
     Peers peers(loop);
     const pid_t pid = ::fork();
     if (pid == 0) {
@@ -165,14 +166,14 @@
     }
     ::usleep(300'000);
     Callers callers(loop, calls);
-    const Time until = home.now() + Span{120};
-    while (!callers.over() && home.now() < until) loop.round([](uint64_t) {}, [] {});
+    const Time until = system.now() + Span{120};
+    while (!callers.over() && system.now() < until) loop.run_once([](uint64_t) {}, [] {});
     ::kill(pid, SIGKILL);
     int status = 0;
     rusage used{};
     ::wait4(pid, &status, 0, &used);
     ::unlink(path);
-    loop.end_all(Why::stopping);
+    loop.close_all(CloseReason::stopping);
     const auto seconds = [](const timeval& t) { return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_usec) * 1e-6; };
     if (callers.fulfilled < calls) return -1;
     return (seconds(used.ru_utime) + seconds(used.ru_stime)) / calls * 10'000;
--- a/example/toy_servers.cpp
+++ b/example/toy_servers.cpp
@@ -11,20 +11,20 @@
 #include <vector>
 
 #include "run/loop.hpp"
-#include "run/posix_home.hpp"
+#include "run/posix_system.hpp"
 #include "wire/endpoint.hpp"
 #include "wire/http.hpp"
 #include "wire/ask.hpp"
 
 using namespace myrtleroute;
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
 constexpr Span work{0.05}, hold{20};
 
-struct Asked : wire::HttpReader {
+struct Asked : wire::HttpHandler {
     std::string target;
     int start(std::string_view, std::string_view where, std::string_view) override {
         target = where;
@@ -35,45 +35,45 @@
 };
 
 struct Peer : Connection {
-    Peer(memory::Owner& by, int fd)
-        : Connection(by, fd, 16 * 1024, 128 * 1024), http(wire::HttpMachine::Side::ask, asked) {}
+    Peer(memory::ConnectionHandler& by, int fd)
+        : Connection(by, fd, 16 * 1024, 128 * 1024), http(wire::HttpParser::Side::request, asked) {}
     std::string name() const override { return "caller"; }
     Asked asked;
-    wire::HttpMachine http;
+    wire::HttpParser http;
     std::string reply;   // said when its timer is due
 };
 
 struct Door : Connection {
-    Door(memory::Owner& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
+    Door(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
     std::string name() const override { return "door"; }
 };
 
-class Service : public memory::Owner {
+class Service : public memory::ConnectionHandler {
 public:
     Service(run::Loop& loop, const std::string& endpoint) : loop_(loop) {
-        const int fd = loop.home().listen_at(*wire::read_endpoint(endpoint));
+        const int fd = loop.system().listen(*wire::parse_endpoint(endpoint));
         if (fd < 0) throw std::runtime_error("can't listen at " + endpoint);
-        loop_.adopt(std::make_unique<Door>(*this, fd));
+        loop_.add(std::make_unique<Door>(*this, fd));
     }
-    void came(Connection& c) override {
+    void on_readable(Connection& c) override {
         if (c.listens) {
-            for (int fd; (fd = loop_.home().accept(c.fd)) >= 0;)
-                loop_.adopt(std::make_unique<Peer>(*this, fd));
+            for (int fd; (fd = loop_.system().accept(c.fd)) >= 0;)
+                loop_.add(std::make_unique<Peer>(*this, fd));
             return;
         }
         auto& peer = static_cast<Peer&>(c);
-        if (c.ended) return loop_.end(c, Why::peer_closed);
+        if (c.ended) return loop_.close(c, CloseReason::peer_closed);
         while (!c.in.empty() && !peer.http.done() && !peer.http.fault())
             c.in.drop(peer.http.feed(c.in.front()));
-        if (peer.http.fault()) return loop_.end(c, Why::bad_call);
+        if (peer.http.fault()) return loop_.close(c, CloseReason::bad_call);
         if (!peer.http.done() || !peer.reply.empty()) return;
         if (const Span after = answer(peer.asked.target, peer.reply); !peer.reply.empty())
-            loop_.set(c, loop_.now() + after);
+            loop_.set_timer(c, loop_.now() + after);
     }
-    void broke(Connection& c, int) override {
-        if (!c.listens) loop_.end(c, Why::peer_reset);
+    void on_error(Connection& c, int) override {
+        if (!c.listens) loop_.close(c, CloseReason::peer_reset);
     }
-    void due(Connection& c) override {
+    void on_timer(Connection& c) override {
         auto& peer = static_cast<Peer&>(c);
         c.out.push(peer.reply);
         peer.reply.clear();
@@ -95,9 +95,9 @@
     Span answer(const std::string& target, std::string& reply) override {
         if (mode_ == "hung") return {};
         std::cout << name_ << " is asked for " << target << std::endl;
-        if (mode_ == "full") reply = wire::answer(503, "", true, "X-Not-Processed: 1\r\n");
-        else if (mode_ == "failing" && target != "/alive") reply = wire::answer(500, "", true);
-        else reply = wire::answer(200, "from " + name_ + "\n", true);
+        if (mode_ == "full") reply = wire::format_response(503, "", true, "X-Not-Processed: 1\r\n");
+        else if (mode_ == "failing" && target != "/alive") reply = wire::format_response(500, "", true);
+        else reply = wire::format_response(200, "from " + name_ + "\n", true);
         return work;
     }
     std::string name_, mode_;
@@ -111,7 +111,7 @@
 private:
     Span answer(const std::string& target, std::string& reply) override {
         const bool watch = target.find("from=1&") != target.npos;   // it has the list, which never changes
-        reply = wire::answer(200, watch ? R"({"rev":1,"all":false,"targets":[]})"
+        reply = wire::format_response(200, watch ? R"({"rev":1,"all":false,"targets":[]})"
                                         : R"({"rev":1,"all":true,"targets":[)" + targets_ + "]}", true);
         return watch ? hold * 0.25 : Span{};
     }
@@ -127,9 +127,9 @@
         modes[word.substr(0, word.find('='))] = word.substr(word.find('=') + 1);
     }
     try {
-        run::PosixHome home;
-        run::Log log(run::Level::warning, home);
-        run::Loop loop(log, home);
+        run::PosixSystem system;
+        run::Log log(run::Level::warning, system);
+        run::Loop loop(log, system);
         std::vector<std::unique_ptr<Service>> services;
         std::string targets;
         for (const char number : {'1', '2', '3'}) {
@@ -144,7 +144,7 @@
             targets += R"(","capacity_hint":1.0,"boot_ms":0})";
         }
         services.push_back(std::make_unique<ToyDiscovery>(loop, "127.0.0.1:8500", targets));
-        for (;;) loop.round([](uint64_t) {}, [] {});
+        for (;;) loop.run_once([](uint64_t) {}, [] {});
     } catch (const std::exception& trouble) {
         std::cerr << "toy_servers: " << trouble.what() << '\n';
         return 1;
--- a/src/base/endpoint.hpp
+++ b/src/base/endpoint.hpp
@@ -19,7 +19,7 @@
 
 // Parses ADDRESS:PORT; returns nullopt if the text is not a valid IPv4 address and port.
 inline std::optional<Endpoint> parse_endpoint(std::string_view text) {
-    const auto socket_address = wire::read_endpoint(text);
+    const auto socket_address = wire::parse_endpoint(text);
     if (!socket_address) return {};
     return Endpoint{std::string(text.substr(0, text.rfind(':'))), ntohs(socket_address->sin_port)};
 }
--- a/src/configuration/node_settings.cpp
+++ b/src/configuration/node_settings.cpp
@@ -39,7 +39,7 @@
     double number(const std::string& key, double fallback) {
         const auto line = lines_.find(key);
         if (line == lines_.end() || line->second.value.empty()) return fallback;
-        const auto value = wire::decimal(line->second.value);
+        const auto value = wire::parse_decimal(line->second.value);
         if (value && *value >= 0) return *value;
         report(key, "must be a number of 0 or more, not '" + std::string(line->second.value) + "'");
         return fallback;
@@ -65,7 +65,7 @@
     std::vector<std::string> list(const std::string& key) {
         std::vector<std::string> items;
         const auto value = text(key, false);
-        for (std::string_view rest = value; !rest.empty();) items.emplace_back(wire::next_part(rest));
+        for (std::string_view rest = value; !rest.empty();) items.emplace_back(wire::next_item(rest));
         return items;
     }
 
@@ -95,8 +95,8 @@
 
 void read_internal_ports(Reader& reader, NodeSettings& settings) {
     const auto ports = reader.list("internalPorts");
-    const auto first = ports.size() == 2 ? wire::whole<uint16_t>(ports[0]) : std::nullopt;
-    const auto last = ports.size() == 2 ? wire::whole<uint16_t>(ports[1]) : std::nullopt;
+    const auto first = ports.size() == 2 ? wire::parse_integer<uint16_t>(ports[0]) : std::nullopt;
+    const auto last = ports.size() == 2 ? wire::parse_integer<uint16_t>(ports[1]) : std::nullopt;
     if (!first || !last || *first == 0 || *first > *last) {
         reader.report("internalPorts", "must be two ports, the lower first");
         return;
@@ -111,7 +111,7 @@
 std::optional<MetricsAddress> parse_metrics_address(std::string_view text) {
     const auto slash = text.find('/');
     if (slash == text.npos) return {};
-    const auto port = wire::whole<uint16_t>(text.substr(0, slash));
+    const auto port = wire::parse_integer<uint16_t>(text.substr(0, slash));
     const auto path = text.substr(slash);
     if (!port || *port == 0 || path.size() < 2) return {};
     if (!std::all_of(path.begin(), path.end(), is_path_character)) return {};
--- a/src/lab/application.cpp
+++ b/src/lab/application.cpp
@@ -14,10 +14,10 @@
 
 }  // namespace
 
-struct Application::Conn : wire::HttpReader {
-    explicit Conn(Handle s) : socket(std::move(s)), machine(wire::HttpMachine::Side::answer, *this) {}
+struct Application::Conn : wire::HttpHandler {
+    explicit Conn(Handle s) : socket(std::move(s)), machine(wire::HttpParser::Side::response, *this) {}
     Handle socket;
-    wire::HttpMachine machine;
+    wire::HttpParser machine;
     int status = 0;
     std::string text;
     bool busy = false, sent = false, half = false, strange = false, strange_answered = false;
@@ -27,7 +27,7 @@
     std::string bytes;           // to be sent once it is up
     size_t written = 0;
     int start(std::string_view, std::string_view code, std::string_view) override {
-        status = wire::whole<int>(code).value_or(0);
+        status = wire::parse_integer<int>(code).value_or(0);
         text.clear();
         return 0;
     }
@@ -157,7 +157,7 @@
     while (!left.empty() && !conn.machine.fault()) {
         left.remove_prefix(conn.machine.feed(left));
         if (!conn.machine.done()) continue;
-        const bool keeps = conn.machine.keeps();
+        const bool keeps = conn.machine.keeps_alive();
         conn.machine.next();
         conn.strange_answered = true;
         if (conn.busy && conn.sent && !conn.half && !conn.strange) site_.oracle.answered(conn.call, conn.status, conn.text);
--- a/src/lab/net.cpp
+++ b/src/lab/net.cpp
@@ -215,7 +215,7 @@
     s.starved = !s.unsent.empty();
 }
 
-void Net::end_sending(Socket& s, Time arrives) {
+void Net::shutdown_write(Socket& s, Time arrives) {
     if (s.fin_out || s.state != State::up) return;
     send_rest(s, s.unsent.size());   // the system goes on with it after a close
     s.fin_out = true;
@@ -230,7 +230,7 @@
         for (const auto& waits : std::exchange(s.waiting, {})) abort(*waits);
     } else if (s.state == State::up) {
         if (!s.in.empty()) put(*s.other, {Kind::reset, {}}, arrives);
-        else end_sending(s, arrives);
+        else shutdown_write(s, arrives);
     }
     s.closed = true;
     s.in.clear();
--- a/src/lab/net.hpp
+++ b/src/lab/net.hpp
@@ -23,7 +23,7 @@
 struct Socket;
 using Handle = std::shared_ptr<Socket>;
 
-class Ear {   // a stand-in, or a virtual home
+class Ear {   // a stand-in, or a virtual system
 public:
     virtual ~Ear() = default;
     virtual void heard(Socket& socket) = 0;   // something about it has changed
@@ -92,7 +92,7 @@
     std::string read_all(Socket& s);
     ssize_t write(Socket& s, std::string_view bytes, Time arrives = {});   // as write(2), not before `arrives`
     void send(Socket& s, std::string_view bytes, Time arrives = {});   // all of it, as room comes up
-    void end_sending(Socket& s, Time arrives = {});
+    void shutdown_write(Socket& s, Time arrives = {});
     void close(Socket& s, Time arrives = {});              // resets if bytes are left unread
     void abort(Socket& s);                                 // resets
     void vanish(Socket& s);                                // ends without a word; what comes is reset
--- a/src/lab/oracle.cpp
+++ b/src/lab/oracle.cpp
@@ -29,7 +29,7 @@
 };
 
 // What the oracle reads of either direction's messages.
-struct Reader : wire::HttpReader {
+struct Reader : wire::HttpHandler {
     uint64_t number = 0;
     bool has_number = false;
     int status = 0;
@@ -41,19 +41,19 @@
         has_number = false;
         give_up = {};
         text.clear();
-        status = first.starts_with("HTTP/") ? wire::whole<int>(second).value_or(0) : 0;
+        status = first.starts_with("HTTP/") ? wire::parse_integer<int>(second).value_or(0) : 0;
         return 0;
     }
     int field(std::string_view name, std::string_view value) override {
-        if (wire::same(name, "X-Request-ID"))
-            if (const auto n = wire::whole<uint64_t>(value)) {
+        if (wire::equals_ignore_case(name, "X-Request-ID"))
+            if (const auto n = wire::parse_integer<uint64_t>(value)) {
                 number = *n;
                 has_number = true;
             }
-        if (wire::same(name, "X-Timeout")) give_up = wire::read_time_out(value);
+        if (wire::equals_ignore_case(name, "X-Timeout")) give_up = wire::parse_timeout(value);
         return 0;
     }
-    int head_ends(Body) override {
+    int head_ended(Body) override {
         if (head) head();
         return 0;
     }
@@ -72,9 +72,9 @@
 
 struct Oracle::Conn {
     explicit Conn(bool to_server)
-        : machine(to_server ? wire::HttpMachine::Side::ask : wire::HttpMachine::Side::answer, reader), asks(to_server) {}
+        : machine(to_server ? wire::HttpParser::Side::request : wire::HttpParser::Side::response, reader), asks(to_server) {}
     Reader reader;
-    wire::HttpMachine machine;
+    wire::HttpParser machine;
     bool asks;                // to a server; else to a client
     int proxy = 0, server = -1;
     Time begun;
@@ -82,7 +82,7 @@
     int shot = -1;            // < 0: none
     // What the proxy has read of the answer to it, and whether it still waits for more.
     Reader heard;
-    wire::HttpMachine answer{wire::HttpMachine::Side::answer, heard};
+    wire::HttpParser answer{wire::HttpParser::Side::response, heard};
     bool busy = false;
 };
 
@@ -276,7 +276,7 @@
     if (s.local != 0 && s.other && strangers_.count(s.other->number)) return;
     auto& c = conn(s);
     while (!bytes.empty()) {
-        if (!c.machine.begun()) {
+        if (!c.machine.started()) {
             c.begun = queue_.now();
             c.shot = -1;
             if (c.asks && !std::exchange(c.busy, true)) ++proxies_[c.proxy].busy;
--- a/src/lab/registry.cpp
+++ b/src/lab/registry.cpp
@@ -71,10 +71,10 @@
     return all;
 }
 
-struct Discovery::Call : wire::HttpReader {
-    explicit Call(Handle s) : socket(std::move(s)), machine(wire::HttpMachine::Side::ask, *this) {}
+struct Discovery::Call : wire::HttpHandler {
+    explicit Call(Handle s) : socket(std::move(s)), machine(wire::HttpParser::Side::request, *this) {}
     Handle socket;
-    wire::HttpMachine machine;
+    wire::HttpParser machine;
     std::string target;
     bool waits = false;      // for something new
     uint64_t from = 0;       // of the registry's changes
@@ -176,8 +176,8 @@
         if (chance_.yes(0.4)) return end(socket.number, true);
         return say(call, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     }
-    const auto from = wire::whole<uint64_t>(call.number("from="));
-    const auto hold = wire::whole<uint64_t>(call.number("hold_ms="));
+    const auto from = wire::parse_integer<uint64_t>(call.number("from="));
+    const auto hold = wire::parse_integer<uint64_t>(call.number("hold_ms="));
     call.from = from && *from >= first_ ? std::min(*from - first_, registry_.rev()) : 0;
     call.waits = from && hold;
     call.until = site_.queue.now() + Span{static_cast<double>(hold.value_or(0)) / 1000};
@@ -204,9 +204,9 @@
                                                    "<html>busy</html>"};
         if (chance_.yes(0.5)) body = nonsense[chance_.below(4)];
         else body.resize(body.size() / 2);
-        return say(call, wire::answer(200, body, true));
+        return say(call, wire::format_response(200, body, true));
     }
-    const auto text = wire::answer(200, body, true);
+    const auto text = wire::format_response(200, body, true);
     call.said.push_back({call.socket->sent + call.socket->unsent.size() + text.size(), whole, Registry::told(entries)});
     say(call, text);
 }
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -14,10 +14,10 @@
 
 }  // namespace
 
-struct Server::Conn : wire::HttpReader {
-    explicit Conn(Handle s) : socket(std::move(s)), machine(wire::HttpMachine::Side::ask, *this) {}
+struct Server::Conn : wire::HttpHandler {
+    explicit Conn(Handle s) : socket(std::move(s)), machine(wire::HttpParser::Side::request, *this) {}
     Handle socket;
-    wire::HttpMachine machine;
+    wire::HttpParser machine;
     std::string target;
     uint64_t call = 0;
     bool has_call = false, busy = false, spoilt = false;
@@ -28,8 +28,8 @@
         return 0;
     }
     int field(std::string_view name, std::string_view value) override {
-        if (wire::same(name, "X-Request-ID"))
-            if (const auto n = wire::whole<uint64_t>(value)) {
+        if (wire::equals_ignore_case(name, "X-Request-ID"))
+            if (const auto n = wire::parse_integer<uint64_t>(value)) {
                 call = *n;
                 has_call = true;
             }
@@ -286,7 +286,7 @@
     std::string fields;
     if (on(FaultKind::reports) && draw.yes(how(FaultKind::reports))) fields = "X-Server-Load: TEXT inflight=, queue=x\r\n";
     else fields = "X-Server-Load: TEXT inflight=" + std::to_string(running_) + ", queue=" + std::to_string(waiting_.size()) + "\r\n";
-    auto text = wire::answer(200, body, true, fields);
+    auto text = wire::format_response(200, body, true, fields);
     if (on(FaultKind::spoilt) && draw.yes(how(FaultKind::spoilt) * 0.5)) {
         conn.spoilt = true;
         switch (draw.below(5)) {
@@ -333,7 +333,7 @@
     conn.busy = false;
     if (conn.has_call)
         if (auto* s = site_.oracle.shot(conn.call, *conn.socket)) site_.oracle.done(*s);
-    say(conn, wire::answer(status, body, true, fields));
+    say(conn, wire::format_response(status, body, true, fields));
 }
 
 void Server::say(Conn& conn, std::string text, Time comes) {
--- a/src/lab/sweep.cpp
+++ b/src/lab/sweep.cpp
@@ -7,13 +7,13 @@
 #include <vector>
 
 #include "lab/play.hpp"
-#include "run/posix_home.hpp"
+#include "run/posix_system.hpp"
 
 namespace myrtleroute::lab {
 
 bool sweep(const Sweep& what, std::ostream& out, std::ostream& progress) {
-    run::PosixHome home;
-    const Time began = home.now();
+    run::PosixSystem system;
+    const Time began = system.now();
     std::atomic<uint64_t> next{0};
     std::mutex together;
     Summary all;
@@ -30,13 +30,13 @@
             ++played;
             if (played * 10 / what.seeds != (played - 1) * 10 / what.seeds)
                 progress << played << " of " << what.seeds << " seeds, " << std::fixed << std::setprecision(1)
-                         << (home.now() - began).s << " s" << std::endl;
+                         << (system.now() - began).s << " s" << std::endl;
         }
     };
     std::vector<std::thread> threads;
     for (unsigned i = 0; i < what.jobs; ++i) threads.emplace_back(work);
     for (auto& t : threads) t.join();
-    const double took = (home.now() - began).s;
+    const double took = (system.now() - began).s;
 
     size_t broken = 0;
     std::map<std::string, uint64_t> by_rule;
--- a/src/lab/virtual_home.cpp
+++ b/src/lab/virtual_system.cpp
@@ -1,4 +1,4 @@
-#include "lab/virtual_home.hpp"
+#include "lab/virtual_system.hpp"
 
 #include <arpa/inet.h>
 
@@ -17,47 +17,47 @@
 
 }  // namespace
 
-double VirtualHome::unix_time() { return epoch + queue_.now().s; }
+double VirtualSystem::unix_time() { return epoch + queue_.now().s; }
 
-void VirtualHome::signal(int number) {
+void VirtualSystem::signal(int number) {
     signals_.push_back(number);
     wakened_();
 }
 
-void VirtualHome::end_process() {
+void VirtualSystem::end_process() {
     for (size_t fd = 0; fd < table_.size(); ++fd)
         if (table_[fd]) close(static_cast<int>(fd));
     if (signal_fd_ >= 0) close(signal_fd_);
     signals_.clear();
 }
 
-size_t VirtualHome::to_servers() const {
+size_t VirtualSystem::to_servers() const {
     size_t n = 0;
     for (const auto& s : table_) n += s && s->remote >> 16 >= server_ip && s->remote >> 16 < discovery_ip;
     return n;
 }
 
-size_t VirtualHome::connecting_to_servers() const {
+size_t VirtualSystem::connecting_to_servers() const {
     size_t n = 0;
     for (const auto& s : table_)
         n += s && s->remote >> 16 >= server_ip && s->remote >> 16 < discovery_ip && s->state == State::connecting;
     return n;
 }
 
-size_t VirtualHome::accepted() const {
+size_t VirtualSystem::accepted() const {
     size_t n = 0;
     for (const auto& s : table_) n += s && s->local != 0 && s->state != State::listening;
     return n;
 }
 
-bool VirtualHome::connecting_to(uint32_t ip) const {
+bool VirtualSystem::connecting_to(uint32_t ip) const {
     for (const auto& s : table_)
         if (s && s->remote >> 16 == ip && s->state == State::connecting) return true;
     return false;
 }
 
 // As poll(2) tells of stream sockets on Linux.
-short VirtualHome::state_of(const Socket& s) const {
+short VirtualSystem::state_of(const Socket& s) const {
     if (s.state == State::listening) return s.waiting.empty() ? 0 : POLLIN;
     if (s.state == State::connecting) return 0;
     if (s.state == State::over) return POLLIN | POLLOUT | POLLRDHUP | POLLHUP | (s.error ? POLLERR : 0);
@@ -69,7 +69,7 @@
     return events;
 }
 
-int VirtualHome::wait(pollfd* polled, size_t n, int ms) {
+int VirtualSystem::poll(pollfd* polled, size_t n, int ms) {
     int found = 0;
     for (size_t i = 0; i < n; ++i) {
         const int fd = polled[i].fd;
@@ -82,7 +82,7 @@
     return found;
 }
 
-int VirtualHome::take(Handle socket) {
+int VirtualSystem::take(Handle socket) {
     size_t fd = 3;   // the first three are the process's own
     while (fd < table_.size() && (table_[fd] || static_cast<int>(fd) == signal_fd_)) ++fd;
     if (open_ + 3 >= descriptors) {
@@ -95,14 +95,14 @@
     return static_cast<int>(fd);
 }
 
-int VirtualHome::listen_at(const sockaddr_in& where) {
+int VirtualSystem::listen(const sockaddr_in& where) {
     const NotHeld ours;
     auto socket = net_.listen(machine_, *this, address(where));
     if (!socket) errno = EADDRINUSE;
     return socket ? take(std::move(socket)) : -1;
 }
 
-int VirtualHome::connect_to(const sockaddr_in& where, bool& at_once) {
+int VirtualSystem::connect(const sockaddr_in& where, bool& at_once) {
     const NotHeld ours;
     at_once = false;
     const int fd = take(nullptr);
@@ -110,7 +110,7 @@
     return fd;
 }
 
-int VirtualHome::accept(int fd) {
+int VirtualSystem::accept(int fd) {
     const NotHeld ours;
     if (at(fd).waiting.empty()) {
         errno = EAGAIN;
@@ -124,9 +124,9 @@
     return fresh;
 }
 
-int VirtualHome::error_of(int fd) { return std::exchange(at(fd).error, 0); }
+int VirtualSystem::connect_error(int fd) { return std::exchange(at(fd).error, 0); }
 
-ssize_t VirtualHome::read(int fd, const iovec* parts, int n) {
+ssize_t VirtualSystem::read(int fd, const iovec* parts, int n) {
     const NotHeld ours;
     ssize_t all = 0;
     for (int i = 0; i < n; ++i) {
@@ -139,26 +139,26 @@
     return all;
 }
 
-ssize_t VirtualHome::write(int fd, const iovec* parts, int n) {
+ssize_t VirtualSystem::write(int fd, const iovec* parts, int n) {
     const NotHeld ours;
     std::string all;
     for (int i = 0; i < n; ++i) all.append(static_cast<const char*>(parts[i].iov_base), parts[i].iov_len);
     return net_.write(at(fd), all);
 }
 
-bool VirtualHome::still_quiet(int fd) {
+bool VirtualSystem::is_idle(int fd) {
     const auto& s = at(fd);
     return s.in.empty() && !s.fin_in && !s.error && s.state != State::over;
 }
 
-bool VirtualHome::has_unread(int fd) { return !at(fd).in.empty(); }
+bool VirtualSystem::has_unread(int fd) { return !at(fd).in.empty(); }
 
-void VirtualHome::end_sending(int fd) {
+void VirtualSystem::shutdown_write(int fd) {
     const NotHeld ours;
-    net_.end_sending(at(fd));
+    net_.shutdown_write(at(fd));
 }
 
-void VirtualHome::close(int fd) {
+void VirtualSystem::close(int fd) {
     const NotHeld ours;
     --open_;
     if (fd == signal_fd_) {
@@ -168,13 +168,13 @@
     if (auto socket = std::exchange(table_[static_cast<size_t>(fd)], nullptr)) net_.close(*socket);
 }
 
-int VirtualHome::hear_signals() {
+int VirtualSystem::watch_signals() {
     const NotHeld ours;
     const int fd = take(nullptr);
     return signal_fd_ = fd;
 }
 
-int VirtualHome::next_signal(int) {
+int VirtualSystem::next_signal(int) {
     const NotHeld ours;
     if (signals_.empty()) return 0;
     const int number = signals_.front();
@@ -182,12 +182,12 @@
     return number;
 }
 
-const char* VirtualHome::variable(const char* name) {
+const char* VirtualSystem::environment_variable(const char* name) {
     const auto it = variables.find(name);
     return it == variables.end() ? nullptr : it->second.c_str();
 }
 
-std::optional<std::string> VirtualHome::file(const std::string& path) {
+std::optional<std::string> VirtualSystem::read_file(const std::string& path) {
     const auto it = files.find(path);
     if (it == files.end()) return {};
     return it->second;
--- a/src/lab/virtual_home.hpp
+++ b/src/lab/virtual_system.hpp
@@ -5,13 +5,13 @@
 #include <map>
 
 #include "lab/net.hpp"
-#include "run/home.hpp"
+#include "run/system.hpp"
 
 namespace myrtleroute::lab {
 
-class VirtualHome : public run::Home, public Ear {
+class VirtualSystem : public run::System, public Ear {
 public:
-    VirtualHome(Queue& queue, Net& net, Machine& machine, std::function<void()> wakened)
+    VirtualSystem(Queue& queue, Net& net, Machine& machine, std::function<void()> wakened)
         : queue_(queue), net_(net), machine_(machine), wakened_(std::move(wakened)) {}
 
     // For the world.
@@ -31,22 +31,22 @@
     // For the proxy.
     Time now() override { return queue_.now(); }
     double unix_time() override;
-    int wait(pollfd* polled, size_t n, int ms) override;
-    int listen_at(const sockaddr_in& at) override;
-    int connect_to(const sockaddr_in& at, bool& at_once) override;
+    int poll(pollfd* polled, size_t n, int ms) override;
+    int listen(const sockaddr_in& at) override;
+    int connect(const sockaddr_in& at, bool& at_once) override;
     int accept(int fd) override;
-    int error_of(int fd) override;
+    int connect_error(int fd) override;
     ssize_t read(int fd, const iovec* parts, int n) override;
     ssize_t write(int fd, const iovec* parts, int n) override;
-    bool still_quiet(int fd) override;
+    bool is_idle(int fd) override;
     bool has_unread(int fd) override;
-    void end_sending(int fd) override;
+    void shutdown_write(int fd) override;
     void close(int fd) override;
-    int hear_signals() override;
+    int watch_signals() override;
     int next_signal(int fd) override;
-    size_t most_descriptors() override { return rlimit; }
-    const char* variable(const char* name) override;
-    std::optional<std::string> file(const std::string& path) override;
+    size_t max_descriptors() override { return rlimit; }
+    const char* environment_variable(const char* name) override;
+    std::optional<std::string> read_file(const std::string& path) override;
 
     void heard(Socket&) override { wakened_(); }
 
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -43,7 +43,7 @@
     Machine machine;
     Lines lines;
     std::ostream log;
-    std::unique_ptr<VirtualHome> home;
+    std::unique_ptr<VirtualSystem> system;
     std::unique_ptr<run::Proxy> proxy;
     uint64_t starts = 0, plans = 0;
     bool planned = false;
@@ -80,8 +80,8 @@
             if (d->has(proxy, s)) return;
     };
     oracle_.connecting = [this](int proxy, int server) {
-        const auto& home = instances_[proxy]->home;
-        return home && home->connecting_to(server_ip + 1 + static_cast<uint32_t>(server));
+        const auto& system = instances_[proxy]->system;
+        return system && system->connecting_to(server_ip + 1 + static_cast<uint32_t>(server));
     };
     for (auto& i : instances_)
         queue_.in({chance_.between(0, 0.1)}, [this, &i = *i] { start(i, queue_.now() - Span{chance_.between(0, 3)}); });
@@ -132,7 +132,7 @@
     std::vector<Oracle::Told> told;
     const auto list = known(i.known_at, told);
     const auto seed = mix(scenario_.seed ^ mix(static_cast<uint64_t>(i.number) * 1000 + i.starts));
-    i.home->files["config.json"] = configuration(scenario_, i.number, seed, discoveries_[discovery_]->ip(), list);
+    i.system->files["config.json"] = configuration(scenario_, i.number, seed, discoveries_[discovery_]->ip(), list);
 }
 
 void World::start(Instance& i, Time known_at) {
@@ -144,16 +144,16 @@
     i.planned = false;
     i.rounds = 0;
     i.held_bytes = 0;
-    i.home = std::make_unique<VirtualHome>(queue_, net_, i.machine, [this, &i] { plan(i, queue_.now()); });
-    i.home->variables["BALANCER_CONFIG"] = "config.json";
-    i.home->variables["MYRTLEROUTE_LOG"] = trace_.read() ? "debug" : "error";
+    i.system = std::make_unique<VirtualSystem>(queue_, net_, i.machine, [this, &i] { plan(i, queue_.now()); });
+    i.system->variables["BALANCER_CONFIG"] = "config.json";
+    i.system->variables["MYRTLEROUTE_LOG"] = trace_.read() ? "debug" : "error";
     configure(i);
     std::vector<Oracle::Told> told;
     known(known_at, told);
     oracle_.starts(i.number, told);
-    const auto environment = [&](const char* name) { return i.home->variable(name); };
+    const auto environment = [&](const char* name) { return i.system->environment_variable(name); };
     const HeldBytes held(i.held_bytes);
-    i.proxy = std::make_unique<run::Proxy>(run::read_config(*i.home, environment), *i.home, i.log);
+    i.proxy = std::make_unique<run::Proxy>(run::read_config(*i.system, environment), *i.system, i.log);
     if (!i.proxy->start()) return oracle_.breaks(Rule::no_crash, {}, "proxy " + std::to_string(i.number) + " can't start");
     plan(i, queue_.now());
 }
@@ -191,7 +191,7 @@
     }
     check(i);
     i.busy_until = queue_.now() + Span{0.00001 + chance_.exponential(0.00003)};
-    plan(i, i.home->sleeps() ? i.home->until() : i.busy_until);
+    plan(i, i.system->sleeps() ? i.system->until() : i.busy_until);
 }
 
 // What it holds is what the system holds for it.
@@ -202,19 +202,19 @@
             oracle_.breaks(rule, {}, "proxy " + std::to_string(i.number) + " counts " + std::to_string(has) + ' ' + what +
                                          ", there are " + std::to_string(is));
     };
-    breaks(Rule::beliefs, "descriptors", state.loop.connections(), i.home->open());
+    breaks(Rule::beliefs, "descriptors", state.loop.connections(), i.system->open());
     size_t lines = 0, idle = 0, waiting = 0;
     state.servers.each([&](memory::Server& s) {
-        lines += static_cast<size_t>(s.lines);
+        lines += static_cast<size_t>(s.connections);
         idle += s.idle.size();
     });
-    breaks(Rule::beliefs, "connections to servers", lines, i.home->to_servers());
-    const auto busy = static_cast<size_t>(oracle_.lines_busy(i.number)) + i.home->connecting_to_servers();
+    breaks(Rule::beliefs, "connections to servers", lines, i.system->to_servers());
+    const auto busy = static_cast<size_t>(oracle_.lines_busy(i.number)) + i.system->connecting_to_servers();
     breaks(Rule::beliefs, "connections to servers with something out", lines - idle, busy);
-    state.calls.each([&](memory::Held& call) { waiting += call.client != nullptr; });
+    state.calls.each([&](memory::PendingCall& call) { waiting += call.client != nullptr; });
     const auto open = static_cast<size_t>(oracle_.calls_open(i.number));
     // An answer counts when it is written whole.
-    if (open < waiting || open > waiting + state.loop.unwritten())
+    if (open < waiting || open > waiting + state.loop.unwritten_connections())
         breaks(Rule::beliefs, "calls without an answer", waiting, open);
     if (queue_.now() - i.counted_from > Span{0.1}) {
         i.counted_from = queue_.now();
@@ -234,7 +234,7 @@
     i.known_at = queue_.now() - Span{chance_.between(0, 4)};
     if (oracle_.calls_open(i.number) > 0) oracle_.summary.met(Hard::stops_with_calls_out);
     site_.note(Event::signal, static_cast<uint64_t>(i.number), SIGTERM);
-    i.home->signal(SIGTERM);
+    i.system->signal(SIGTERM);
     check_stop(i, i.starts, queue_.now() + most_stop);
 }
 
@@ -249,7 +249,7 @@
 
 void World::gone(Instance& i) {
     oracle_.dies(i.number);
-    i.home->end_process();
+    i.system->end_process();
     i.proxy.reset();
     oracle_.ended(i.number);
 }
@@ -281,17 +281,17 @@
                 if (discoveries_[discovery_ ^ 1]->watched(each->number)) oracle_.summary.met(Hard::moves_while_watching);
                 configure(*each);
                 site_.note(Event::signal, static_cast<uint64_t>(each->number), SIGHUP);
-                each->home->signal(SIGHUP);
+                each->system->signal(SIGHUP);
             }
             break;
         case FaultKind::bad_file:
             if (!i.proxy) break;
-            i.home->files["config.json"] = fault.how < 0.3 ? "" : "{\"listen\":" + std::string(fault.how < 0.6 ? "7}" : "");
-            i.home->signal(SIGHUP);
+            i.system->files["config.json"] = fault.how < 0.3 ? "" : "{\"listen\":" + std::string(fault.how < 0.6 ? "7}" : "");
+            i.system->signal(SIGHUP);
             break;
         case FaultKind::descriptors:
             oracle_.short_of_descriptors(i.number);
-            if (i.home) i.home->descriptors = std::max<size_t>(16, i.home->open() + static_cast<size_t>(fault.how * 10));
+            if (i.system) i.system->descriptors = std::max<size_t>(16, i.system->open() + static_cast<size_t>(fault.how * 10));
             break;
         case FaultKind::pause: {
             const Span lasts{std::min(fault.lasts.s, 0.05 + fault.how * 1.2)};
@@ -328,8 +328,8 @@
         for (auto& s : servers_) s->costly(1);
     if (fault.kind == FaultKind::burst)
         for (auto& a : applications_) a->burst(1);
-    if (fault.kind == FaultKind::descriptors && instances_[fault.who]->home)
-        instances_[fault.who]->home->descriptors = VirtualHome::rlimit;
+    if (fault.kind == FaultKind::descriptors && instances_[fault.who]->system)
+        instances_[fault.who]->system->descriptors = VirtualSystem::rlimit;
     if (fault.kind == FaultKind::bad_file && instances_[fault.who]->proxy) configure(*instances_[fault.who]);
     if (fault.kind != FaultKind::wrong_list) return;
     registry_.tells_truth(queue_.now());
@@ -348,10 +348,10 @@
                 oracle_.breaks(Rule::nothing_left, {}, "proxy " + std::to_string(i->number) + " still has " + std::to_string(n) + ' ' + what);
         };
         none("calls", state.calls.size(), 0);
-        none("descriptors", i->home->open(), 3 + static_cast<size_t>(scenario_.servers));
-        none("clients", i->home->accepted(), 0);
-        none("wakes", state.loop.wakes(), 2);
-        none("timers", state.loop.timers(), i->home->open());
+        none("descriptors", i->system->open(), 3 + static_cast<size_t>(scenario_.servers));
+        none("clients", i->system->accepted(), 0);
+        none("wakes", state.loop.scheduled(), 2);
+        none("timers", state.loop.timers(), i->system->open());
         tell_to_stop(*i);
     }
 }
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -9,7 +9,7 @@
 
 #include "lab/application.hpp"
 #include "lab/server.hpp"
-#include "lab/virtual_home.hpp"
+#include "lab/virtual_system.hpp"
 #include "run/proxy.hpp"
 
 namespace myrtleroute::lab {
--- a/src/memory/byte_ring.hpp
+++ b/src/memory/byte_ring.hpp
@@ -20,18 +20,18 @@
 
     // The parts that may be written to, then how much of them was; asking makes room for at least one byte
     // unless the ring is full.
-    std::array<iovec, 2> free_parts() {
+    std::array<iovec, 2> writable_parts() {
         if (size_ == capacity_ && size_ < limit_) grow(size_ + 1);
         const size_t end = wrap(start_ + size_), free = capacity_ - size_;
         const size_t first = std::min(free, capacity_ - end);
         return {iovec{bytes_.get() + end, first}, iovec{bytes_.get(), free - first}};
     }
-    void wrote(size_t n) {
+    void commit(size_t n) {
         size_ += n;
         if (empty()) release();
     }
     // The parts that hold bytes, then how many of them are done with.
-    std::array<iovec, 2> held_parts() {
+    std::array<iovec, 2> readable_parts() {
         const size_t first = std::min(size_, capacity_ - start_);
         return {iovec{bytes_.get() + start_, first}, iovec{bytes_.get(), size_ - first}};
     }
@@ -55,12 +55,12 @@
     }
 
 private:
-    static constexpr size_t least_ = 4096;
+    static constexpr size_t min_capacity_ = 4096;
     size_t wrap(size_t at) const { return at >= capacity_ ? at - capacity_ : at; }
     void grow(size_t wanted) {
-        const size_t bigger = std::min(limit_, std::max({wanted, 2 * capacity_, std::min(least_, limit_)}));
+        const size_t bigger = std::min(limit_, std::max({wanted, 2 * capacity_, std::min(min_capacity_, limit_)}));
         auto fresh = std::make_unique_for_overwrite<char[]>(bigger);
-        const auto held = held_parts();
+        const auto held = readable_parts();
         if (size_) {
             std::memcpy(fresh.get(), held[0].iov_base, held[0].iov_len);
             std::memcpy(fresh.get() + held[0].iov_len, held[1].iov_base, held[1].iov_len);
--- a/src/memory/calls.hpp
+++ b/src/memory/calls.hpp
@@ -1,4 +1,4 @@
-// The API calls that are held: what goes on to a server, who waits for the answer and which shots are out.
+// The API calls that are held: what goes on to a server, who waits for the answer and which attempts are out.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,7 +14,7 @@
 struct Connection;
 
 // What an API call says of itself, filled field by field as it is read.
-struct Ask {
+struct ApiRequest {
     std::string head;      // first line and fields, as they go on to a server; length and time-out come last
     std::string body;
     int product = -1;
@@ -25,31 +25,31 @@
     std::string id;        // the client's
 };
 
-struct Held {
+struct PendingCall {
     CallId id = 0;
-    Ask ask;
+    ApiRequest ask;
     Connection* client = nullptr;      // none once it has its answer, or is gone
-    std::vector<Connection*> shots;    // where each is out; none once it has ended
-    int out = 0;                       // shots whose end is still to be told
+    std::vector<Connection*> attempts;    // where each is out; none once it has ended
+    int open_attempts = 0;                       // attempts whose end is still to be told
 };
 
 class Calls {
 public:
-    Held& take(Ask ask) {
-        auto held = std::make_unique<Held>();
-        held->id = next_++;
-        held->ask = std::move(ask);
-        open_.insert(held->ask.id);
-        return *(held_[held->id] = std::move(held));
+    PendingCall& take(ApiRequest ask) {
+        auto call = std::make_unique<PendingCall>();
+        call->id = next_++;
+        call->ask = std::move(ask);
+        open_.insert(call->ask.id);
+        return *(held_[call->id] = std::move(call));
     }
-    Held* find(CallId id) {
+    PendingCall* find(CallId id) {
         const auto it = held_.find(id);
         return it == held_.end() ? nullptr : it->second.get();
     }
-    void forget_if_over(Held& held) {
-        if (held.client || held.out) return;
-        open_.erase(held.ask.id);
-        held_.erase(held.id);
+    void erase_if_finished(PendingCall& call) {
+        if (call.client || call.open_attempts) return;
+        open_.erase(call.ask.id);
+        held_.erase(call.id);
     }
     bool open(const std::string& id) const { return open_.count(id) > 0; }   // by the client's id
     size_t size() const { return held_.size(); }
@@ -60,7 +60,7 @@
 
 private:
     CallId next_ = 1;
-    std::map<CallId, std::unique_ptr<Held>> held_;   // by age
+    std::map<CallId, std::unique_ptr<PendingCall>> held_;   // by age
     std::set<std::string> open_;
 };
 
--- a/src/memory/servers.hpp
+++ b/src/memory/servers.hpp
@@ -15,24 +15,24 @@
 
 namespace myrtleroute::memory {
 
-struct Line;
+struct ServerConnection;
 
 struct Server {
     ServerId id = 0;
     std::string uid, endpoint;
     sockaddr_in at{};
     uint64_t listed_in = 0;          // the last list that named it
-    Time heard = long_ago;           // its last whole answer
-    Time left = long_ago;            // when a list first called it gone
-    std::list<Line*> idle;           // the latest used first
-    int lines = 0;                   // connections to it, idle or not
+    Time last_response = long_ago;           // its last whole answer
+    Time left_at = long_ago;            // when a list first called it gone
+    std::list<ServerConnection*> idle;           // the latest used first
+    int connections = 0;                   // connections to it, idle or not
     bool gone = false;               // by the list
 };
 
 class Servers {
 public:
     // The decisions' id of a uid: the same at every balancer, since each finds its part of the list by it.
-    Server& named(std::string_view uid) {
+    Server& find_or_add(std::string_view uid) {
         const auto it = by_uid_.find(uid);
         if (it != by_uid_.end()) return *it->second;
         ServerId id = fnv1a(uid);
@@ -51,11 +51,11 @@
     }
     // Those that are gone, that no connection leads to and that have neither been listed nor answered since
     // `kept`; new machines come under new uids all day.
-    void forget_gone(Time kept) {
+    void erase_gone(Time kept) {
         for (auto it = by_uid_.begin(); it != by_uid_.end();) {
             const auto here = it++;
             const auto& server = *here->second;
-            if (!server.gone || server.lines || std::max(server.heard, server.left) > kept) continue;
+            if (!server.gone || server.connections || std::max(server.last_response, server.left_at) > kept) continue;
             by_id_.erase(here->second->id);
             by_uid_.erase(here);
         }
--- a/src/rig/conductor.cpp
+++ b/src/rig/conductor.cpp
@@ -21,7 +21,7 @@
 namespace myrtleroute::rig {
 
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
@@ -57,7 +57,8 @@
 }
 
 struct Conductor::Line : Connection {
-    Line(memory::Owner& by, int fd, Part& of) : Connection(by, fd, 256 * 1024, 4 * 1024 * 1024), part(&of) {}
+    Line(memory::ConnectionHandler& by, int fd, Part& of)
+        : Connection(by, fd, 256 * 1024, 4 * 1024 * 1024), part(&of) {}
     std::string name() const override { return "part"; }
     Part* part;
     std::string text;
@@ -66,22 +67,22 @@
 namespace {
 
 struct Signals : Connection {
-    Signals(memory::Owner& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
+    Signals(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
     std::string name() const override { return "signals"; }
 };
 
 }  // namespace
 
 Conductor::Conductor(const Experiment& e, size_t arm, int repeat, std::string directory, How how)
-    : e_(e), arm_(e.arms[arm]), how_(std::move(how)), shape_(shape(e, how_.most_descriptors)), log_(run::Level::error, home_),
-      loop_(log_, home_), proxies_(static_cast<size_t>(e.proxies)), server_lives_(static_cast<size_t>(e.servers)) {
+    : e_(e), arm_(e.arms[arm]), how_(std::move(how)), shape_(shape(e, how_.most_descriptors)), log_(run::Level::error, system_),
+      loop_(log_, system_), proxies_(static_cast<size_t>(e.proxies)), server_lives_(static_cast<size_t>(e.servers)) {
     day_.e = e;
     day_.directory = std::move(directory);
     day_.arm = arm_.name;
     day_.repeat = repeat;
     day_.program = !arm_.program.empty() ? arm_.program : !how_.program.empty() ? how_.program : "run of " + how_.deploy;
-    const int signals = home_.hear_signals();
-    if (signals >= 0) loop_.adopt(std::make_unique<Signals>(*this, signals));
+    const int signals = system_.watch_signals();
+    if (signals >= 0) loop_.add(std::make_unique<Signals>(*this, signals));
 }
 
 // Whatever happened before, nothing that was started is left.
@@ -89,30 +90,30 @@
     for (const auto& part : parts_)
         if (part->pid > 0) ::kill(part->pid, SIGKILL);
     for (const auto& [pid, number] : ids_) ::kill(pid, SIGKILL);
-    const Time most = home_.now() + Span{2};
-    while (home_.now() < most && (!ids_.empty() || std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->pid > 0; }))) {
+    const Time most = system_.now() + Span{2};
+    while (system_.now() < most && (!ids_.empty() || std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->pid > 0; }))) {
         reap();
-        home_.PosixHome::wait(nullptr, 0, 5);   // nothing but time
+        system_.PosixSystem::poll(nullptr, 0, 5);   // nothing but time
     }
-    if (door_fd_ >= 0) home_.close(door_fd_);
-    loop_.end_all(Why::stopping);
+    if (door_fd_ >= 0) system_.close(door_fd_);
+    loop_.close_all(CloseReason::stopping);
 }
 
-void Conductor::came(Connection& c) {
+void Conductor::on_readable(Connection& c) {
     if (c.listens) {
-        while (const int number = home_.next_signal(c.fd)) interrupted_ |= number == SIGINT || number == SIGTERM;
+        while (const int number = system_.next_signal(c.fd)) interrupted_ |= number == SIGINT || number == SIGTERM;
         return;
     }
     auto& line = static_cast<Line&>(c);
     take_lines(line.in, line.text, [&](const std::string& text) { heard(*line.part, text); });
     if (!c.ended) return;
     line.part->line = nullptr;
-    loop_.end(c, Why::peer_closed);
+    loop_.close(c, CloseReason::peer_closed);
 }
 
-void Conductor::broke(Connection& c, int) {
+void Conductor::on_error(Connection& c, int) {
     static_cast<Line&>(c).part->line = nullptr;
-    loop_.end(c, Why::peer_reset);
+    loop_.close(c, CloseReason::peer_reset);
 }
 
 void Conductor::heard(Part& part, const std::string& text) {
@@ -165,9 +166,9 @@
     what.output = day_.directory + "/" + part.name + ".log";
     what.control = ends[1];
     part.pid = start(what);
-    home_.close(ends[1]);
+    system_.close(ends[1]);
     if (part.pid < 0) throw CantStart(part.name + " can't be started: " + std::strerror(errno));
-    part.line = &loop_.adopt(std::make_unique<Line>(*this, ends[0], part));
+    part.line = &loop_.add(std::make_unique<Line>(*this, ends[0], part));
     day_.parts.push_back({part.name, 0, 0, 0});
     return part;
 }
@@ -241,7 +242,7 @@
     proxy.again = false;
     ids_[proxy.pid] = i;
     proxy.life = day_.lives.size();
-    day_.lives.push_back({i, home_.now().s, 0, ""});
+    day_.lives.push_back({i, system_.now().s, 0, ""});
 }
 
 void Conductor::reap() {
@@ -264,7 +265,7 @@
         ids_.erase(it);
         auto& proxy = proxies_[static_cast<size_t>(number)];
         auto& life = day_.lives[proxy.life];
-        life.to = home_.now().s;
+        life.to = system_.now().s;
         life.how = (ended.by_signal ? "signal " : "status ") + std::to_string(ended.code);
         proxy.pid = 0;
         day_.cpu += ended.cpu;
@@ -273,7 +274,7 @@
         const bool sound = !proxy.wanted && (proxy.no_start || ended.by_signal || ended.code == 0);
         if (!sound) day_.lost.push_back("proxy " + std::to_string(number) + " ended: " + life.how + "; " + day_.directory + "/p" +
                                         std::to_string(number) + ".log has the rest");
-        if (proxy.no_start && !ending_) at(home_.now() + Span{1}, [this, number] {
+        if (proxy.no_start && !ending_) at(system_.now() + Span{1}, [this, number] {
             if (proxies_[static_cast<size_t>(number)].pid == 0) start_proxy(number);
         });
         else if (proxy.again && !ending_) start_proxy(number);
@@ -282,12 +283,12 @@
 
 void Conductor::at(Time when, std::function<void()> what) {
     plans_[next_plan_] = std::move(what);
-    loop_.wake(when, next_plan_++);
+    loop_.schedule(when, next_plan_++);
 }
 
 void Conductor::pump() {
     at(loop_.now() + look_every, [] {});
-    loop_.round(
+    loop_.run_once(
         [this](uint64_t cookie) {
             const auto it = plans_.find(cookie);
             const auto what = std::move(it->second);
@@ -300,21 +301,21 @@
 }
 
 bool Conductor::wait_for(const std::function<bool()>& so, Span most) {
-    const Time until = home_.now() + most;
+    const Time until = system_.now() + most;
     while (!so()) {
         if (interrupted_) throw std::runtime_error("interrupted");
         if (!ending_)
             for (const auto& lost : day_.lost)
                 if (start_ == long_ago || !lost.starts_with("proxy")) throw CantStart(lost);
-        if (home_.now() > until) return false;
+        if (system_.now() > until) return false;
         pump();
     }
     return true;
 }
 
 void Conductor::start_all() {
-    const Time from = home_.now();
-    door_fd_ = home_.hold_port(door_port_);
+    const Time from = system_.now();
+    door_fd_ = system_.hold_port(door_port_);
     if (door_fd_ < 0) throw CantStart("no port for the proxies");
     for (int i = 0; i < shape_.servers; ++i) start_part("servers", i, shape_.servers);
     start_part("discovery", 0, 1);
@@ -363,11 +364,11 @@
     }
     if (!wait_for([this] { return up_ == static_cast<size_t>(shape_.loads); }, most_start))
         throw CantStart("not all proxies are up after " + std::to_string(most_start.s) + " s; their logs are in " + day_.directory);
-    day_.started_in = (home_.now() - from).s;
+    day_.started_in = (system_.now() - from).s;
 }
 
 void Conductor::play() {
-    start_ = home_.now() + Span{0.2};
+    start_ = system_.now() + Span{0.2};
     day_.start = start_.s;
     day_.end = start_.s + e_.lasts.s;
     std::ostringstream go;
@@ -385,7 +386,7 @@
 }
 
 size_t Conductor::befalls(int fault, std::vector<int> who, double lasts) {
-    day_.befell.push_back({fault, home_.now().s, home_.now().s + lasts, std::move(who)});
+    day_.befell.push_back({fault, system_.now().s, system_.now().s + lasts, std::move(who)});
     return day_.befell.size() - 1;
 }
 
@@ -393,14 +394,14 @@
     const auto& f = e_.faults[static_cast<size_t>(number)];
     const auto whom = name_of(f.kind).whom;
     const auto over = [this, number](const std::string& kind) {
-        at(home_.now() + e_.faults[static_cast<size_t>(number)].lasts,
+        at(system_.now() + e_.faults[static_cast<size_t>(number)].lasts,
            [this, number, kind] { tell_all(kind, "over " + std::to_string(number)); });
     };
     if (whom == Whom::process || f.kind == FaultKind::die || f.kind == FaultKind::drain) {
         for (size_t k = 0; k < f.who.members.size(); ++k) {
             const int member = f.who.members[k];
             const Span wait = f.staggered * (static_cast<double>(k) / static_cast<double>(f.who.members.size()));
-            at(home_.now() + wait, [this, number, member, whom] {
+            at(system_.now() + wait, [this, number, member, whom] {
                 whom == Whom::process ? process_fault(number, member) : server_fault(number, member);
             });
         }
@@ -416,7 +417,7 @@
         if (f.kind != FaultKind::absent) return;
         const auto door = " " + std::to_string(static_cast<int>(Kind::discovery)) + " 0";
         tell_all("relay", "down" + door);
-        at(home_.now() + f.lasts, [this, door] { tell_all("relay", "up" + door); });
+        at(system_.now() + f.lasts, [this, door] { tell_all("relay", "up" + door); });
     } else {
         befalls(number, f.who.members, f.lasts.s);
         std::ostringstream rule;
@@ -442,15 +443,15 @@
 void Conductor::stop_in_turns(int member, double share, Time until, bool now) {
     auto& proxy = proxies_[static_cast<size_t>(member)];
     if (proxy.pid > 0) ::kill(proxy.pid, now ? SIGSTOP : SIGCONT);
-    if (!now && home_.now() >= until) return;
-    at(home_.now() + turn * (now ? share : 1 - share), [=, this] { stop_in_turns(member, share, until, !now); });
+    if (!now && system_.now() >= until) return;
+    at(system_.now() + turn * (now ? share : 1 - share), [=, this] { stop_in_turns(member, share, until, !now); });
 }
 
 void Conductor::process_fault(int number, int member) {
     const auto& f = e_.faults[static_cast<size_t>(number)];
     auto& proxy = proxies_[static_cast<size_t>(member)];
     const auto later = [&](std::function<void()> what) {
-        if (f.lasts > Span{}) at(home_.now() + f.lasts, std::move(what));
+        if (f.lasts > Span{}) at(system_.now() + f.lasts, std::move(what));
     };
     switch (f.kind) {
         case FaultKind::kill: case FaultKind::no_start:
@@ -473,7 +474,7 @@
             return;
         case FaultKind::slow_process:
             befalls(number, one(member), f.lasts.s);
-            return stop_in_turns(member, std::min(f.how, 0.99), home_.now() + f.lasts, true);
+            return stop_in_turns(member, std::min(f.how, 0.99), system_.now() + f.lasts, true);
         case FaultKind::other_build:
             proxy.program = f.program;
             proxy.settings = f.settings;
@@ -513,9 +514,9 @@
     const auto back = [this, who, door, list](int of_life) {
         tell_all("servers", "back " + who);
         tell_all("relay", "up" + door);
-        list(Listed::serving, home_.unix_time(), of_life);
+        list(Listed::serving, system_.unix_time(), of_life);
     };
-    const Time now = home_.now();
+    const Time now = system_.now();
     if (f.kind == FaultKind::die) {
         befalls(number, one(member), f.lasts > Span{} ? f.lasts.s : e_.lasts.s);
         die();
@@ -534,36 +535,36 @@
 }
 
 void Conductor::end_all() {
-    const Time from = home_.now();
+    const Time from = system_.now();
     ending_ = true;
     for (auto& proxy : proxies_) proxy.wanted = proxy.no_start = proxy.again = false;
     for (const auto& [pid, number] : ids_) {
         ::kill(pid, SIGCONT);
         ::kill(pid, SIGTERM);
     }
-    const Time proxies_until = home_.now() + most_end;
-    while (!ids_.empty() && home_.now() < proxies_until) pump();
+    const Time proxies_until = system_.now() + most_end;
+    while (!ids_.empty() && system_.now() < proxies_until) pump();
     for (const auto& [pid, number] : ids_) {
         day_.left.push_back("proxy " + std::to_string(number) + " did not end within " + std::to_string(most_end.s) + " s of SIGTERM");
         ::kill(pid, SIGKILL);
     }
     for (const auto& part : parts_) tell(*part, "end");
     const auto running = [this] { return std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->pid > 0; }); };
-    const Time until = home_.now() + most_end;
-    while ((running() || !ids_.empty()) && home_.now() < until) pump();
+    const Time until = system_.now() + most_end;
+    while ((running() || !ids_.empty()) && system_.now() < until) pump();
     for (const auto& part : parts_)
         if (part->pid > 0) day_.left.push_back(part->name + " did not end");
-    day_.ended_in = (home_.now() - from).s;
+    day_.ended_in = (system_.now() - from).s;
     day_.memory_mb /= std::max<double>(1, static_cast<double>(day_.lives.size()));
 }
 
 void Conductor::progress() {
-    if (!how_.terminal || home_.now() - shown_ < Span{1}) return;
-    shown_ = home_.now();
+    if (!how_.terminal || system_.now() - shown_ < Span{1}) return;
+    shown_ = system_.now();
     std::cerr << '\r' << e_.name << ", " << arm_.name << ' ' << day_.repeat + 1 << '/' << e_.repeats << ": ";
     if (start_ == long_ago) std::cerr << "starting, " << ids_.size() << " of " << e_.proxies << " proxies   ";
     else if (ending_) std::cerr << "ending                    ";
-    else std::cerr << std::max(0.0, std::ceil(e_.lasts.s - (home_.now() - start_).s)) << " s left             ";
+    else std::cerr << std::max(0.0, std::ceil(e_.lasts.s - (system_.now() - start_).s)) << " s left             ";
     std::cerr << std::flush;
 }
 
@@ -582,7 +583,7 @@
     } catch (const std::exception&) {
         if (!interrupted_) trouble = std::current_exception();
     }
-    day_.end = std::min(day_.end, home_.now().s);
+    day_.end = std::min(day_.end, system_.now().s);
     end_all();
     if (how_.terminal) std::cerr << "\r\033[K";
     write_day(day_);
--- a/src/rig/conductor.hpp
+++ b/src/rig/conductor.hpp
@@ -7,7 +7,7 @@
 
 #include "rig/day.hpp"
 #include "rig/process.hpp"
-#include "rig/rig_home.hpp"
+#include "rig/rig_system.hpp"
 #include "run/loop.hpp"
 
 namespace myrtleroute::rig {
@@ -32,7 +32,7 @@
 };
 Shape shape(const Experiment& e, size_t most_descriptors);   // throws CantStart where it can't be
 
-class Conductor : public memory::Owner {
+class Conductor : public memory::ConnectionHandler {
 public:
     Conductor(const Experiment& e, size_t arm, int repeat, std::string directory, How how);
     ~Conductor() override;
@@ -58,9 +58,9 @@
         size_t life = 0;                // of the day's
     };
 
-    void came(memory::Connection& c) override;
-    void broke(memory::Connection& c, int error) override;
-    void due(memory::Connection&) override {}
+    void on_readable(memory::Connection& c) override;
+    void on_error(memory::Connection& c, int error) override;
+    void on_timer(memory::Connection&) override {}
 
     Part& start_part(const std::string& kind, int number, int of);
     void start_proxy(int number);
@@ -89,7 +89,7 @@
     const Arm& arm_;
     How how_;
     Shape shape_;
-    RigHome home_;
+    RigSystem system_;
     run::Log log_;
     run::Loop loop_;
     Day day_;
--- a/src/rig/discovery.cpp
+++ b/src/rig/discovery.cpp
@@ -12,7 +12,7 @@
 namespace myrtleroute::rig {
 
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
@@ -21,9 +21,9 @@
 
 }  // namespace
 
-struct Discovery::Line : Connection, wire::HttpReader {
+struct Discovery::Line : Connection, wire::HttpHandler {
     Line(Discovery& by, int fd, int from)
-        : Connection(by, fd, 16 * 1024, 1024 * 1024), proxy(from), http(wire::HttpMachine::Side::ask, *this) {}
+        : Connection(by, fd, 16 * 1024, 1024 * 1024), proxy(from), http(wire::HttpParser::Side::request, *this) {}
     std::string name() const override { return "proxy"; }
     int start(std::string_view, std::string_view where, std::string_view) override {
         target = where;
@@ -35,10 +35,10 @@
         const auto at = target.find(key);
         if (at == target.npos) return {};
         const auto text = std::string_view(target).substr(at + key.size());
-        return wire::whole<uint64_t>(text.substr(0, text.find('&')));
+        return wire::parse_integer<uint64_t>(text.substr(0, text.find('&')));
     }
     int proxy;
-    wire::HttpMachine http;
+    wire::HttpParser http;
     std::string target;
     bool asks = false, watches = false;
     uint32_t from = 0;
@@ -52,9 +52,9 @@
 }
 
 void Discovery::open() {
-    const int fd = home_.listen_anywhere(port_);
+    const int fd = system_.listen_anywhere(port_);
     if (fd < 0) throw std::runtime_error("discovery can't listen: " + std::string(std::strerror(errno)));
-    listener_ = &loop_.adopt(std::make_unique<Listener>(*this, fd));
+    listener_ = &loop_.add(std::make_unique<Listener>(*this, fd));
 }
 
 void Discovery::told(const std::string& word, std::istringstream& more) {
@@ -86,7 +86,7 @@
         if (kind == "late") late_[number] = how;
         if (kind == "silent") ++silent_;
         if (kind == "absent" && absent_++ == 0) {
-            if (listener_) loop_.end(*std::exchange(listener_, nullptr), Why::stopping);
+            if (listener_) loop_.close(*std::exchange(listener_, nullptr), CloseReason::stopping);
             while (!lines_.empty()) end(*lines_.back());
         }
         if (kind == "shrink") {
@@ -114,7 +114,7 @@
             put(server, entry);
         }
         shrunk_.erase(number);
-        loop_.wake(loop_.now(), change_cookie);
+        loop_.schedule(loop_.now(), change_cookie);
     }
 }
 
@@ -125,7 +125,7 @@
                      static_cast<uint16_t>(entry.life), entry.state});
     double wait = 0.001;
     for (const auto& [number, late] : late_) wait = std::max(wait, late);
-    loop_.wake(loop_.now() + Span{wait}, change_cookie);
+    loop_.schedule(loop_.now() + Span{wait}, change_cookie);
 }
 
 uint32_t Discovery::visible() const {
@@ -164,15 +164,15 @@
     return out.str() + "]}";
 }
 
-void Discovery::came(Connection& c) {
+void Discovery::on_readable(Connection& c) {
     if (c.listens) {
-        for (int fd; (fd = home_.accept(c.fd)) >= 0;) {
-            const auto link = home_.link_of(fd);
+        for (int fd; (fd = system_.accept(c.fd)) >= 0;) {
+            const auto link = system_.link_of(fd);
             if (!link || link->kind != Kind::discovery) {
-                home_.close(fd);
+                system_.close(fd);
                 continue;
             }
-            lines_.push_back(&loop_.adopt(std::make_unique<Line>(*this, fd, link->from)));
+            lines_.push_back(&loop_.add(std::make_unique<Line>(*this, fd, link->from)));
         }
         return;
     }
@@ -187,7 +187,7 @@
     line.from = static_cast<uint32_t>(from.value_or(0));
     line.watches = from && hold && line.from <= changes_.size();
     if (!line.watches || visible() > line.from) return answer(line, true);
-    loop_.set(line, loop_.now() + std::min(most_hold, Span{static_cast<double>(*hold) / 1000}));
+    loop_.set_timer(line, loop_.now() + std::min(most_hold, Span{static_cast<double>(*hold) / 1000}));
 }
 
 void Discovery::answer(Line& line, bool anyway) {
@@ -195,24 +195,24 @@
     if (silent_ || (!anyway && rev <= line.from)) return;
     const bool whole = !line.watches;
     const auto to = std::max(rev, line.watches ? line.from : 0);
-    line.out.push(wire::answer(200, words(line.proxy, whole ? 0 : line.from, to, whole), true));
+    line.out.push(wire::format_response(200, words(line.proxy, whole ? 0 : line.from, to, whole), true));
     told_.push_back({at(loop_.now()), to, static_cast<uint16_t>(line.proxy), false});
     line.asks = line.watches = false;
     line.http.next();
-    loop_.clear(line);
+    loop_.clear_timer(line);
     loop_.flush(line);
 }
 
-void Discovery::broke(Connection& c, int) {
+void Discovery::on_error(Connection& c, int) {
     if (!c.listens) end(static_cast<Line&>(c));
 }
 
-void Discovery::due(Connection& c) { answer(static_cast<Line&>(c), true); }
+void Discovery::on_timer(Connection& c) { answer(static_cast<Line&>(c), true); }
 
 void Discovery::end(Line& line) {
     if (line.asks) told_.push_back({at(loop_.now()), 0, static_cast<uint16_t>(line.proxy), false});
     std::erase(lines_, &line);
-    loop_.end(line, Why::peer_closed);
+    loop_.close(line, CloseReason::peer_closed);
 }
 
 void Discovery::finish() {
--- a/src/rig/discovery.hpp
+++ b/src/rig/discovery.hpp
@@ -24,9 +24,9 @@
     void told(const std::string& word, std::istringstream& more) override;
     void woken(uint64_t cookie) override;
     void finish() override;
-    void came(memory::Connection& c) override;
-    void broke(memory::Connection& c, int error) override;
-    void due(memory::Connection& c) override;
+    void on_readable(memory::Connection& c) override;
+    void on_error(memory::Connection& c, int error) override;
+    void on_timer(memory::Connection& c) override;
 
     void open();
     void put(int server, const Entry& entry);
--- a/src/rig/load.cpp
+++ b/src/rig/load.cpp
@@ -8,7 +8,7 @@
 namespace myrtleroute::rig {
 
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
@@ -18,13 +18,13 @@
 
 struct Load::Line : Connection {
     Line(Load& by, int fd, Application& of)
-        : Connection(by, fd, 128 * 1024, 64 * 1024), application(&of), http(wire::HttpMachine::Side::answer, reader) {}
+        : Connection(by, fd, 128 * 1024, 64 * 1024), application(&of), http(wire::HttpParser::Side::response, reader) {}
     std::string name() const override { return "proxy"; }
     Application* application;
-    wire::ReplyReader reader;
-    wire::HttpMachine http;
+    wire::ResponseReader reader;
+    wire::HttpParser http;
     size_t call = none;        // of calls_
-    bool asks_if_up = false, used = false;
+    bool is_health_check = false, used = false;
     static constexpr size_t none = static_cast<size_t>(-1);
 };
 
@@ -52,7 +52,7 @@
         for (auto& a : applications_)
             if (a.arrivals->next().at.s < e_.lasts.s) {
                 ++coming_;
-                loop_.wake(start() + Span{a.arrivals->next().at.s}, static_cast<uint64_t>(a.proxy));
+                loop_.schedule(start() + Span{a.arrivals->next().at.s}, static_cast<uint64_t>(a.proxy));
             }
         done_if_all_are();
     }
@@ -60,20 +60,20 @@
 
 Load::Line* Load::connect(Application& a) {
     bool at_once = false;
-    const int fd = home_.connect_to(a.at, at_once);
+    const int fd = system_.connect(a.at, at_once);
     if (fd < 0) return nullptr;
     auto line = std::make_unique<Line>(*this, fd, a);
     line->connecting = !at_once;
-    return &loop_.adopt(std::move(line));
+    return &loop_.add(std::move(line));
 }
 
 void Load::ask_if_up(Application& a) {
     if (a.up) return;
     auto* line = connect(a);
-    if (!line) return loop_.wake(loop_.now() + ask_again, static_cast<uint64_t>(a.proxy));
-    line->asks_if_up = true;
+    if (!line) return loop_.schedule(loop_.now() + ask_again, static_cast<uint64_t>(a.proxy));
+    line->is_health_check = true;
     line->out.push("GET /up HTTP/1.1\r\nHost: api.internal\r\n\r\n");
-    loop_.set(*line, loop_.now() + Span{1});
+    loop_.set_timer(*line, loop_.now() + Span{1});
     if (!line->connecting) loop_.flush(*line);
 }
 
@@ -82,7 +82,7 @@
     if (start() == long_ago) return ask_if_up(a);
     while (a.arrivals->next().at.s < e_.lasts.s && start() + Span{a.arrivals->next().at.s} <= loop_.now()) call(a);
     if (a.arrivals->next().at.s < e_.lasts.s)
-        return loop_.wake(start() + Span{a.arrivals->next().at.s}, cookie);
+        return loop_.schedule(start() + Span{a.arrivals->next().at.s}, cookie);
     --coming_;
     done_if_all_are();
 }
@@ -123,14 +123,14 @@
                                    p.repeat == Idempotency::idempotent ? "" : "book");
     line->call = place;
     line->out.push(std::string_view(text, static_cast<size_t>(size)));
-    loop_.set(*line, loop_.now() + p.timeout + beyond_timeout + e_.slack);
+    loop_.set_timer(*line, loop_.now() + p.timeout + beyond_timeout + e_.slack);
     if (!line->connecting) loop_.flush(*line);
 }
 
-void Load::came(Connection& c) {
+void Load::on_readable(Connection& c) {
     auto& line = static_cast<Line&>(c);
     while (!line.in.empty() && !line.http.done() && !line.http.fault()) line.in.drop(line.http.feed(line.in.front()));
-    if (line.http.done() && (line.asks_if_up || line.call != Line::none)) answered(line);
+    if (line.http.done() && (line.is_health_check || line.call != Line::none)) answered(line);
     else if (line.http.fault() || line.http.done()) return gone(line, CallEnd::wrong);
     if (c.open() && c.ended) gone(line, CallEnd::broken);
 }
@@ -138,8 +138,8 @@
 void Load::answered(Line& line) {
     auto& a = *line.application;
     const int status = line.reader.status;
-    const bool keeps = line.http.keeps();
-    if (line.asks_if_up) {
+    const bool keeps = line.http.keeps_alive();
+    if (line.is_health_check) {
         if (status == 200 && !std::exchange(a.up, true) && --waiting_ == 0) tell("up");
         return gone(line, CallEnd::broken);
     }
@@ -151,7 +151,7 @@
     over(line, wrong ? CallEnd::wrong : CallEnd::answered);
     line.used = true;
     line.http.next();
-    if (!keeps || line.ended) return loop_.end(line, Why::told_to_close);
+    if (!keeps || line.ended) return loop_.close(line, CloseReason::told_to_close);
     a.idle.push_back(&line);
 }
 
@@ -159,7 +159,7 @@
     auto& record = calls_[std::exchange(line.call, Line::none)];
     record.ended = at(loop_.now());
     record.end = how;
-    loop_.clear(line);
+    loop_.clear_timer(line);
     --out_;
     done_if_all_are();
 }
@@ -168,22 +168,22 @@
     auto& a = *line.application;
     std::erase(a.idle, &line);
     const size_t place = line.call;
-    const bool crossed = how == CallEnd::broken && line.used && !line.http.begun();
+    const bool crossed = how == CallEnd::broken && line.used && !line.http.started();
     if (place != Line::none && crossed && calls_[place].tries == 1) {
         // The proxy was closing what it took for idle: the call goes once more, on a new connection.
         line.call = Line::none;
-        loop_.end(line, Why::peer_closed);
+        loop_.close(line, CloseReason::peer_closed);
         calls_[place].tries = 2;
         return send(a, calls_[place], place, true);
     }
     if (place != Line::none) over(line, line.connecting ? CallEnd::not_connected : how);
-    const bool again = line.asks_if_up && !a.up;
-    loop_.end(line, Why::peer_closed);
-    if (again) loop_.wake(loop_.now() + ask_again, static_cast<uint64_t>(a.proxy));
+    const bool again = line.is_health_check && !a.up;
+    loop_.close(line, CloseReason::peer_closed);
+    if (again) loop_.schedule(loop_.now() + ask_again, static_cast<uint64_t>(a.proxy));
 }
 
-void Load::broke(Connection& c, int) { gone(static_cast<Line&>(c), CallEnd::broken); }
-void Load::due(Connection& c) { gone(static_cast<Line&>(c), CallEnd::unanswered); }
+void Load::on_error(Connection& c, int) { gone(static_cast<Line&>(c), CallEnd::broken); }
+void Load::on_timer(Connection& c) { gone(static_cast<Line&>(c), CallEnd::unanswered); }
 
 void Load::done_if_all_are() {
     if (start() == long_ago || coming_ || out_ || told_done_) return;
--- a/src/rig/part.cpp
+++ b/src/rig/part.cpp
@@ -22,22 +22,22 @@
 
 }  // namespace
 
-struct Part::Control : memory::Connection, memory::Owner {
+struct Part::Control : memory::Connection, memory::ConnectionHandler {
     Control(Part& part, int fd) : Connection(*this, fd, 256 * 1024, 1024 * 1024), part(part) {}
     std::string name() const override { return "conductor"; }
-    void came(Connection& c) override { part.control_came(c); }
-    void broke(Connection&, int) override { part.over_ = true; }
-    void due(Connection&) override {}
+    void on_readable(Connection& c) override { part.control_came(c); }
+    void on_error(Connection&, int) override { part.over_ = true; }
+    void on_timer(Connection&) override {}
     Part& part;
     std::string line;
 };
 
 Part::Part(Experiment e, std::string directory, std::string name)
-    : e_(std::move(e)), log_(run::Level::warning, home_), loop_(log_, home_), directory_(std::move(directory)),
+    : e_(std::move(e)), log_(run::Level::warning, system_), loop_(log_, system_), directory_(std::move(directory)),
       name_(std::move(name)) {
     ::fcntl(control_fd, F_SETFL, O_NONBLOCK);
     ::fcntl(control_fd, F_SETFD, FD_CLOEXEC);
-    control_ = &loop_.adopt(std::make_unique<Control>(*this, control_fd));
+    control_ = &loop_.add(std::make_unique<Control>(*this, control_fd));
 }
 
 void Part::control_came(memory::Connection& c) {
@@ -65,7 +65,7 @@
     const Time now = loop_.now();
     if (now - beat_at_ > late) starved_.push_back({at(beat_at_), at(now)});
     beat_at_ = now + beat_every;
-    loop_.wake(beat_at_, beat_cookie);
+    loop_.schedule(beat_at_, beat_cookie);
     if (now - second_at_ < Span{1}) return;
     const double cpu = processor_time();
     busiest_ = std::max(busiest_, (cpu - cpu_) / (now - second_at_).s);
@@ -74,10 +74,10 @@
 }
 
 int Part::run() {
-    beat_at_ = second_at_ = home_.now();
+    beat_at_ = second_at_ = system_.now();
     beat();
     const auto woken_all = [this](uint64_t cookie) { cookie == beat_cookie ? beat() : woken(cookie); };
-    while (!over_) loop_.round(woken_all, [] {});
+    while (!over_) loop_.run_once(woken_all, [] {});
     finish();
     write_records(file("starved"), starved_);
     std::ostringstream busy;
--- a/src/rig/part.hpp
+++ b/src/rig/part.hpp
@@ -7,7 +7,7 @@
 
 #include "rig/experiment.hpp"
 #include "rig/records.hpp"
-#include "rig/rig_home.hpp"
+#include "rig/rig_system.hpp"
 #include "run/loop.hpp"
 
 namespace myrtleroute::rig {
@@ -15,11 +15,11 @@
 constexpr int control_fd = 3;   // in every process that the conductor starts as a part
 
 struct Listener : memory::Connection {
-    Listener(memory::Owner& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
+    Listener(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
     std::string name() const override { return "listener"; }
 };
 
-class Part : public memory::Owner {
+class Part : public memory::ConnectionHandler {
 public:
     Part(Experiment e, std::string directory, std::string name);
     int run();   // until the conductor says `end` or is gone
@@ -34,7 +34,7 @@
     Time start() const { return start_; }     // of the load; long ago before it
 
     const Experiment e_;
-    RigHome home_;
+    RigSystem system_;
     run::Log log_;
     run::Loop loop_;
 
--- a/src/rig/relay.cpp
+++ b/src/rig/relay.cpp
@@ -9,22 +9,22 @@
 namespace myrtleroute::rig {
 
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
-constexpr size_t most_in = 64 * 1024, most_out = 512 * 1024;
+constexpr size_t max_in = 64 * 1024, max_out = 512 * 1024;
 
 }  // namespace
 
 struct Relay::Door : Listener {
-    Door(memory::Owner& by, int fd, Kind of, uint16_t party) : Listener(by, fd), kind(of), to(party) {}
+    Door(memory::ConnectionHandler& by, int fd, Kind of, uint16_t party) : Listener(by, fd), kind(of), to(party) {}
     Kind kind;
     uint16_t to;
 };
 
 struct Relay::End : Connection {
-    End(memory::Owner& by, int fd, Pair& of, int sends) : Connection(by, fd, most_in, most_out), pair(&of), way(sends) {}
+    End(memory::ConnectionHandler& by, int fd, Pair& of, int sends) : Connection(by, fd, max_in, max_out), pair(&of), way(sends) {}
     std::string name() const override { return "link"; }
     Pair* pair;
     int way;                     // of what this end sends: 0 there, 1 back
@@ -58,9 +58,9 @@
         if (static_cast<Kind>(kind) == Kind::peer) {
             peers_[static_cast<uint16_t>(to)] = port;
             if (!datagrams_) {
-                const int fd = home_.datagrams_anywhere(datagram_port_);
+                const int fd = system_.datagrams_anywhere(datagram_port_);
                 if (fd < 0) throw std::runtime_error("no port for datagrams");
-                datagrams_ = &loop_.adopt(std::make_unique<Listener>(*this, fd));
+                datagrams_ = &loop_.add(std::make_unique<Listener>(*this, fd));
             }
             backend.port = datagram_port_;
         } else {
@@ -72,7 +72,8 @@
         more >> kind >> to;
         auto& backend = backends_[{kind, to}];
         if (word == "up" && !backend.listener) open(static_cast<Kind>(kind), static_cast<uint16_t>(to), backend);
-        if (word == "down" && backend.listener) loop_.end(*std::exchange(backend.listener, nullptr), Why::stopping);
+        if (word == "down" && backend.listener)
+            loop_.close(*std::exchange(backend.listener, nullptr), CloseReason::stopping);
     } else if (word == "rule") {
         int number, kind, way;
         std::string from, to;
@@ -99,9 +100,9 @@
 }
 
 void Relay::open(Kind kind, uint16_t to, Backend& backend) {
-    const int fd = home_.listen_anywhere(backend.port);
+    const int fd = system_.listen_anywhere(backend.port);
     if (fd < 0) throw std::runtime_error("the relay can't listen: " + std::string(std::strerror(errno)));
-    backend.listener = &loop_.adopt(std::make_unique<Door>(*this, fd, kind, to));
+    backend.listener = &loop_.add(std::make_unique<Door>(*this, fd, kind, to));
 }
 
 // What is cut hears no connect: a deaf listener at the link's own address stands before the one for all.
@@ -113,9 +114,9 @@
             const bool one = rule.kind == Kind::application && from != key.second;   // an application has one proxy
             if (!rule.from[static_cast<size_t>(from)] || !mine(link) || one) continue;
             auto& [fd, rules] = deaf_[ip_of(link)];
-            if (cuts && rules++ == 0) fd = home_.listen_deaf(address(ip_of(link), backend.port));
+            if (cuts && rules++ == 0) fd = system_.listen_deaf(address(ip_of(link), backend.port));
             if (!cuts && --rules == 0) {
-                if (fd >= 0) home_.close(fd);
+                if (fd >= 0) system_.close(fd);
                 deaf_.erase(ip_of(link));
             }
         }
@@ -155,24 +156,24 @@
 }
 
 void Relay::accept(Door& door) {
-    for (int fd; (fd = home_.accept(door.fd)) >= 0;) {
-        const auto link = home_.link_of(fd);
+    for (int fd; (fd = system_.accept(door.fd)) >= 0;) {
+        const auto link = system_.link_of(fd);
         if (!link || link->kind != door.kind || link->to != door.to) {
-            home_.close(fd);
+            system_.close(fd);
             continue;
         }
         auto owned = std::make_unique<Pair>();
         auto& pair = *owned;
         pair.link = *link;
         if (treatment(pair, 0).hard || treatment(pair, 1).hard) {
-            home_.reset_on_close(fd);
-            home_.close(fd);
+            system_.reset_on_close(fd);
+            system_.close(fd);
             continue;
         }
         pairs_.emplace(&pair, std::move(owned));
         most_pairs_ = std::max(most_pairs_, pairs_.size());
         ++connections_;
-        pair.ends[0] = &loop_.adopt(std::make_unique<End>(*this, fd, pair, 0));
+        pair.ends[0] = &loop_.add(std::make_unique<End>(*this, fd, pair, 0));
         connect(pair);
     }
 }
@@ -184,15 +185,15 @@
     sockaddr_in at = it->second.at;
     if (at.sin_addr.s_addr == 0) at.sin_addr.s_addr = htonl(ip_of(pair.link));
     bool at_once = false;
-    const int fd = home_.connect_to(at, at_once);
+    const int fd = system_.connect(at, at_once);
     if (fd < 0) return drop(pair, true);
     auto end = std::make_unique<End>(*this, fd, pair, 1);
     end->connecting = !at_once;
-    pair.ends[1] = &loop_.adopt(std::move(end));
+    pair.ends[1] = &loop_.add(std::move(end));
     pull(pair, 0);
 }
 
-void Relay::came(Connection& c) {
+void Relay::on_readable(Connection& c) {
     if (datagrams_ && c.fd == datagrams_->fd) return datagrams_came();
     if (c.listens) return accept(static_cast<Door&>(c));
     auto& end = static_cast<End&>(c);
@@ -223,7 +224,7 @@
     auto then = Stream::Event::none;
     bool gave = false;
     auto& stream = pair.streams[way];
-    while (!stream.empty() && to->out.size() + stream.next_size() <= most_out &&
+    while (!stream.empty() && to->out.size() + stream.next_size() <= max_out &&
            stream.give(loop_.now(), treatment(pair, way), bytes, then)) {
         gave = true;
         to->out.push(bytes);
@@ -239,19 +240,19 @@
         if (auto* from = pair.ends[way]; from && !from->in.empty()) pull(pair, way);
         if (!pairs_.count(&pair)) return;
     }
-    if (!stream.empty() && !treatment(pair, way).holds()) loop_.set(*to, std::max(stream.next(), loop_.now() + Span{1e-4}));
-    else loop_.clear(*to);
+    if (!stream.empty() && !treatment(pair, way).holds()) loop_.set_timer(*to, std::max(stream.next(), loop_.now() + Span{1e-4}));
+    else loop_.clear_timer(*to);
 }
 
 void Relay::finish_sending(End& end) {
     if (!end.last || end.done || !end.out.empty() || end.connecting) return;
     end.done = true;
-    home_.end_sending(end.fd);
+    system_.shutdown_write(end.fd);
     auto& pair = *end.pair;
     if (pair.ends[0] && pair.ends[1] && pair.ends[0]->done && pair.ends[1]->done) drop(pair, false);
 }
 
-void Relay::went(Connection& c) {
+void Relay::on_written(Connection& c) {
     if (c.listens) return;
     auto& end = static_cast<End&>(c);
     auto& pair = *end.pair;
@@ -261,19 +262,19 @@
 }
 
 // The other side hears of a reset as late as of bytes, and not at all while the link is cut.
-void Relay::broke(Connection& c, int) {
+void Relay::on_error(Connection& c, int) {
     if (c.listens) return;
     auto& end = static_cast<End&>(c);
     auto& pair = *end.pair;
     const int way = end.way;
     pair.streams[way].end(loop_.now(), treatment(pair, way), chance_, Stream::Event::breaks);
     pair.ends[way] = nullptr;
-    loop_.end(end, Why::peer_reset);
+    loop_.close(end, CloseReason::peer_reset);
     if (pair.ends[1 - way]) give(pair, way);
     else drop(pair, true);
 }
 
-void Relay::due(Connection& c) {
+void Relay::on_timer(Connection& c) {
     auto& end = static_cast<End&>(c);
     give(*end.pair, 1 - end.way);
 }
@@ -281,14 +282,14 @@
 void Relay::drop(Pair& pair, bool reset) {
     for (auto* end : pair.ends) {
         if (!end) continue;
-        if (reset) home_.reset_on_close(end->fd);
-        loop_.end(*end, reset ? Why::peer_reset : Why::peer_closed);
+        if (reset) system_.reset_on_close(end->fd);
+        loop_.close(*end, reset ? CloseReason::peer_reset : CloseReason::peer_closed);
     }
     pairs_.erase(&pair);
 }
 
 void Relay::datagrams_came() {
-    while (const auto d = home_.receive(datagrams_->fd)) {
+    while (const auto d = system_.receive(datagrams_->fd)) {
         const auto link = link_at(ntohl(d->to.sin_addr.s_addr));
         if (!link || link->kind != Kind::peer || !peers_.count(link->to)) continue;
         ++datagram_count_;
@@ -304,11 +305,11 @@
         for (int copies = 1 + chance_.yes(t.duplicate); copies > 0; --copies) {
             const Span wait{t.delay + (t.jitter > 0 ? t.jitter * chance_.uniform() : 0)};   // overtakes, as datagrams may
             if (wait <= Span{}) {
-                home_.send(datagrams_->fd, {late.from, late.to, late.bytes});
+                system_.send(datagrams_->fd, {late.from, late.to, late.bytes});
                 continue;
             }
             late_[next_late_] = late;
-            loop_.wake(loop_.now() + wait, next_late_++);
+            loop_.schedule(loop_.now() + wait, next_late_++);
         }
     }
 }
@@ -316,7 +317,7 @@
 void Relay::woken(uint64_t cookie) {
     const auto it = late_.find(cookie);
     if (it == late_.end()) return;
-    home_.send(datagrams_->fd, {it->second.from, it->second.to, it->second.bytes});
+    system_.send(datagrams_->fd, {it->second.from, it->second.to, it->second.bytes});
     late_.erase(it);
 }
 
--- a/src/rig/relay_cost.cpp
+++ b/src/rig/relay_cost.cpp
@@ -20,7 +20,7 @@
 #include "rig/links.hpp"
 #include "rig/part.hpp"
 #include "rig/process.hpp"
-#include "rig/rig_home.hpp"
+#include "rig/rig_system.hpp"
 #include "run/loop.hpp"
 
 namespace myrtleroute::rig {
@@ -32,18 +32,18 @@
 constexpr size_t small = 200, large = 64 * 1024;
 
 // What comes is sent back.
-class Echo : public memory::Owner {
+class Echo : public memory::ConnectionHandler {
 public:
-    Echo() : log_(run::Level::error, home_), loop_(log_, home_) {}
+    Echo() : log_(run::Level::error, system_), loop_(log_, system_) {}
     [[noreturn]] void run(int ready) {
         uint16_t port = 0;
-        loop_.adopt(std::make_unique<Listener>(*this, home_.listen_anywhere(port)));
+        loop_.add(std::make_unique<Listener>(*this, system_.listen_anywhere(port)));
         [[maybe_unused]] const auto n = ::write(ready, &port, sizeof port);
-        for (;;) loop_.round([](uint64_t) {}, [] {});
+        for (;;) loop_.run_once([](uint64_t) {}, [] {});
     }
-    void came(memory::Connection& c) override {
+    void on_readable(memory::Connection& c) override {
         if (c.listens) {
-            for (int fd; (fd = home_.accept(c.fd)) >= 0;) loop_.adopt(std::make_unique<Line>(*this, fd));
+            for (int fd; (fd = system_.accept(c.fd)) >= 0;) loop_.add(std::make_unique<Line>(*this, fd));
             return;
         }
         while (!c.in.empty()) {
@@ -52,20 +52,20 @@
             c.in.drop(bytes.size());
         }
         loop_.flush(c);
-        if (c.ended) loop_.end(c, memory::Why::peer_closed);
+        if (c.ended) loop_.close(c, memory::CloseReason::peer_closed);
     }
-    void went(memory::Connection& c) override {
-        if (!c.in.empty()) came(c);
+    void on_written(memory::Connection& c) override {
+        if (!c.in.empty()) on_readable(c);
     }
-    void broke(memory::Connection& c, int) override { loop_.end(c, memory::Why::peer_reset); }
-    void due(memory::Connection&) override {}
+    void on_error(memory::Connection& c, int) override { loop_.close(c, memory::CloseReason::peer_reset); }
+    void on_timer(memory::Connection&) override {}
 
 private:
     struct Line : memory::Connection {
-        Line(memory::Owner& by, int fd) : Connection(by, fd, large, 4 * large) {}
+        Line(memory::ConnectionHandler& by, int fd) : Connection(by, fd, large, 4 * large) {}
         std::string name() const override { return "line"; }
     };
-    RigHome home_;
+    RigSystem system_;
     run::Log log_;
     run::Loop loop_;
 };
@@ -90,7 +90,7 @@
 public:
     int connect(const Link& link, uint16_t port) {
         bool at_once;
-        const int fd = home_.connect_to(address(ip_of(link), port), at_once);
+        const int fd = system_.connect(address(ip_of(link), port), at_once);
         if (fd < 0 || !ready(fd, POLLOUT)) throw std::runtime_error("no connection: " + std::string(std::strerror(errno)));
         return fd;
     }
@@ -101,13 +101,13 @@
     size_t receive(int fd) {
         iovec part{back_.data(), back_.size()};
         for (;;) {
-            const auto n = home_.read(fd, &part, 1);
+            const auto n = system_.read(fd, &part, 1);
             if (n > 0) return static_cast<size_t>(n);
             if (n == 0 || errno != EAGAIN || !ready(fd, POLLIN)) throw std::runtime_error("a link ended");
         }
     }
-    void close(int fd) { home_.close(fd); }
-    Time now() { return home_.now(); }
+    void close(int fd) { system_.close(fd); }
+    Time now() { return system_.now(); }
 
     // Bytes there and back for a while, over some links at once.
     double bytes_a_second(const std::vector<int>& lines) {
@@ -121,7 +121,7 @@
             sending = sending && now() - from < of_each;
             for (size_t i = 0; i < n; ++i)
                 polled[i].events = static_cast<short>(POLLIN | (sending && out[i] < 4 * large ? POLLOUT : 0));
-            if (home_.wait(polled.data(), n, 2000) <= 0) throw std::runtime_error("bytes got stuck");
+            if (system_.poll(polled.data(), n, 2000) <= 0) throw std::runtime_error("bytes got stuck");
             for (size_t i = 0; i < n; ++i) {
                 if (polled[i].revents & POLLIN) {
                     const auto back = receive(polled[i].fd);
@@ -130,7 +130,7 @@
                 }
                 if (!(polled[i].revents & POLLOUT)) continue;
                 const iovec part{text_.data(), large};
-                if (const auto sent = home_.write(polled[i].fd, &part, 1); sent > 0) out[i] += static_cast<size_t>(sent);
+                if (const auto sent = system_.write(polled[i].fd, &part, 1); sent > 0) out[i] += static_cast<size_t>(sent);
             }
         }
         return static_cast<double>(got) / (now() - from).s;
@@ -139,17 +139,17 @@
 private:
     bool ready(int fd, short what) {
         pollfd p{fd, what, 0};
-        return home_.wait(&p, 1, 5000) == 1;
+        return system_.poll(&p, 1, 5000) == 1;
     }
     void send(int fd, std::string_view bytes) {
         while (!bytes.empty()) {
             const iovec part{const_cast<char*>(bytes.data()), bytes.size()};
-            const auto n = home_.write(fd, &part, 1);
+            const auto n = system_.write(fd, &part, 1);
             if (n > 0) bytes.remove_prefix(static_cast<size_t>(n));
             else if (!ready(fd, POLLOUT)) throw std::runtime_error("a link takes nothing");
         }
     }
-    run::PosixHome home_;
+    run::PosixSystem system_;
     std::string text_ = std::string(large, 'x');
     std::vector<char> back_ = std::vector<char>(256 * 1024);
 };
--- a/src/rig/rig_home.cpp
+++ b/src/rig/rig_system.cpp
@@ -1,4 +1,4 @@
-#include "rig/rig_home.hpp"
+#include "rig/rig_system.hpp"
 
 #include <netinet/tcp.h>
 #include <sys/epoll.h>
@@ -45,12 +45,12 @@
 
 }  // namespace
 
-RigHome::RigHome() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), buffer_(most_datagram) {}
-RigHome::~RigHome() { ::close(epoll_); }
+RigSystem::RigSystem() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), buffer_(most_datagram) {}
+RigSystem::~RigSystem() { ::close(epoll_); }
 
 // Same contract as poll(2), for all that is open: what was polled once has to stay in the list until it is closed.
 // Looking through the list costs little beside asking the system for each of thousands.
-int RigHome::wait(pollfd* polled, size_t n, int ms) {
+int RigSystem::poll(pollfd* polled, size_t n, int ms) {
     for (size_t i = 0; i < n; ++i) {
         auto& p = polled[i];
         p.revents = 0;
@@ -73,57 +73,57 @@
     return heard;
 }
 
-void RigHome::close(int fd) {
+void RigSystem::close(int fd) {
     if (static_cast<size_t>(fd) < known_.size()) known_[static_cast<size_t>(fd)] = {};
     if (static_cast<size_t>(fd) < fillers_.size() && fillers_[static_cast<size_t>(fd)] > 0)
-        PosixHome::close(std::exchange(fillers_[static_cast<size_t>(fd)], 0));
-    PosixHome::close(fd);
+        PosixSystem::close(std::exchange(fillers_[static_cast<size_t>(fd)], 0));
+    PosixSystem::close(fd);
 }
 
-int RigHome::listen_anywhere(uint16_t& port) {
+int RigSystem::listen_anywhere(uint16_t& port) {
     const int fd = bound(SOCK_STREAM, address(INADDR_ANY, port), true);
     if (fd < 0) return fd;
     say_yes(fd, IPPROTO_TCP, TCP_NODELAY);   // accepted ones take it over
     port = port_of(fd);
     if (::listen(fd, backlog) == 0) return fd;
-    PosixHome::close(fd);
+    PosixSystem::close(fd);
     return -1;
 }
 
 // A queue of one that is full: the system drops what asks to connect, as a cut network does.
-int RigHome::listen_deaf(const sockaddr_in& at) {
+int RigSystem::listen_deaf(const sockaddr_in& at) {
     const int fd = bound(SOCK_STREAM, at, true);
     if (fd < 0) return fd;
     if (::listen(fd, 0) != 0) {
-        PosixHome::close(fd);
+        PosixSystem::close(fd);
         return -1;
     }
     bool at_once;
-    const int filler = connect_to(at, at_once);
+    const int filler = connect(at, at_once);
     if (fillers_.size() <= static_cast<size_t>(fd)) fillers_.resize(static_cast<size_t>(fd) + 64);
     fillers_[static_cast<size_t>(fd)] = filler;
     return fd;
 }
 
-std::optional<Link> RigHome::link_of(int fd) {
+std::optional<Link> RigSystem::link_of(int fd) {
     sockaddr_in at{};
     socklen_t size = sizeof at;
     if (::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size) != 0) return {};
     return link_at(ntohl(at.sin_addr.s_addr));
 }
 
-void RigHome::reset_on_close(int fd) {
+void RigSystem::reset_on_close(int fd) {
     const linger at_once{1, 0};
     ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
 }
 
-int RigHome::hold_port(uint16_t& port) {
+int RigSystem::hold_port(uint16_t& port) {
     const int fd = bound(SOCK_STREAM, address(INADDR_LOOPBACK, 0), false);
     if (fd >= 0) port = port_of(fd);
     return fd;
 }
 
-int RigHome::datagrams_anywhere(uint16_t& port) {
+int RigSystem::datagrams_anywhere(uint16_t& port) {
     const int fd = bound(SOCK_DGRAM, address(INADDR_ANY, port), false);
     if (fd < 0) return fd;
     say_yes(fd, IPPROTO_IP, IP_PKTINFO);
@@ -131,7 +131,7 @@
     return fd;
 }
 
-std::optional<RigHome::Datagram> RigHome::receive(int fd) {
+std::optional<RigSystem::Datagram> RigSystem::receive(int fd) {
     Datagram d{};
     iovec part{buffer_.data(), buffer_.size()};
     alignas(cmsghdr) char control[CMSG_SPACE(sizeof(in_pktinfo))];
@@ -154,7 +154,7 @@
     return d;
 }
 
-bool RigHome::send(int fd, const Datagram& d) {
+bool RigSystem::send(int fd, const Datagram& d) {
     iovec part{const_cast<char*>(d.bytes.data()), d.bytes.size()};
     sockaddr_in to = d.to;
     alignas(cmsghdr) char control[CMSG_SPACE(sizeof(in_pktinfo))] = {};
--- a/src/rig/rig_home.hpp
+++ b/src/rig/rig_system.hpp
@@ -1,7 +1,7 @@
 // The home of the rig's own processes: that of the program, with what a rig needs besides: many descriptors (epoll
 // behind the same call), listening at every loopback address, links that are unheard or reset, datagrams.
 //
-// What fails comes back below 0 with errno set, as in run/home.hpp.
+// What fails comes back below 0 with errno set, as in run/system.hpp.
 #pragma once
 #include <netinet/in.h>
 
@@ -10,16 +10,16 @@
 #include <vector>
 
 #include "rig/links.hpp"
-#include "run/posix_home.hpp"
+#include "run/posix_system.hpp"
 
 namespace myrtleroute::rig {
 
-class RigHome : public run::PosixHome {
+class RigSystem : public run::PosixSystem {
 public:
-    RigHome();
-    ~RigHome() override;
-    RigHome(const RigHome&) = delete;
-    int wait(pollfd* polled, size_t n, int ms) override;
+    RigSystem();
+    ~RigSystem() override;
+    RigSystem(const RigSystem&) = delete;
+    int poll(pollfd* polled, size_t n, int ms) override;
     void close(int fd) override;
 
     int listen_anywhere(uint16_t& port);          // at all loopback addresses; port 0: one that is free, told
--- a/src/rig/servers.cpp
+++ b/src/rig/servers.cpp
@@ -12,7 +12,7 @@
 namespace myrtleroute::rig {
 
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-struct Servers::Line : Connection, wire::HttpReader {
+struct Servers::Line : Connection, wire::HttpHandler {
     Line(Servers& by, int fd, Server& of, int from)
-        : Connection(by, fd, 16 * 1024, 256 * 1024), server(&of), proxy(from), http(wire::HttpMachine::Side::ask, *this) {}
+        : Connection(by, fd, 16 * 1024, 256 * 1024), server(&of), proxy(from), http(wire::HttpParser::Side::request, *this) {}
     std::string name() const override { return "proxy"; }
     int start(std::string_view, std::string_view where, std::string_view) override {
         target = where;
@@ -31,14 +31,14 @@
         return 0;
     }
     int field(std::string_view name, std::string_view value) override {
-        if (wire::same(name, "X-Request-ID")) call = std::stoull("0" + std::string(value), nullptr, 16);
-        if (wire::same(name, "X-Priority-Class")) product = value;
+        if (wire::equals_ignore_case(name, "X-Request-ID")) call = std::stoull("0" + std::string(value), nullptr, 16);
+        if (wire::equals_ignore_case(name, "X-Priority-Class")) product = value;
         return 0;
     }
     void body(std::string_view) override {}
     Server* server;
     int proxy;
-    wire::HttpMachine http;
+    wire::HttpParser http;
     std::string target, product;
     uint64_t call = 0;
     double began = 0;
@@ -90,9 +90,9 @@
 }
 
 void Servers::open(Server& s, bool cold) {
-    const int fd = home_.listen_anywhere(s.port);
+    const int fd = system_.listen_anywhere(s.port);
     if (fd < 0) throw std::runtime_error("server " + std::to_string(s.number) + " can't listen: " + std::strerror(errno));
-    s.listener = &loop_.adopt(std::make_unique<Listener>(*this, fd));
+    s.listener = &loop_.add(std::make_unique<Listener>(*this, fd));
     s.launched = cold ? loop_.now() : long_ago;
     s.lately.clear();
     s.tipped_until = long_ago;
@@ -100,49 +100,49 @@
 
 void Servers::close(Server& s) {
     if (!s.listener) return;
-    loop_.end(*std::exchange(s.listener, nullptr), Why::stopping);
+    loop_.close(*std::exchange(s.listener, nullptr), CloseReason::stopping);
     for (auto& job : s.waiting) shots_[job.shot].fate = Fate::dropped;
     for (auto& job : s.running) shots_[job.shot].fate = Fate::dropped;
     s.waiting.clear();
     s.running.clear();
-    while (!s.lines.empty()) end(*s.lines.front(), Why::stopping, true);
+    while (!s.lines.empty()) end(*s.lines.front(), CloseReason::stopping, true);
 }
 
-void Servers::came(Connection& c) {
+void Servers::on_readable(Connection& c) {
     if (c.listens) {
         auto* s = &servers_[0];
         for (auto& each : servers_)
             if (each.listener == &c) s = &each;
-        for (int fd; (fd = home_.accept(c.fd)) >= 0;) {
-            const auto link = home_.link_of(fd);
+        for (int fd; (fd = system_.accept(c.fd)) >= 0;) {
+            const auto link = system_.link_of(fd);
             if (!link || link->kind != Kind::server || link->to != s->number) {
-                home_.close(fd);
+                system_.close(fd);
                 continue;
             }
             connections_.push_back({at(loop_.now()), 0, link->to, link->from});
-            auto& line = loop_.adopt(std::make_unique<Line>(*this, fd, *s, link->from));
+            auto& line = loop_.add(std::make_unique<Line>(*this, fd, *s, link->from));
             line.record = connections_.size() - 1;
             s->lines.push_back(&line);
-            loop_.set(line, loop_.now() + idle_close);
+            loop_.set_timer(line, loop_.now() + idle_close);
         }
         return;
     }
     auto& line = static_cast<Line&>(c);
-    if (!line.in.empty() && !line.http.begun()) line.began = at(loop_.now());
+    if (!line.in.empty() && !line.http.started()) line.began = at(loop_.now());
     while (!line.in.empty() && !line.http.done() && !line.http.fault()) line.in.drop(line.http.feed(line.in.front()));
     if (line.http.done() && line.shot == Line::none) asked(line);
-    else if (line.http.fault()) return end(line, Why::bad_call);
-    if (c.open() && c.ended) end(line, Why::peer_closed);
+    else if (line.http.fault()) return end(line, CloseReason::bad_call);
+    if (c.open() && c.ended) end(line, CloseReason::peer_closed);
 }
 
-void Servers::broke(Connection& c, int) {
-    if (!c.listens) end(static_cast<Line&>(c), Why::peer_reset);
+void Servers::on_error(Connection& c, int) {
+    if (!c.listens) end(static_cast<Line&>(c), CloseReason::peer_reset);
 }
 
-void Servers::due(Connection& c) { end(static_cast<Line&>(c), Why::idle); }
+void Servers::on_timer(Connection& c) { end(static_cast<Line&>(c), CloseReason::idle); }
 
 // The connection is gone; what runs goes on and takes effect all the same, what waits is left undone.
-void Servers::end(Line& line, Why why, bool reset) {
+void Servers::end(Line& line, CloseReason why, bool reset) {
     auto& s = *line.server;
     for (auto it = s.waiting.begin(); it != s.waiting.end();) {
         if (it->line != &line) {
@@ -157,8 +157,8 @@
     if (line.shot != Line::none) shots_[line.shot].ended = at(loop_.now());
     connections_[line.record].ended = at(loop_.now());
     s.lines.remove(&line);
-    if (reset) home_.reset_on_close(line.fd);
-    loop_.end(line, why);
+    if (reset) system_.reset_on_close(line.fd);
+    loop_.close(line, why);
 }
 
 const Servers::Trouble* Servers::trouble(const Server& s, FaultKind kind) const {
@@ -200,7 +200,7 @@
 void Servers::asked(Line& line) {
     auto& s = *line.server;
     const Time now = loop_.now();
-    loop_.set(line, now + idle_close);
+    loop_.set_timer(line, now + idle_close);
     const bool probe = line.target.starts_with("/alive");
     line.shot = shots_.size();
     shots_.push_back({probe ? 0 : line.call, line.began, at(now), 0, 0, 0, static_cast<uint16_t>(s.number),
@@ -232,7 +232,7 @@
         shot.fate = ran ? Fate::failed_run : Fate::failed_unrun;
         shot.executed = ran ? at(now) : 0;
         if (failed) return say(line, 500, "");
-        return end(line, Why::stopping, true);
+        return end(line, CloseReason::stopping, true);
     }
     s.waiting.push_back({line.shot, &line, work, 0});
     go_on(s);
@@ -249,7 +249,7 @@
         shots_[job.shot].fate = Fate::runs;
         job.number = next_job_++;
         working_[job.number] = s.number;
-        loop_.wake(loop_.now() + Span{job.work * (slow ? slow->how : 1) / warmth(s)}, job.number);
+        loop_.schedule(loop_.now() + Span{job.work * (slow ? slow->how : 1) / warmth(s)}, job.number);
         s.running.push_back(job);
     }
 }
@@ -264,7 +264,7 @@
     // What a hanging server had begun is done when it goes on.
     if (trouble(s, FaultKind::hang)) {
         working_[cookie] = s.number;
-        return loop_.wake(loop_.now() + Span{0.05}, cookie);
+        return loop_.schedule(loop_.now() + Span{0.05}, cookie);
     }
     const Job finished = *job;
     s.running.erase(job);
@@ -287,11 +287,11 @@
     shot.answered = true;
     shot.ended = at(loop_.now());
     line.shot = Line::none;
-    line.out.push(wire::answer(status, body, true, fields));
+    line.out.push(wire::format_response(status, body, true, fields));
     line.http.next();
-    loop_.set(line, loop_.now() + idle_close);
+    loop_.set_timer(line, loop_.now() + idle_close);
     loop_.flush(line);
-    if (!line.in.empty()) came(line);
+    if (!line.in.empty()) on_readable(line);
 }
 
 void Servers::finish() {
--- a/src/rig/servers.hpp
+++ b/src/rig/servers.hpp
@@ -41,9 +41,9 @@
     void told(const std::string& word, std::istringstream& more) override;
     void woken(uint64_t cookie) override;
     void finish() override;
-    void came(memory::Connection& c) override;
-    void broke(memory::Connection& c, int error) override;
-    void due(memory::Connection& c) override;
+    void on_readable(memory::Connection& c) override;
+    void on_error(memory::Connection& c, int error) override;
+    void on_timer(memory::Connection& c) override;
 
     bool mine(int server) const { return server % of_ == number_; }
     void open(Server& s, bool cold);
@@ -55,7 +55,7 @@
     void go_on(Server& s);
     void done(Server& s, Job job);
     void say(Line& line, int status, std::string_view body, std::string_view fields = {});
-    void end(Line& line, memory::Why why, bool reset = false);
+    void end(Line& line, memory::CloseReason why, bool reset = false);
     const Trouble* trouble(const Server& s, FaultKind kind) const;
 
     int number_, of_;
--- a/src/roles/control/node.cpp
+++ b/src/roles/control/node.cpp
@@ -104,7 +104,7 @@
     }
     if (replica_.role() == consensus::Role::leader) {
         if (reads) return configurations_.get(request.number, now);
-        const auto if_match = wire::whole<uint64_t>(wire::trim(request.if_match));
+        const auto if_match = wire::parse_integer<uint64_t>(wire::trim(request.if_match));
         if (patches) return configurations_.patch(request.number, if_match, request.body, now);
         return configurations_.put(request.number, if_match, request.body, now);
     }
@@ -485,7 +485,9 @@
     carry_out(now);
 }
 
-bool Node::may_shut_down() const { return replica_.role() != consensus::Role::leader && replica_.is_fully_replicated(); }
+bool Node::may_shut_down() const {
+    return replica_.role() != consensus::Role::leader && replica_.is_fully_replicated();
+}
 
 void Node::tick(Time now) {
     replica_.tick(now);
--- a/src/roles/main.cpp
+++ b/src/roles/main.cpp
@@ -15,7 +15,7 @@
 #include "roles/control/runtime.hpp"
 #include "roles/log.hpp"
 #include "roles/proxy/proxy.hpp"
-#include "run/posix_home.hpp"
+#include "run/posix_system.hpp"
 
 namespace {
 
@@ -45,7 +45,7 @@
 }
 
 int run_proxy(const configuration::NodeSettings& settings, const std::string& path) {
-    run::PosixHome home;
+    run::PosixSystem system;
     const auto reread = [path]() -> std::optional<configuration::NodeSettings> {
         auto checked = read_settings(path);
         if (auto* findings = std::get_if<Findings>(&checked)) {
@@ -54,7 +54,7 @@
         }
         return std::get<configuration::NodeSettings>(std::move(checked));
     };
-    return proxy::Proxy(settings, home, random_seed(), reread).run();
+    return proxy::Proxy(settings, system, random_seed(), reread).run();
 }
 
 // Checks a configuration or a settings file and prints every finding.
--- a/src/roles/proxy/admission.cpp
+++ b/src/roles/proxy/admission.cpp
@@ -39,7 +39,7 @@
 leases::Decision Admission::decide(const Request& request) {
     if (!request.tenant || request.tenant->rate_per_second <= 0) return {};
     const auto decision = leases_.acquire(request.tenant->name, cost_of(request), request.id,
-                                          patience_for(*request.route), context_.home.now());
+                                          patience_for(*request.route), context_.system.now());
     if (decision.verdict == leases::Verdict::granted) note_granted(request);
     return decision;
 }
@@ -55,7 +55,7 @@
     ask();
     if (!leases_.has_waiting() || wakes_at_ > context_.now()) return;
     wakes_at_ = leases_.next_deadline();
-    context_.loop.wake(wakes_at_, cookie);
+    context_.loop.schedule(wakes_at_, cookie);
 }
 
 void Admission::withdraw(const Request& request) { leases_.cancel(request.id); }
@@ -82,18 +82,18 @@
 }
 
 void Admission::apply(const leases::LeaseReply& reply) {
-    leases_.apply(reply, context_.home.now());
+    leases_.apply(reply, context_.system.now());
     tell_decided();
 }
 
 void Admission::woke() {
-    leases_.tick(context_.home.now());
+    leases_.tick(context_.system.now());
     tell_decided();
 }
 
 void Admission::ask() {
-    if (const auto ask = leases_.next_request(context_.home.now())) events_.ask(*ask);
-    if (leases_.is_expedited()) context_.loop.wake(context_.now() + hurry_every, cookie);
+    if (const auto ask = leases_.next_request(context_.system.now())) events_.ask(*ask);
+    if (leases_.is_expedited()) context_.loop.schedule(context_.now() + hurry_every, cookie);
 }
 
 void Admission::tell_decided() {
--- a/src/roles/proxy/context.hpp
+++ b/src/roles/proxy/context.hpp
@@ -15,7 +15,7 @@
 
 struct Context {
     configuration::NodeSettings settings;
-    run::Home& home;
+    run::System& system;
     run::Log log;   // of the loop
     run::Loop loop;
     Pcg chance;
@@ -28,9 +28,9 @@
     routing::FleetSize fleet_size;                      // the most that there may be
     Time started;
 
-    Context(configuration::NodeSettings node, run::Home& system, uint64_t seed)
+    Context(configuration::NodeSettings node, run::System& system, uint64_t seed)
         : settings(std::move(node)),
-          home(system),
+          system(system),
           log(run::Level::error, system),
           loop(log, system),
           chance(seed),
@@ -38,7 +38,7 @@
     Time now() const { return loop.now(); }
     size_t most_connections() const {
         constexpr size_t kept_back = 64;
-        const size_t allowed = std::min(settings.max_descriptors, home.most_descriptors());
+        const size_t allowed = std::min(settings.max_descriptors, system.max_descriptors());
         return allowed > 2 * kept_back ? allowed - kept_back : kept_back;
     }
 };
--- a/src/roles/proxy/front.cpp
+++ b/src/roles/proxy/front.cpp
@@ -10,10 +10,10 @@
 namespace myrtleroute::proxy {
 namespace {
 
+using memory::CloseReason;
 using memory::Connection;
-using memory::Why;
 
-constexpr size_t most_in = 64 * 1024, most_out = 2 << 20;
+constexpr size_t max_in = 64 * 1024, max_out = 2 << 20;
 constexpr size_t crowded_at = 256 * 1024;   // bytes that wait for a client before its host is slowed
 constexpr int accepts_a_round = 64;
 constexpr Span accept_again{0.02};
@@ -61,12 +61,12 @@
 }
 
 int RequestReader::field(std::string_view name, std::string_view value) {
-    if (!wire::of_one_connection(name)) fields.emplace_back(name, value);
+    if (!wire::is_hop_by_hop(name)) fields.emplace_back(name, value);
     return 0;
 }
 
 struct Front::Listener : Connection {
-    Listener(memory::Owner& by, int fd, bool for_probes) : Connection(by, fd, 1, 1), probes(for_probes) {
+    Listener(memory::ConnectionHandler& by, int fd, bool for_probes) : Connection(by, fd, 1, 1), probes(for_probes) {
         listens = true;
     }
     std::string name() const override { return "listener"; }
@@ -80,16 +80,16 @@
       read_requests_are_answered_(context.invariants.named("read_requests_are_answered")) {}
 
 bool Front::open(std::string& fault) {
-    const auto listen_at = [&](const char* key, const std::optional<Endpoint>& at, bool probes) -> Listener* {
-        const auto address = at ? wire::read_endpoint(at->text()) : std::nullopt;
-        const int fd = address ? context_.home.listen_at(*address) : -1;
-        if (fd >= 0) return &context_.loop.adopt(std::make_unique<Listener>(*this, fd, probes));
+    const auto listen = [&](const char* key, const std::optional<Endpoint>& at, bool probes) -> Listener* {
+        const auto address = at ? wire::parse_endpoint(at->text()) : std::nullopt;
+        const int fd = address ? context_.system.listen(*address) : -1;
+        if (fd >= 0) return &context_.loop.add(std::make_unique<Listener>(*this, fd, probes));
         fault = std::string(key) + ": " +
                 (at ? "can't listen at " + at->text() + ": " + std::strerror(errno) : "is missing");
         return nullptr;
     };
-    front_ = listen_at("listen.front", context_.settings.front, false);
-    if (front_) ready_ = listen_at("listen.ready", context_.settings.ready, true);
+    front_ = listen("listen.front", context_.settings.front, false);
+    if (front_) ready_ = listen("listen.ready", context_.settings.ready, true);
     return front_ && ready_;
 }
 
@@ -98,28 +98,30 @@
 void Front::accept(Listener& listener) {
     for (int n = 0; n < accepts_a_round || closed_; ++n) {
         const bool room = context_.loop.connections() < context_.most_connections();
-        const int fd = room ? context_.home.accept(listener.fd) : -1;
+        const int fd = room ? context_.system.accept(listener.fd) : -1;
         if (fd < 0) {
             if (room && (errno == EINTR || errno == ECONNABORTED)) continue;
             const bool later = !room || (errno != EAGAIN && errno != EWOULDBLOCK);
             if (later && !closed_) {
-                context_.loop.listen_to(listener, false);
-                context_.loop.set(listener, context_.now() + accept_again);
+                context_.loop.poll_for_input(listener, false);
+                context_.loop.set_timer(listener, context_.now() + accept_again);
             }
             return;
         }
-        auto& client = context_.loop.adopt(std::make_unique<Client>(*this, fd, most_in, most_out, listener.probes));
+        auto& client = context_.loop.add(std::make_unique<Client>(*this, fd, max_in, max_out, listener.probes));
         clients_.insert(&client);
         ++open_;
         rest(client);
     }
 }
 
-void Front::came(Connection& connection) {
+void Front::on_readable(Connection& connection) {
     if (is_listener(connection)) return accept(static_cast<Listener&>(connection));
     auto& client = static_cast<Client&>(connection);
-    if (client.lingers && client.listens) return end(client, Why::told_to_close);   // a reset over what has come
-    if (client.ended || client.error) return end(client, client.ended ? Why::peer_closed : Why::peer_reset);
+    if (client.lingers && client.listens)
+        return end(client, CloseReason::told_to_close);   // a reset over what has come
+    if (client.ended || client.error)
+        return end(client, client.ended ? CloseReason::peer_closed : CloseReason::peer_reset);
     if (client.lingers) return client.in.drop(client.in.size());
     read(client);
 }
@@ -131,25 +133,25 @@
 // A connection may be older than the configuration: each request is read within the limits in force as it begins.
 void Front::begin_reading(Client& client) {
     const auto limits = this->limits();
-    client.http = wire::HttpMachine(wire::HttpMachine::Side::ask, client.reader,
-                                    {limits.header_bytes, limits.header_bytes, limits.body_bytes});
-    context_.loop.set(client, context_.now() + limits.header_timeout);
+    client.http = wire::HttpParser(wire::HttpParser::Side::request, client.reader,
+                                   {limits.header_bytes, limits.header_bytes, limits.body_bytes});
+    context_.loop.set_timer(client, context_.now() + limits.header_timeout);
 }
 
 void Front::read(Client& client) {
     while (client.open() && !client.busy && !client.last && !client.in.empty()) {
-        const bool fresh = !client.http.begun(), in_head = !client.reader.head_done;
+        const bool fresh = !client.http.started(), in_head = !client.reader.head_done;
         if (fresh) begin_reading(client);
         client.in.drop(client.http.feed(client.in.front()));
-        if (in_head && client.reader.head_done) context_.loop.set(client, context_.now() + body_within);
+        if (in_head && client.reader.head_done) context_.loop.set_timer(client, context_.now() + body_within);
         if (client.http.fault()) {
             client.last = client.drains = true;
             begin_request(client);
             refuse(client, client.http.fault());
         } else if (client.http.done()) {
             take(client);
-        } else if (client.http.wants_continue() && client.in.empty()) {
-            client.http.continued();
+        } else if (client.http.expects_continue() && client.in.empty()) {
+            client.http.continue_sent();
             client.out.push("HTTP/1.1 100 Continue\r\n\r\n");
             context_.loop.flush(client);
         }
@@ -162,9 +164,9 @@
 }
 
 void Front::take(Client& client) {
-    context_.loop.clear(client);
+    context_.loop.clear_timer(client);
     begin_request(client);
-    client.last = client.last || stopping_ || !client.http.keeps();
+    client.last = client.last || stopping_ || !client.http.keeps_alive();
     if (client.is_probe) return refuse(client, events_.ready() ? 200 : 503);
     if (stopping_ && context_.now() > take_until_) return refuse(client, 503, come_back);
     events_.request(client, client.reader);
@@ -226,7 +228,7 @@
 // A reset where the answer has a length of its own by chunks: what is missing can't be taken for an end.
 void Front::abort(Client& client) {
     client.request = nullptr;
-    end(client, Why::bad_answer);
+    end(client, CloseReason::bad_answer);
 }
 
 bool Front::crowded(const Client& client) const { return client.out.size() > crowded_at; }
@@ -238,12 +240,12 @@
     client.rests_since = context_.now();
     client.http.next();
     client.reader.next();
-    context_.loop.set(client, context_.now() + unread_within);
+    context_.loop.set_timer(client, context_.now() + unread_within);
     context_.loop.flush(client);
-    if (client.open() && client.out.empty()) went(client);
+    if (client.open() && client.out.empty()) on_written(client);
 }
 
-void Front::went(Connection& connection) {
+void Front::on_written(Connection& connection) {
     auto& client = static_cast<Client&>(connection);
     if (client.busy) {
         if (client.request) events_.drained(*client.request);
@@ -252,11 +254,11 @@
     if (client.lingers) return;
     // An answer whose head went out before the stop did not say that its connection ends. Once the listeners are
     // closed nothing more is to come on it, unless it has come already.
-    const bool surplus = closed_ && !client.http.begun() && client.in.empty() && context_.home.still_quiet(client.fd);
+    const bool surplus = closed_ && !client.http.started() && client.in.empty() && context_.system.is_idle(client.fd);
     if (client.last) return part(client, ConnectionEnd::last_answer);
     if (surplus) return part(client, ConnectionEnd::stopping);
     const Span may_rest = client.told_rest > Span{} ? client.told_rest : idle_limit();
-    context_.loop.set(client, context_.now() + (client.is_probe ? probe_idle : may_rest + held_up));
+    context_.loop.set_timer(client, context_.now() + (client.is_probe ? probe_idle : may_rest + held_up));
     if (!client.in.empty()) read(client);
 }
 
@@ -269,55 +271,55 @@
     client.parted_at = context_.now();
     client.lingers = client.last = true;
     client.listens = cause != ConnectionEnd::last_answer;
-    client.deaf = !client.drains && !client.listens;
+    client.read_paused = !client.drains && !client.listens;
     client.in.drop(client.in.size());
-    context_.home.end_sending(client.fd);
-    context_.loop.set(client, context_.now() + linger);
+    context_.system.shutdown_write(client.fd);
+    context_.loop.set_timer(client, context_.now() + linger);
     context_.loop.flush(client);
 }
 
-void Front::broke(Connection& connection, int) {
-    if (!is_listener(connection)) end(static_cast<Client&>(connection), Why::peer_reset);
+void Front::on_error(Connection& connection, int) {
+    if (!is_listener(connection)) end(static_cast<Client&>(connection), CloseReason::peer_reset);
 }
 
-void Front::due(Connection& connection) {
-    if (is_listener(connection)) return context_.loop.listen_to(connection, true);
+void Front::on_timer(Connection& connection) {
+    if (is_listener(connection)) return context_.loop.poll_for_input(connection, true);
     auto& client = static_cast<Client&>(connection);
-    if (client.lingers) return end(client, Why::told_to_close);
-    if (!client.out.empty()) return end(client, Why::unread);
-    if (client.http.begun()) {
+    if (client.lingers) return end(client, CloseReason::told_to_close);
+    if (!client.out.empty()) return end(client, CloseReason::unread);
+    if (client.http.started()) {
         client.last = client.drains = true;
         begin_request(client);
         return refuse(client, 408);
     }
-    if (!context_.home.still_quiet(client.fd)) return context_.loop.set(client, context_.now() + linger);
+    if (!context_.system.is_idle(client.fd)) return context_.loop.set_timer(client, context_.now() + linger);
     part(client, ConnectionEnd::idle);
 }
 
-void Front::end(Client& client, Why why) {
+void Front::end(Client& client, CloseReason why) {
     if (!client.open()) return;
     note_end(client, why);
     auto* request = std::exchange(client.request, nullptr);
     clients_.erase(&client);
     --open_;
-    context_.loop.end(client, why);
+    context_.loop.close(client, why);
     if (request) events_.client_left(*request);
 }
 
 // Before the connection is closed.
-void Front::note_end(Client& client, Why why) {
+void Front::note_end(Client& client, CloseReason why) {
     if (client.is_probe) return;
-    const bool by_client = why == Why::peer_closed || why == Why::peer_reset;
-    const auto cause = client.lingers           ? client.parted_as
-                       : by_client              ? ConnectionEnd::client_left
-                       : why == Why::bad_answer ? ConnectionEnd::answer_cut
-                                                : ConnectionEnd::answer_unread;
+    const bool by_client = why == CloseReason::peer_closed || why == CloseReason::peer_reset;
+    const auto cause = client.lingers                   ? client.parted_as
+                       : by_client                      ? ConnectionEnd::client_left
+                       : why == CloseReason::bad_answer ? ConnectionEnd::answer_cut
+                                                        : ConnectionEnd::answer_unread;
     report_.connection_ended(cause);
-    if (client.lingers && context_.home.has_unread(client.fd))
+    if (client.lingers && context_.system.has_unread(client.fd))
         report_.closed_over_unread(cause, context_.now() - client.parted_at, client.parted_at - client.rests_since,
                                    context_.now());
     if (!client.busy) return;
-    read_requests_are_answered_.check(by_client || why == Why::bad_answer, [&] {
+    read_requests_are_answered_.check(by_client || why == CloseReason::bad_answer, [&] {
         return "a connection ended during its request: " + std::string(memory::code(why));
     });
     report_.request_ended(by_client ? RequestEnd::client_left : RequestEnd::cut);
@@ -332,12 +334,12 @@
     closed_ = true;
     if (front_) {
         accept(*front_);
-        context_.loop.end(*std::exchange(front_, nullptr), Why::stopping);
+        context_.loop.close(*std::exchange(front_, nullptr), CloseReason::stopping);
     }
     const auto clients = clients_;
     for (auto* client : clients)
-        if (!client->busy && !client->http.begun() && !client->lingers && client->out.empty() &&
-            context_.home.still_quiet(client->fd))
+        if (!client->busy && !client->http.started() && !client->lingers && client->out.empty() &&
+            context_.system.is_idle(client->fd))
             part(*client, ConnectionEnd::stopping);
 }
 
--- a/src/roles/proxy/front.hpp
+++ b/src/roles/proxy/front.hpp
@@ -13,7 +13,7 @@
 namespace myrtleroute::proxy {
 
 // Reads a request's head and body.
-class RequestReader : public wire::HttpReader {
+class RequestReader : public wire::HttpHandler {
 public:
     std::string method, target, content;
     std::vector<Field> fields;
@@ -22,7 +22,7 @@
 
     int start(std::string_view verb, std::string_view path, std::string_view version) override;
     int field(std::string_view name, std::string_view value) override;
-    int head_ends(Body) override {
+    int head_ended(Body) override {
         head_done = true;
         return 0;
     }
@@ -30,7 +30,7 @@
     void next() { *this = RequestReader(); }
 };
 
-class Front : public memory::Owner {
+class Front : public memory::ConnectionHandler {
 public:
     struct Events {
         std::function<void(Client&, RequestReader&)> request;   // a whole one; answered by one of the calls below
@@ -57,10 +57,10 @@
     void close_listeners();   // takes what has come, then no more connections
     size_t connections() const { return open_; }
 
-    void came(memory::Connection& connection) override;
-    void went(memory::Connection& connection) override;
-    void broke(memory::Connection& connection, int error) override;
-    void due(memory::Connection& connection) override;
+    void on_readable(memory::Connection& connection) override;
+    void on_written(memory::Connection& connection) override;
+    void on_error(memory::Connection& connection, int error) override;
+    void on_timer(memory::Connection& connection) override;
 
 private:
     struct Listener;
@@ -74,9 +74,9 @@
     std::string connection_fields(Client& client) const;
     Span idle_limit() const;
     void rest(Client& client);
-    void end(Client& client, memory::Why why);
+    void end(Client& client, memory::CloseReason why);
     void part(Client& client, ConnectionEnd cause);
-    void note_end(Client& client, memory::Why why);
+    void note_end(Client& client, memory::CloseReason why);
 
     Context& context_;
     Events events_;
@@ -91,13 +91,13 @@
 };
 
 struct Client : memory::Connection {
-    Client(memory::Owner& by, int fd, size_t most_in, size_t most_out, bool probe)
-        : Connection(by, fd, most_in, most_out), http(wire::HttpMachine::Side::ask, reader), is_probe(probe) {
-        hears_leaving = true;
+    Client(memory::ConnectionHandler& by, int fd, size_t max_in, size_t max_out, bool probe)
+        : Connection(by, fd, max_in, max_out), http(wire::HttpParser::Side::request, reader), is_probe(probe) {
+        detect_peer_close = true;
     }
     std::string name() const override { return "client"; }
     RequestReader reader;
-    wire::HttpMachine http;
+    wire::HttpParser http;
     Request* request = nullptr;
     const bool is_probe;                                    // it asks for readiness
     bool busy = false;                                      // a request is being answered
--- a/src/roles/proxy/hosts.cpp
+++ b/src/roles/proxy/hosts.cpp
@@ -10,10 +10,10 @@
 namespace myrtleroute::proxy {
 namespace {
 
+using memory::CloseReason;
 using memory::Connection;
-using memory::Why;
 
-constexpr size_t most_in = 64 * 1024, most_out = 6 << 20;
+constexpr size_t max_in = 64 * 1024, max_out = 6 << 20;
 constexpr size_t most_answer = 64 << 20;         // of a stream; what is held at a time is bounded by the client's ring
 constexpr size_t buffered_answer = 256 * 1024;   // a larger one is passed on before it is whole
 constexpr Span connect_within{1}, probe_within{2};
@@ -25,22 +25,22 @@
 
 }   // namespace
 
-int ReplyReader::start(std::string_view, std::string_view code, std::string_view) {
-    *this = ReplyReader();
-    status = wire::whole<int>(code).value_or(0);
+int ResponseReader::start(std::string_view, std::string_view code, std::string_view) {
+    *this = ResponseReader();
+    status = wire::parse_integer<int>(code).value_or(0);
     return 0;
 }
 
-int ReplyReader::field(std::string_view name, std::string_view value) {
-    if (wire::same(name, "Keep-Alive")) {
+int ResponseReader::field(std::string_view name, std::string_view value) {
+    if (wire::equals_ignore_case(name, "Keep-Alive")) {
         const auto timeout = value.find("timeout=");
         const auto seconds = timeout == value.npos ? value : value.substr(timeout + 8);
-        keep_alive = wire::decimal(wire::trim(seconds.substr(0, seconds.find(',')))).value_or(0);
+        keep_alive = wire::parse_decimal(wire::trim(seconds.substr(0, seconds.find(',')))).value_or(0);
     }
-    if (wire::of_one_connection(name)) return 0;
-    if (wire::same(name, "X-Request-Id")) request_id = value;
-    if (wire::same(name, "X-Not-Executed")) not_executed = true;
-    if (wire::same(name, "X-Instance-Load"))
+    if (wire::is_hop_by_hop(name)) return 0;
+    if (wire::equals_ignore_case(name, "X-Request-Id")) request_id = value;
+    if (wire::equals_ignore_case(name, "X-Not-Executed")) not_executed = true;
+    if (wire::equals_ignore_case(name, "X-Instance-Load"))
         load = value;
     else
         fields.emplace_back(name, value);
@@ -60,7 +60,7 @@
         slot = std::make_unique<HostRecord>();
         slot->id = id;
     }
-    if (const auto address = wire::read_endpoint(host.address)) slot->address = *address;
+    if (const auto address = wire::parse_endpoint(host.address)) slot->address = *address;
     const bool leaves = host.state == registry::HostState::gone && slot->host.state != host.state;
     slot->host = host;
     if (leaves) slot->gone_since = context_.now();
@@ -98,24 +98,24 @@
     if (auto* idle = idle_connection(host)) return idle;
     if (context_.loop.connections() >= context_.most_connections() && !shed()) return nullptr;
     bool at_once = false;
-    const int fd = context_.home.connect_to(host.address, at_once);
+    const int fd = context_.system.connect(host.address, at_once);
     if (fd < 0) {
         if (errno != EMFILE && errno != ENFILE) otherwise = Outcome::connect_failed;
         return nullptr;
     }
     wire::HttpLimits limits;
     limits.body = most_answer;
-    auto connection = std::make_unique<HostConnection>(*this, fd, host, most_in, most_out, limits);
+    auto connection = std::make_unique<HostConnection>(*this, fd, host, max_in, max_out, limits);
     connection->connecting = !at_once;
-    return &context_.loop.adopt(std::move(connection));
+    return &context_.loop.add(std::move(connection));
 }
 
 HostConnection* Hosts::idle_connection(HostRecord& host) {
     while (!host.idle.empty()) {
         auto& connection = *host.idle.front();
         unused(connection);
-        if (context_.home.still_quiet(connection.fd)) return &connection;
-        context_.loop.end(connection, Why::peer_closed);
+        if (context_.system.is_idle(connection.fd)) return &connection;
+        context_.loop.close(connection, CloseReason::peer_closed);
     }
     return nullptr;
 }
@@ -125,15 +125,15 @@
     connection.until = connection.sent + try_for;
     connection.foreign = connection.streamed = false;
     const Time up_by = connection.sent + connect_within;
-    context_.loop.set(connection, connection.connecting ? std::min(connection.until, up_by) : connection.until);
+    context_.loop.set_timer(connection, connection.connecting ? std::min(connection.until, up_by) : connection.until);
     if (!connection.connecting) write(connection);
 }
 
-void Hosts::up(Connection& base) {
+void Hosts::on_connected(Connection& base) {
     auto& connection = static_cast<HostConnection&>(base);
     if (connection.request && !events_.may_begin(*connection.request, connection.number))
-        return ends(connection, Outcome::never_sent, Why::server_left);
-    context_.loop.set(connection, connection.until);
+        return ends(connection, Outcome::never_sent, CloseReason::server_left);
+    context_.loop.set_timer(connection, connection.until);
     write(connection);
 }
 
@@ -161,11 +161,11 @@
     context_.loop.flush(connection);
 }
 
-void Hosts::came(Connection& base) {
+void Hosts::on_readable(Connection& base) {
     auto& connection = static_cast<HostConnection&>(base);
     if (!connection.busy()) {
         unused(connection);
-        return context_.loop.end(connection, Why::peer_closed);
+        return context_.loop.close(connection, CloseReason::peer_closed);
     }
     while (connection.open() && connection.busy() && !connection.in.empty() && !connection.http.done() &&
            !connection.http.fault()) {
@@ -178,15 +178,15 @@
             connection.foreign = false;
         }
     }
-    if (connection.ended && !connection.http.done()) connection.http.closed();
+    if (connection.ended && !connection.http.done()) connection.http.connection_closed();
     if (!connection.http.fault() && connection.reader.head_done && !connection.foreign) take_body(connection);
     if (!connection.open() || !connection.busy()) return;
     if (connection.http.done() && !connection.foreign) return done(connection);
     const bool wrote_all = connection.out.empty();
     if (connection.http.fault())
-        ends(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, Why::bad_answer);
+        ends(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, CloseReason::bad_answer);
     else if (connection.ended)
-        ends(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, Why::peer_closed);
+        ends(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, CloseReason::peer_closed);
 }
 
 void Hosts::head_came(HostConnection& connection) {
@@ -199,7 +199,8 @@
     auto& host = *connection.host;
     events_.heard(host.service, host.id);
     auto load = std::string_view(reader.load);
-    const auto running = wire::decimal(wire::next_part(load)), waiting = wire::decimal(wire::next_part(load));
+    const auto running = wire::parse_decimal(wire::next_item(load)),
+               waiting = wire::parse_decimal(wire::next_item(load));
     // A request counts as running from its first token; before, it costs its host the most.
     if (running && waiting) events_.reported(host.service, host.id, running_weight * *running + *waiting);
 }
@@ -250,32 +251,32 @@
 // The connection is free for the next request, if it can be.
 void Hosts::release(HostConnection& connection) {
     auto& host = *connection.host;
-    const bool keeps = connection.http.keeps() && connection.in.empty() && !connection.ended && !connection.error &&
-                       connection.out.empty() && host.host.state != registry::HostState::gone;
+    const bool keeps = connection.http.keeps_alive() && connection.in.empty() && !connection.ended &&
+                       !connection.error && connection.out.empty() && host.host.state != registry::HostState::gone;
     const bool has_room = host.idle.size() < most_idle;
     if (keeps && !has_room) idle_beyond_.add();
     if (connection.reader.keep_alive > 0) connection.keep_alive = connection.reader.keep_alive;
     connection.request = nullptr;
-    connection.is_probe = connection.deaf = false;
-    if (!keeps || !has_room) return context_.loop.end(connection, Why::told_to_close);
+    connection.is_probe = connection.read_paused = false;
+    if (!keeps || !has_room) return context_.loop.close(connection, CloseReason::told_to_close);
     connection.http.next();
     connection.reader = {};
     connection.idle = true;
     connection.place = idle_.insert(idle_.begin(), &connection);
     connection.host_place = host.idle.insert(host.idle.begin(), &connection);
     const Span kept = connection.keep_alive > 0 ? Span{connection.keep_alive * keep_share} : kept_untold;
-    context_.loop.set(connection, context_.now() + kept);
+    context_.loop.set_timer(connection, context_.now() + kept);
     context_.loop.flush(connection);   // it is read again
 }
 
 void Hosts::tell(CallId call, int number, Outcome outcome) { ended_.push_back({call, number, outcome, 0, 0, false}); }
 
-void Hosts::ends(HostConnection& connection, Outcome outcome, Why why) {
+void Hosts::ends(HostConnection& connection, Outcome outcome, CloseReason why) {
     auto* request = std::exchange(connection.request, nullptr);
     const int number = connection.number;
     auto& host = *connection.host;
     const bool probe = connection.is_probe;
-    context_.loop.end(connection, why);
+    context_.loop.close(connection, why);
     if (probe) {
         ended_.push_back({0, 0, outcome, host.id, host.service, false});
         return;
@@ -301,7 +302,7 @@
     if (number < 0 || number >= static_cast<int>(request.attempts.size())) return;
     auto* connection = request.attempts[static_cast<size_t>(number)];
     if (!connection) return;
-    ends(*connection, connection->connecting ? Outcome::never_sent : Outcome::cancelled, Why::cancelled);
+    ends(*connection, connection->connecting ? Outcome::never_sent : Outcome::cancelled, CloseReason::cancelled);
 }
 
 void Hosts::abandon(Request& request) {
@@ -322,45 +323,45 @@
 
 void Hosts::resume_reading(Request& request) {
     for (auto* connection : request.attempts)
-        if (connection && std::exchange(connection->deaf, false)) context_.loop.flush(*connection);
+        if (connection && std::exchange(connection->read_paused, false)) context_.loop.flush(*connection);
 }
 
-void Hosts::broke(Connection& base, int error) {
+void Hosts::on_error(Connection& base, int error) {
     auto& connection = static_cast<HostConnection&>(base);
     if (!connection.busy()) {
         unused(connection);
-        return context_.loop.end(connection, Why::peer_reset);
+        return context_.loop.close(connection, CloseReason::peer_reset);
     }
     const bool may_have_run = !connection.connecting && connection.out.empty();
     ends(connection, may_have_run ? Outcome::reset : Outcome::connect_failed,
-         error == ECONNREFUSED ? Why::nobody_listens : Why::peer_reset);
+         error == ECONNREFUSED ? CloseReason::nobody_listens : CloseReason::peer_reset);
 }
 
-void Hosts::due(Connection& base) {
+void Hosts::on_timer(Connection& base) {
     auto& connection = static_cast<HostConnection&>(base);
     if (connection.idle) {
         unused(connection);
-        return context_.loop.end(connection, Why::idle);
+        return context_.loop.close(connection, CloseReason::idle);
     }
     // A machine that was cut off says nothing, and what stands idle to it is reset when it is back.
     if (connection.host->heard < connection.sent) close_idle(*connection.host);
     const bool may_have_run = !connection.connecting && connection.out.empty();
     ends(connection, may_have_run ? Outcome::timed_out : Outcome::connect_failed,
-         connection.connecting ? Why::connect_timed_out : Why::answer_timed_out);
+         connection.connecting ? CloseReason::connect_timed_out : CloseReason::answer_timed_out);
 }
 
 void Hosts::unused(HostConnection& connection) {
     if (!std::exchange(connection.idle, false)) return;
     idle_.erase(connection.place);
     connection.host->idle.erase(connection.host_place);
-    context_.loop.clear(connection);
+    context_.loop.clear_timer(connection);
 }
 
 void Hosts::close_idle(HostRecord& host) {
     while (!host.idle.empty()) {
         auto& connection = *host.idle.front();
         unused(connection);
-        context_.loop.end(connection, Why::server_left);
+        context_.loop.close(connection, CloseReason::server_left);
     }
 }
 
@@ -369,7 +370,7 @@
     if (idle_.empty()) return false;
     auto& connection = *idle_.back();
     unused(connection);
-    context_.loop.end(connection, Why::shed);
+    context_.loop.close(connection, CloseReason::shed);
     return true;
 }
 
--- a/src/roles/proxy/hosts.hpp
+++ b/src/roles/proxy/hosts.hpp
@@ -32,7 +32,7 @@
 };
 
 // Reads an answer's head; its body collects until it is taken.
-class ReplyReader : public wire::HttpReader {
+class ResponseReader : public wire::HttpHandler {
 public:
     int status = 0;
     std::vector<Field> fields;
@@ -42,14 +42,14 @@
 
     int start(std::string_view version, std::string_view code, std::string_view reason) override;
     int field(std::string_view name, std::string_view value) override;
-    int head_ends(Body) override {
+    int head_ended(Body) override {
         head_done = true;
         return 0;
     }
     void body(std::string_view bytes) override { content.append(bytes); }
 };
 
-class Hosts : public memory::Owner {
+class Hosts : public memory::ConnectionHandler {
 public:
     struct Events {
         std::function<void(Request&, HostConnection&)> began;   // a success that is passed on as it comes
@@ -81,10 +81,10 @@
     void settle();                           // tells the ends
     bool settled() const { return ended_.empty(); }
 
-    void up(memory::Connection& connection) override;
-    void came(memory::Connection& connection) override;
-    void broke(memory::Connection& connection, int error) override;
-    void due(memory::Connection& connection) override;
+    void on_connected(memory::Connection& connection) override;
+    void on_readable(memory::Connection& connection) override;
+    void on_error(memory::Connection& connection, int error) override;
+    void on_timer(memory::Connection& connection) override;
 
 private:
     struct Ended {
@@ -103,7 +103,7 @@
     void take_body(HostConnection& connection);
     void done(HostConnection& connection);
     void release(HostConnection& connection);
-    void ends(HostConnection& connection, Outcome outcome, memory::Why why);
+    void ends(HostConnection& connection, Outcome outcome, memory::CloseReason why);
     void tell(CallId call, int number, Outcome outcome);
     void unused(HostConnection& connection);
     bool shed();
@@ -117,12 +117,13 @@
 };
 
 struct HostConnection : memory::Connection {
-    HostConnection(memory::Owner& by, int fd, HostRecord& to, size_t most_in, size_t most_out, wire::HttpLimits limits)
-        : Connection(by, fd, most_in, most_out),
+    HostConnection(memory::ConnectionHandler& by, int fd, HostRecord& to, size_t max_in, size_t max_out,
+                   wire::HttpLimits limits)
+        : Connection(by, fd, max_in, max_out),
           host(&to),
           connections(to.connections),
-          http(wire::HttpMachine::Side::answer, reader, limits) {
-        hears_leaving = true;
+          http(wire::HttpParser::Side::response, reader, limits) {
+        detect_peer_close = true;
         ++*connections;
     }
     ~HostConnection() override { --*connections; }
@@ -131,8 +132,8 @@
 
     HostRecord* host;
     std::shared_ptr<int> connections;   // of the host
-    ReplyReader reader;
-    wire::HttpMachine http;
+    ResponseReader reader;
+    wire::HttpParser http;
     Request* request = nullptr;
     int number = 0;   // of the attempt
     bool is_probe = false;
--- a/src/roles/proxy/metrics_listener.cpp
+++ b/src/roles/proxy/metrics_listener.cpp
@@ -13,11 +13,11 @@
 namespace myrtleroute::proxy {
 namespace {
 
+using memory::CloseReason;
 using memory::Connection;
-using memory::Why;
 
 constexpr size_t most_connections = 8;
-constexpr size_t most_in = 4096, most_out = 2 << 20;   // bytes
+constexpr size_t max_in = 4096, max_out = 2 << 20;   // bytes
 constexpr wire::HttpLimits limits{2048, 8192, 1024};
 constexpr Span answered_within{5};   // from the first byte to the last
 constexpr Span linger{1};            // for the other end to close, once the answer is written
@@ -31,14 +31,14 @@
 }
 
 struct Listener : Connection {
-    Listener(memory::Owner& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
+    Listener(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
     std::string name() const override { return "metrics listener"; }
 };
 
 }   // namespace
 
 // Only the request line matters.
-struct MetricsListener::Reader : wire::HttpReader {
+struct MetricsListener::Reader : wire::HttpHandler {
     std::string method, target;
     int start(std::string_view verb, std::string_view path, std::string_view) override {
         method = verb;
@@ -50,11 +50,11 @@
 };
 
 struct MetricsListener::Scrape : Connection {
-    Scrape(memory::Owner& by, int fd)
-        : Connection(by, fd, most_in, most_out), http(wire::HttpMachine::Side::ask, reader, limits) {}
+    Scrape(memory::ConnectionHandler& by, int fd)
+        : Connection(by, fd, max_in, max_out), http(wire::HttpParser::Side::request, reader, limits) {}
     std::string name() const override { return "metrics"; }
     Reader reader;
-    wire::HttpMachine http;
+    wire::HttpParser http;
     bool answered = false;
     bool lingers = false;   // our side is closed
 };
@@ -63,44 +63,44 @@
     const auto& settings = context_.settings;
     if (!settings.metrics) return;
     const Endpoint at{settings.address, settings.metrics->port};
-    const auto address = wire::read_endpoint(at.text());
-    const int fd = address ? context_.home.listen_at(*address) : -1;
+    const auto address = wire::parse_endpoint(at.text());
+    const int fd = address ? context_.system.listen(*address) : -1;
     if (fd < 0) {
         log_error() << "metrics: can't listen at " << at.text() << ": "
                     << (address ? std::strerror(errno) : "no address");
         return;
     }
-    listener_ = &context_.loop.adopt(std::make_unique<Listener>(*this, fd));
+    listener_ = &context_.loop.add(std::make_unique<Listener>(*this, fd));
 }
 
 void MetricsListener::close() {
-    if (listener_) context_.loop.end(*std::exchange(listener_, nullptr), Why::stopping);
+    if (listener_) context_.loop.close(*std::exchange(listener_, nullptr), CloseReason::stopping);
 }
 
 void MetricsListener::accept() {
     while (open_ < most_connections && context_.loop.connections() < context_.most_connections()) {
-        const int fd = context_.home.accept(listener_->fd);
+        const int fd = context_.system.accept(listener_->fd);
         if (fd < 0) {
             if (errno == EINTR || errno == ECONNABORTED) continue;
             if (errno == EAGAIN || errno == EWOULDBLOCK) return;
             break;
         }
-        auto& scrape = context_.loop.adopt(std::make_unique<Scrape>(*this, fd));
+        auto& scrape = context_.loop.add(std::make_unique<Scrape>(*this, fd));
         ++open_;
-        context_.loop.set(scrape, context_.now() + answered_within);
+        context_.loop.set_timer(scrape, context_.now() + answered_within);
     }
-    context_.loop.listen_to(*listener_, false);
-    context_.loop.set(*listener_, context_.now() + accept_again);
+    context_.loop.poll_for_input(*listener_, false);
+    context_.loop.set_timer(*listener_, context_.now() + accept_again);
 }
 
-void MetricsListener::came(Connection& connection) {
+void MetricsListener::on_readable(Connection& connection) {
     if (connection.listens) return accept();
     auto& scrape = static_cast<Scrape&>(connection);
     if (scrape.answered) scrape.in.drop(scrape.in.size());
     if (!scrape.answered) read(scrape);
     if (!scrape.open()) return;
-    if (scrape.error) return end(scrape, Why::peer_reset);
-    if (scrape.ended && (!scrape.answered || scrape.lingers)) end(scrape, Why::peer_closed);
+    if (scrape.error) return end(scrape, CloseReason::peer_reset);
+    if (scrape.ended && (!scrape.answered || scrape.lingers)) end(scrape, CloseReason::peer_closed);
 }
 
 void MetricsListener::read(Scrape& scrape) {
@@ -117,37 +117,39 @@
         answer =
             respond_to_scrape(scrape.reader.method, scrape.reader.target, context_.settings.metrics->path, render_);
     const auto text = head(answer);
-    if (text.size() + answer.body.size() > most_out) return end(scrape, Why::bad_answer);
+    if (text.size() + answer.body.size() > max_out) return end(scrape, CloseReason::bad_answer);
     scrape.out.push(text);
     scrape.out.push(answer.body);
     context_.loop.flush(scrape);
-    if (scrape.open() && scrape.out.empty()) went(scrape);
+    if (scrape.open() && scrape.out.empty()) on_written(scrape);
 }
 
 // Our side ends first: closing with bytes unread would reset the connection and the answer with it.
-void MetricsListener::went(Connection& connection) {
+void MetricsListener::on_written(Connection& connection) {
     auto& scrape = static_cast<Scrape&>(connection);
     if (!scrape.answered || scrape.lingers) return;
-    if (scrape.ended) return end(scrape, Why::peer_closed);
+    if (scrape.ended) return end(scrape, CloseReason::peer_closed);
     scrape.lingers = true;
-    context_.home.end_sending(scrape.fd);
-    context_.loop.set(scrape, context_.now() + linger);
+    context_.system.shutdown_write(scrape.fd);
+    context_.loop.set_timer(scrape, context_.now() + linger);
 }
 
-void MetricsListener::broke(Connection& connection, int) {
-    if (!connection.listens) end(static_cast<Scrape&>(connection), Why::peer_reset);
+void MetricsListener::on_error(Connection& connection, int) {
+    if (!connection.listens) end(static_cast<Scrape&>(connection), CloseReason::peer_reset);
 }
 
-void MetricsListener::due(Connection& connection) {
-    if (connection.listens) return context_.loop.listen_to(connection, true);
+void MetricsListener::on_timer(Connection& connection) {
+    if (connection.listens) return context_.loop.poll_for_input(connection, true);
     auto& scrape = static_cast<Scrape&>(connection);
-    end(scrape, scrape.lingers ? Why::told_to_close : scrape.answered ? Why::unread : Why::silent);
+    end(scrape, scrape.lingers    ? CloseReason::told_to_close
+                : scrape.answered ? CloseReason::unread
+                                  : CloseReason::silent);
 }
 
-void MetricsListener::end(Scrape& scrape, Why why) {
+void MetricsListener::end(Scrape& scrape, CloseReason why) {
     if (!scrape.open()) return;
     --open_;
-    context_.loop.end(scrape, why);
+    context_.loop.close(scrape, why);
 }
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/metrics_listener.hpp
+++ b/src/roles/proxy/metrics_listener.hpp
@@ -11,7 +11,7 @@
 
 namespace myrtleroute::proxy {
 
-class MetricsListener : public memory::Owner {
+class MetricsListener : public memory::ConnectionHandler {
 public:
     // `render` gives the text of the figures as they are now.
     MetricsListener(Context& context, std::function<std::string()> render)
@@ -21,10 +21,10 @@
     void open();
     void close();   // takes no more connections; those that are open end as they would
 
-    void came(memory::Connection& connection) override;
-    void went(memory::Connection& connection) override;
-    void broke(memory::Connection& connection, int error) override;
-    void due(memory::Connection& connection) override;
+    void on_readable(memory::Connection& connection) override;
+    void on_written(memory::Connection& connection) override;
+    void on_error(memory::Connection& connection, int error) override;
+    void on_timer(memory::Connection& connection) override;
 
 private:
     struct Reader;
@@ -32,7 +32,7 @@
     void accept();
     void read(Scrape& scrape);
     void answer(Scrape& scrape);
-    void end(Scrape& scrape, memory::Why why);
+    void end(Scrape& scrape, memory::CloseReason why);
 
     Context& context_;
     std::function<std::string()> render_;
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -20,7 +20,7 @@
 constexpr Span shutdown_every{0.05};
 
 struct Signals : memory::Connection {
-    Signals(memory::Owner& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
+    Signals(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
     std::string name() const override { return "signals"; }
 };
 
@@ -32,9 +32,9 @@
 
 }   // namespace
 
-Proxy::Proxy(configuration::NodeSettings settings, run::Home& home, uint64_t seed,
+Proxy::Proxy(configuration::NodeSettings settings, run::System& system, uint64_t seed,
              std::function<std::optional<configuration::NodeSettings>()> reread)
-    : context_(std::move(settings), home, seed),
+    : context_(std::move(settings), system, seed),
       reread_(std::move(reread)),
       requests_(request_bounds(context_.settings), context_.metrics, context_.invariants),
       cut_report_(context_.metrics, [](const std::string& line) { log_info() << line; }),
@@ -150,8 +150,8 @@
         log_error() << fault;
         return false;
     }
-    signals_ = &context_.loop.adopt(std::make_unique<Signals>(*this, context_.home.hear_signals()));
-    context_.loop.listen_to(*signals_, true);
+    signals_ = &context_.loop.add(std::make_unique<Signals>(*this, context_.system.watch_signals()));
+    context_.loop.poll_for_input(*signals_, true);
     metrics_listener_.open();
     log_info() << "proxy " << context_.settings.node_name << " starts";
     tick();
@@ -159,7 +159,7 @@
 }
 
 void Proxy::round() {
-    context_.loop.round([this](uint64_t cookie) { woke(cookie); }, [this] { settle(); });
+    context_.loop.run_once([this](uint64_t cookie) { woke(cookie); }, [this] { settle(); });
 }
 
 bool Proxy::ready() const {
@@ -173,7 +173,7 @@
     if (!context_.table) return front_.refuse(client, 503, until_started());
     auto request = std::make_unique<Request>();
     request->table = context_.table;
-    const bool keys_are_current = configuration_lease_.is_valid(context_.home.now());
+    const bool keys_are_current = configuration_lease_.is_valid(context_.system.now());
     if (const int status = entitle(*request, reader, keys_are_current)) {
         const bool may_be_old = status == 503;
         if (may_be_old) refused_without_lease_.add();
@@ -290,7 +290,7 @@
     if (connection) request.times[static_cast<size_t>(connection->number)].piece(context_.now());
     if (!request.client) return;
     front_.piece(*request.client, bytes);
-    if (request.client && connection && front_.crowded(*request.client)) connection->deaf = true;
+    if (request.client && connection && front_.crowded(*request.client)) connection->read_paused = true;
 }
 
 void Proxy::answered(Request& request, const Reply& reply, bool streamed) {
@@ -373,7 +373,7 @@
 
 void Proxy::ask_for_configuration_lease() {
     if (!subscription_.is_open()) return;
-    if (const auto ask = configuration_lease_.next_request(context_.home.now())) subscription_.ask(*ask);
+    if (const auto ask = configuration_lease_.next_request(context_.system.now())) subscription_.ask(*ask);
 }
 
 void Proxy::fleet_told(const messages::FleetStatus& told) {
@@ -409,13 +409,13 @@
     admission_.ask();
     ask_for_configuration_lease();
     tell_ballots();
-    context_.loop.wake(context_.now() + tick_every * (ready() ? 1 : until_ready), tick_cookie);
+    context_.loop.schedule(context_.now() + tick_every * (ready() ? 1 : until_ready), tick_cookie);
     hosts_.forget_gone();
     services_.tick(requests_);
 }
 
-void Proxy::came(memory::Connection& connection) {
-    while (const int number = context_.home.next_signal(connection.fd)) {
+void Proxy::on_readable(memory::Connection& connection) {
+    while (const int number = context_.system.next_signal(connection.fd)) {
         if (number == SIGTERM || number == SIGINT) stop();
         if (number != SIGHUP) continue;
         log_info() << "SIGHUP: the settings are read again";
@@ -437,10 +437,10 @@
     shutdown_.begin(context_.now());
     front_.stop(shutdown_.take_until());
     log_progress("told to stop");
-    context_.loop.set(*signals_, shutdown_.listeners_end());
+    context_.loop.set_timer(*signals_, shutdown_.listeners_end());
 }
 
-void Proxy::due(memory::Connection& timer) {
+void Proxy::on_timer(memory::Connection& timer) {
     switch (shutdown_.next(context_.now())) {
         case Shutdown::Step::none: break;
         case Shutdown::Step::close_listeners:
@@ -452,7 +452,7 @@
         case Shutdown::Step::cut: return end();
     }
     if (requests_.empty() && front_.connections() == 0) return end();
-    context_.loop.set(timer, context_.now() + shutdown_every);
+    context_.loop.set_timer(timer, context_.now() + shutdown_every);
 }
 
 void Proxy::answer_waiting() {
--- a/src/roles/proxy/proxy.hpp
+++ b/src/roles/proxy/proxy.hpp
@@ -18,10 +18,10 @@
 
 namespace myrtleroute::proxy {
 
-class Proxy : public memory::Owner {
+class Proxy : public memory::ConnectionHandler {
 public:
     // `reread`: the settings file as it is now, nothing where it is at fault.
-    Proxy(configuration::NodeSettings settings, run::Home& home, uint64_t seed,
+    Proxy(configuration::NodeSettings settings, run::System& system, uint64_t seed,
           std::function<std::optional<configuration::NodeSettings>()> reread);
     int run();   // until SIGTERM or SIGINT; the process's exit code
 
@@ -66,9 +66,9 @@
 
     // The process.
     std::string figures();   // as text, as they are now
-    void came(memory::Connection& connection) override;
-    void broke(memory::Connection&, int) override {}
-    void due(memory::Connection& connection) override;
+    void on_readable(memory::Connection& connection) override;
+    void on_error(memory::Connection&, int) override {}
+    void on_timer(memory::Connection& connection) override;
     void woke(uint64_t cookie);
     void tick();
     void settle();
--- a/src/roles/proxy/request.hpp
+++ b/src/roles/proxy/request.hpp
@@ -19,7 +19,7 @@
 // The value of a header field, empty where there is none.
 inline std::string_view field_value(const std::vector<Field>& fields, std::string_view name) {
     for (const auto& [known, value] : fields)
-        if (wire::same(known, name)) return value;
+        if (wire::equals_ignore_case(known, name)) return value;
     return {};
 }
 
--- a/src/roles/proxy/request_intake.cpp
+++ b/src/roles/proxy/request_intake.cpp
@@ -15,13 +15,14 @@
 bool is_own_field(std::string_view name) {
     constexpr std::string_view names[] = {"Authorization",       "X-Tenant-Id", "X-Deadline-Ms",
                                           "X-Expected-Instance", "Priority",    "Last-Event-Id"};
-    return std::any_of(std::begin(names), std::end(names), [&](auto known) { return wire::same(name, known); });
+    return std::any_of(std::begin(names), std::end(names),
+                       [&](auto known) { return wire::equals_ignore_case(name, known); });
 }
 
 std::string_view presented_key(const std::vector<Field>& fields) {
     auto value = field_value(fields, "Authorization");
     constexpr std::string_view scheme = "Token ";
-    if (value.size() < scheme.size() || !wire::same(value.substr(0, scheme.size()), scheme)) return {};
+    if (value.size() < scheme.size() || !wire::equals_ignore_case(value.substr(0, scheme.size()), scheme)) return {};
     return wire::trim(value.substr(scheme.size()));
 }
 
@@ -47,7 +48,7 @@
     request.arrived = now;
     request.prompt = routing::read_prompt(field_value(reader.fields, "X-Token-Count"),
                                           field_value(reader.fields, "X-Prompt-Prefix"));
-    const auto told = wire::decimal(field_value(reader.fields, "X-Deadline-Ms"));
+    const auto told = wire::parse_decimal(field_value(reader.fields, "X-Deadline-Ms"));
     Span patience = request.route->timeout;
     if (told && *told > 0) patience = std::min(patience, Span{*told / 1e3} * (1 - answer_margin));
     request.deadline = now + patience;
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -104,7 +104,7 @@
 }
 
 void ServicePool::set_timer(Span after, uint64_t cookie) {
-    context_.loop.wake(context_.now() + after, cookie | static_cast<uint64_t>(number_) << pool_shift);
+    context_.loop.schedule(context_.now() + after, cookie | static_cast<uint64_t>(number_) << pool_shift);
 }
 
 size_t ServicePool::pool_of(uint64_t cookie) { return (cookie >> pool_shift) & pool_mask; }
--- a/src/roles/proxy/subscriber.cpp
+++ b/src/roles/proxy/subscriber.cpp
@@ -61,7 +61,7 @@
     out_of_touch_since_ = long_ago;
 }
 
-void Subscriber::leave(memory::Why why, Time now) {
+void Subscriber::leave(memory::CloseReason why, Time now) {
     outputs_.push_back(CloseLink{why});
     failed(now);
 }
@@ -89,7 +89,7 @@
 void Subscriber::move(const messages::ControlNode& to, Time now) {
     const auto& node = know(to);
     if (to.peer == at_ || now - node.failed < avoided) return;
-    outputs_.push_back(CloseLink{memory::Why::told_to_close});
+    outputs_.push_back(CloseLink{memory::CloseReason::told_to_close});
     out_of_touch_since_ = long_ago;
     open(to.peer, now);
 }
@@ -97,16 +97,16 @@
 void Subscriber::tick(Time now) {
     if (link_ == Link::opening && now - heard_ > open_within_) {
         open_within_ = std::min(open_within_ * longer, most_open_within);
-        leave(memory::Why::silent, now);
+        leave(memory::CloseReason::silent, now);
     }
-    if (link_ == Link::open && now - heard_ > silent_after) leave(memory::Why::silent, now);
+    if (link_ == Link::open && now - heard_ > silent_after) leave(memory::CloseReason::silent, now);
     const bool out_of_touch = out_of_touch_since_ > long_ago && now - out_of_touch_since_ > patience_;
     if (link_ != Link::none && out_of_touch) {
         nodes_[at_].failed = nodes_[at_].out_of_touch = now;
         const auto* other = choose(now);
         if (other && other->node.peer != at_) {
             patience_ = std::min(patience_ * longer, most_patience);
-            leave(memory::Why::told_to_close, now);
+            leave(memory::CloseReason::told_to_close, now);
         }
     }
     if (link_ != Link::none) return;
--- a/src/roles/proxy/subscriber.hpp
+++ b/src/roles/proxy/subscriber.hpp
@@ -23,7 +23,7 @@
 };
 // Ends the connection; its end is not told back.
 struct CloseLink {
-    memory::Why why = memory::Why::told_to_close;
+    memory::CloseReason why = memory::CloseReason::told_to_close;
 };
 // What the control node has said.
 struct MessageReceived {
@@ -68,7 +68,7 @@
     Node* choose(Time now);
     int distance(const Node& node, Time now) const;
     bool is_suspected(const std::string& zone, Time now) const;
-    void leave(memory::Why why, Time now);
+    void leave(memory::CloseReason why, Time now);
     Node& know(const messages::ControlNode& told);
     void forget_one();
     void hear_contact(const messages::FleetStatus& fleet, Time now);
--- a/src/roles/proxy/subscription.cpp
+++ b/src/roles/proxy/subscription.cpp
@@ -11,16 +11,16 @@
 namespace myrtleroute::proxy {
 namespace {
 
+using memory::CloseReason;
 using memory::Connection;
-using memory::Why;
 
-constexpr size_t most_in = 256 * 1024, most_out = 256 * 1024;
+constexpr size_t max_in = 256 * 1024, max_out = 256 * 1024;
 constexpr int unacknowledged_ms = 1500;   // then the other end counts as dead
 
 }   // namespace
 
 struct Subscription::Link : Connection {
-    Link(memory::Owner& by, int fd) : Connection(by, fd, most_in, most_out) {}
+    Link(memory::ConnectionHandler& by, int fd) : Connection(by, fd, max_in, max_out) {}
     std::string name() const override { return "control"; }
     messages::FrameReader reader;
 };
@@ -45,7 +45,7 @@
 
 void Subscription::stop() {
     stopped_ = true;
-    if (link_) end(Why::stopping);
+    if (link_) end(CloseReason::stopping);
 }
 
 void Subscription::tick() {
@@ -70,23 +70,23 @@
 }
 
 void Subscription::open(const Endpoint& to) {
-    const auto address = wire::read_endpoint(to.text());
+    const auto address = wire::parse_endpoint(to.text());
     bool at_once = false;
-    const int fd = address ? context_.home.connect_to(*address, at_once) : -1;
+    const int fd = address ? context_.system.connect(*address, at_once) : -1;
     if (fd < 0) return subscriber_.failed(context_.now());
     ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_ms, sizeof unacknowledged_ms);
     auto link = std::make_unique<Link>(*this, fd);
     link->connecting = !at_once;
-    link_ = &context_.loop.adopt(std::move(link));
+    link_ = &context_.loop.add(std::move(link));
     linked_to_ = to;
-    if (at_once) up(*link_);
+    if (at_once) on_connected(*link_);
 }
 
 void Subscription::ask(const messages::Message& ask) {
     if (subscriber_.is_open()) send(ask);
 }
 
-void Subscription::up(Connection&) {
+void Subscription::on_connected(Connection&) {
     log_info() << "subscribed to the control node at " << subscriber_.at().text();
     subscriber_.opened(events_.version(), context_.now());
     carry_out();
@@ -97,7 +97,7 @@
     if (link_ && link_->out.push(messages::frame(messages::encode(message)))) context_.loop.flush(*link_);
 }
 
-void Subscription::came(Connection& connection) {
+void Subscription::on_readable(Connection& connection) {
     auto& link = static_cast<Link&>(connection);
     while (link.open() && !link.in.empty()) {
         const auto bytes = link.in.front();
@@ -107,7 +107,7 @@
     while (auto json = link.reader.next())
         if (auto message = messages::decode(*json)) subscriber_.received(*message, context_.now());
     carry_out();
-    if (link.open() && (link.ended || link.error || link.reader.frame_too_long())) broke(link, ECONNRESET);
+    if (link.open() && (link.ended || link.error || link.reader.frame_too_long())) on_error(link, ECONNRESET);
 }
 
 void Subscription::take(const messages::Message& message) {
@@ -125,17 +125,17 @@
         events_.configuration_lease(*lease);
 }
 
-void Subscription::broke(Connection& connection, int) {
+void Subscription::on_error(Connection& connection, int) {
     if (&connection != link_) return;
     subscriber_.failed(context_.now());
-    end(Why::peer_reset);
+    end(CloseReason::peer_reset);
 }
 
-void Subscription::end(Why why) {
+void Subscription::end(CloseReason why) {
     if (!link_) return;
     events_.connected(false);
     log_info() << "left the control node at " << linked_to_.text() << ": " << memory::code(why);
-    context_.loop.end(*std::exchange(link_, nullptr), why);
+    context_.loop.close(*std::exchange(link_, nullptr), why);
 }
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/subscription.hpp
+++ b/src/roles/proxy/subscription.hpp
@@ -8,7 +8,7 @@
 
 namespace myrtleroute::proxy {
 
-class Subscription : public memory::Owner {
+class Subscription : public memory::ConnectionHandler {
 public:
     struct Events {
         std::function<void(const messages::ConfigurationUpdate&)> configuration;
@@ -27,10 +27,10 @@
     bool is_open() const { return subscriber_.is_open(); }
     void ask(const messages::Message& ask);   // at once, where there is a connection
 
-    void up(memory::Connection& connection) override;
-    void came(memory::Connection& connection) override;
-    void broke(memory::Connection& connection, int error) override;
-    void due(memory::Connection&) override {}
+    void on_connected(memory::Connection& connection) override;
+    void on_readable(memory::Connection& connection) override;
+    void on_error(memory::Connection& connection, int error) override;
+    void on_timer(memory::Connection&) override {}
 
 private:
     struct Link;
@@ -39,7 +39,7 @@
     void open(const Endpoint& to);
     void take(const messages::Message& message);
     void send(const messages::Message& message);
-    void end(memory::Why why);
+    void end(memory::CloseReason why);
 
     Context& context_;
     Events events_;
--- a/src/routing/prompt.hpp
+++ b/src/routing/prompt.hpp
@@ -18,16 +18,16 @@
 // request's own or its session's. Fields that are unsound count as missing.
 inline Prompt read_prompt(std::string_view counts, std::string_view parts) {
     Prompt prompt;
-    prompt.tokens_in = wire::decimal(wire::next_part(counts)).value_or(0);
-    prompt.tokens_out = wire::decimal(wire::next_part(counts)).value_or(0);
+    prompt.tokens_in = wire::parse_decimal(wire::next_item(counts)).value_or(0);
+    prompt.tokens_out = wire::parse_decimal(wire::next_item(counts)).value_or(0);
     uint64_t hash = fnv_basis;
     while (!parts.empty()) {
-        const auto part = wire::next_part(parts);
+        const auto part = wire::next_item(parts);
         if (parts.empty()) break;   // the last one
         const auto colon = part.find(':');
         hash = fnv1a(part.substr(0, colon), hash);
         prompt.shared_key = hash ? hash : 1;
-        if (colon != part.npos) prompt.shared_tokens += wire::decimal(part.substr(colon + 1)).value_or(0);
+        if (colon != part.npos) prompt.shared_tokens += wire::parse_decimal(part.substr(colon + 1)).value_or(0);
     }
     return prompt;
 }
--- a/src/run/clients.hpp
+++ b/src/run/clients.hpp
@@ -10,12 +10,12 @@
 
 namespace myrtleroute::run {
 
-class Clients : public memory::Owner {
+class Clients : public memory::ConnectionHandler {
 public:
     explicit Clients(Shared& shared) : s_(shared) {}
     bool open();                                     // false: can't listen there
     void ready() { ready_ = true; }                  // GET /up may answer 200
-    void give(memory::Held& call, int status, std::string_view body, std::string_view fields = {});
+    void give(memory::PendingCall& call, int status, std::string_view body, std::string_view fields = {});
     bool shed();                                     // ends a connection that can go, if there is one
     void settle();                                   // goes on with calls that wait behind an answer
     void answer_by(Time last) { answer_by_ = last; } // whatever time a call has
@@ -24,10 +24,10 @@
     bool over() const { return open_ == 0 && !listener_; }
     void on_full(std::function<bool()> make_room) { make_room_ = std::move(make_room); }
 
-    void came(memory::Connection& c) override;
-    void went(memory::Connection& c) override;
-    void broke(memory::Connection& c, int error) override;
-    void due(memory::Connection& c) override;
+    void on_readable(memory::Connection& c) override;
+    void on_written(memory::Connection& c) override;
+    void on_error(memory::Connection& c, int error) override;
+    void on_timer(memory::Connection& c) override;
 
 private:
     struct Listener;
@@ -38,10 +38,10 @@
     void say(Client& c, int status, std::string_view body, std::string_view fields = {});
     void refuse(Client& c, int status);
     void rest(Client& c);
-    void part(Client& c, memory::Why why);
+    void part(Client& c, memory::CloseReason why);
     void leave(Client& c);
     void wait(Client& c);
-    void end(Client& c, memory::Why why);
+    void end(Client& c, memory::CloseReason why);
 
     Shared& s_;
     Listener* listener_ = nullptr;
--- a/src/run/config.cpp
+++ b/src/run/config.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // Flattens nested JSON into path=value pairs; the list of servers in it goes to a reader of its own.
-class Flattener : public wire::JsonReader {
+class Flattener : public wire::JsonHandler {
 public:
-    explicit Flattener(wire::ListReader& known) : known_(known) {}
+    explicit Flattener(wire::ServerListReader& known) : known_(known) {}
     std::map<std::string, std::string> found;
     bool has_known = false, is_object = false;
 
@@ -66,14 +66,14 @@
         const auto name = in.list ? std::to_string(in.count++) : key_;
         return in.path.empty() ? name : in.path + "." + name;
     }
-    wire::ListReader& known_;
+    wire::ServerListReader& known_;
     std::vector<Open> open_;
     std::string key_;
     int known_depth_ = 0;
 };
 
 bool flatten(std::string_view text, Flattener& into) {
-    wire::JsonMachine machine(into);
+    wire::JsonParser machine(into);
     return machine.feed(text) && machine.finish() && into.is_object;
 }
 
@@ -93,13 +93,13 @@
     }
     sockaddr_in endpoint(const char* key, const char* variable) const {
         const auto said = text(key, variable);
-        const auto at = wire::read_endpoint(said);
+        const auto at = wire::parse_endpoint(said);
         if (!at) bad(key, "is no address and port: " + said);
         return *at;
     }
     size_t count(const char* key, const char* otherwise, size_t least, size_t most) const {
         const auto said = text(key, nullptr, otherwise);
-        const auto n = wire::decimal(said);
+        const auto n = wire::parse_decimal(said);
         if (!n || *n < static_cast<double>(least) || *n > static_cast<double>(most))
             bad(key, "must lie between " + std::to_string(least) + " and " + std::to_string(most) +
                          ": " + said);
@@ -114,7 +114,7 @@
 }  // namespace
 
 Config read_config(std::string text, const Environment& environment) {
-    wire::ListReader known;
+    wire::ServerListReader known;
     Flattener flat(known);
     if (!flatten(text, flat)) bad("BALANCER_CONFIG", "is no JSON object");
     if (flat.has_known && !known.sound()) bad(std::string("known.") + known.fault(), "is missing or unsound");
@@ -124,7 +124,7 @@
     c.listen = keys.endpoint("listen", "BALANCER_LISTEN");
     c.discovery = keys.endpoint("discovery", "BALANCER_DISCOVERY");
     const auto seed = keys.text("seed", nullptr);
-    const auto number = wire::whole<uint64_t>(seed, 16);
+    const auto number = wire::parse_integer<uint64_t>(seed, 16);
     if (!number) bad("seed", "is no hexadecimal number of up to 16 digits: " + seed);
     c.seed = *number;
     c.memory_mb = keys.count("limits.memory_mb", "192", 16, 1 << 20);
@@ -148,19 +148,19 @@
     return c;
 }
 
-Config read_config(Home& home, const Environment& environment) {
+Config read_config(System& system, const Environment& environment) {
     const char* path = environment("BALANCER_CONFIG");
     if (!path || !*path) bad("BALANCER_CONFIG", "is not set: it names the configuration file");
-    auto text = home.file(path);
+    auto text = system.read_file(path);
     if (!text) bad("BALANCER_CONFIG", std::string("names a file that can't be read: ") + path);
     return read_config(std::move(*text), environment);
 }
 
-void Config::tell_known(wire::ListSink& sink, uint64_t& rev) const {
-    wire::ListReader check;
+void Config::tell_known(wire::ServerListSink& sink, uint64_t& rev) const {
+    wire::ServerListReader check;
     Flattener first(check);
     if (!flatten(text, first) || !first.has_known) return;
-    wire::ListReader tell(&sink, check.whole());
+    wire::ServerListReader tell(&sink, check.whole());
     Flattener second(tell);
     flatten(text, second);
     rev = check.rev();
--- a/src/run/config.hpp
+++ b/src/run/config.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "run/home.hpp"
+#include "run/system.hpp"
 #include "run/log.hpp"
 #include "settings.hpp"
 #include "wire/discovery.hpp"
@@ -28,7 +28,7 @@
     Settings settings;
 
     // Tells the list that the configuration holds, if it holds one.
-    void tell_known(wire::ListSink& sink, uint64_t& rev) const;
+    void tell_known(wire::ServerListSink& sink, uint64_t& rev) const;
 
     std::string text;   // the configuration itself, dropped once the list has been told
 };
@@ -36,7 +36,7 @@
 using Environment = std::function<const char*(const char* name)>;
 
 // From the file that BALANCER_CONFIG names; other variables of the environment win over what it says.
-Config read_config(Home& home, const Environment& environment);
+Config read_config(System& system, const Environment& environment);
 Config read_config(std::string text, const Environment& environment);
 
 }  // namespace myrtleroute::run
--- a/src/run/log.hpp
+++ b/src/run/log.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "run/home.hpp"
+#include "run/system.hpp"
 
 namespace myrtleroute::run {
 
@@ -22,7 +22,7 @@
 
 class Log {
 public:
-    Log(Level least, Home& home, std::ostream& out = std::cerr) : least_(least), home_(home), out_(out) {}
+    Log(Level least, System& system, std::ostream& out = std::cerr) : least_(least), system_(system), out_(out) {}
 
     ~Log() { flush(); }
     // Writes the lines collected since: once a round, so that a crowd of them costs little.
@@ -34,9 +34,9 @@
     // Collects a line and passes it on whole when it goes out of scope.
     class Line {
     public:
-        Line(std::string* lines, Level level, Home& home) : lines_(lines) {
+        Line(std::string* lines, Level level, System& system) : lines_(lines) {
             if (!lines_) return;
-            text_ << std::fixed << std::setprecision(3) << home.unix_time() << ' '
+            text_ << std::fixed << std::setprecision(3) << system.unix_time() << ' '
                   << level_names[static_cast<int>(level)] << ' ';
             text_.unsetf(std::ios::fixed);
         }
@@ -57,7 +57,7 @@
 
     void let(Level least) { least_ = least; }   // from now on
     bool writes(Level level) const { return level >= least_; }
-    Line at(Level level) { return {writes(level) ? &lines_ : nullptr, level, home_}; }
+    Line at(Level level) { return {writes(level) ? &lines_ : nullptr, level, system_}; }
     Line debug() { return at(Level::debug); }
     Line info() { return at(Level::info); }
     Line warning() { return at(Level::warning); }
@@ -65,7 +65,7 @@
 
 private:
     Level least_;
-    Home& home_;
+    System& system_;
     std::ostream& out_;
     std::string lines_;
 };
--- a/src/run/loop.hpp
+++ b/src/run/loop.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "memory/connection.hpp"
-#include "run/home.hpp"
+#include "run/system.hpp"
 #include "run/log.hpp"
 #include "time.hpp"
 
@@ -15,54 +15,54 @@
 
 class Loop {
 public:
-    Loop(Log& log, Home& home);
+    Loop(Log& log, System& system);
     Time now() const { return now_; }
-    Home& home() const { return home_; }
+    System& system() const { return system_; }
     size_t connections() const { return polled_.size(); }
     size_t timers() const { return timers_.size(); }
-    size_t unwritten() const;   // connections with bytes that wait to be written
-    size_t wakes() const { return wakes_.size(); }
+    size_t unwritten_connections() const;   // connections with bytes that wait to be written
+    size_t scheduled() const { return scheduled_.size(); }
 
     template <class C>
-    C& adopt(std::unique_ptr<C> connection) {
+    C& add(std::unique_ptr<C> connection) {
         C& c = *connection;
-        take_in(std::move(connection));
+        register_connection(std::move(connection));
         return c;
     }
     void flush(memory::Connection& c);                     // writes what it can; the rest when it may
-    void listen_to(memory::Connection& c, bool on);
-    void end(memory::Connection& c, memory::Why why);      // closes it, with its log line
-    void end_all(memory::Why why);
-    void set(memory::Connection& c, Time at) { timers_.set(c, at); }
-    void clear(memory::Connection& c) { timers_.clear(c); }
-    void wake(Time at, uint64_t cookie) { wakes_.push({at, next_wake_++, cookie}); }
+    void poll_for_input(memory::Connection& c, bool on);
+    void close(memory::Connection& c, memory::CloseReason why);      // closes it, with its log line
+    void close_all(memory::CloseReason why);
+    void set_timer(memory::Connection& c, Time at) { timers_.set(c, at); }
+    void clear_timer(memory::Connection& c) { timers_.clear(c); }
+    void schedule(Time at, uint64_t cookie) { scheduled_.push({at, next_scheduled_++, cookie}); }
 
     // One round: waits until something is due or has come, and hands it on. `settle` runs after every part,
     // for what must not happen inside of what caused it; `woken` gets the cookies whose time has come.
-    void round(const std::function<void(uint64_t)>& woken, const std::function<void()>& settle);
+    void run_once(const std::function<void(uint64_t)>& woken, const std::function<void()>& settle);
 
 private:
-    void take_in(std::unique_ptr<memory::Connection> c);
-    void look_again(memory::Connection& c);                // at what it is polled for
+    void register_connection(std::unique_ptr<memory::Connection> c);
+    void update_poll_events(memory::Connection& c);                // at what it is polled for
     void read(memory::Connection& c);
-    void ready(memory::Connection& c, short what);
-    int pause() const;
+    void dispatch(memory::Connection& c, short what);
+    int poll_timeout() const;
 
-    struct Wake {
+    struct ScheduledTimer {
         Time at;
         uint64_t number, cookie;
-        bool operator<(const Wake& o) const { return at != o.at ? at > o.at : number > o.number; }
+        bool operator<(const ScheduledTimer& o) const { return at != o.at ? at > o.at : number > o.number; }
     };
     Log& log_;
-    Home& home_;
+    System& system_;
     Time now_;
     std::vector<pollfd> polled_;
     std::vector<std::unique_ptr<memory::Connection>> connections_;   // by the same places
     std::vector<std::unique_ptr<memory::Connection>> ended_;         // until the round is over
     std::vector<std::pair<memory::Connection*, short>> ready_;
     memory::Timers timers_;
-    std::priority_queue<Wake> wakes_;
-    uint64_t next_number_ = 1, next_wake_ = 0;
+    std::priority_queue<ScheduledTimer> scheduled_;
+    uint64_t next_number_ = 1, next_scheduled_ = 0;
 };
 
 }  // namespace myrtleroute::run
--- a/src/run/posix_home.cpp
+++ b/src/run/posix_system.cpp
@@ -1,4 +1,4 @@
-#include "run/posix_home.hpp"
+#include "run/posix_system.hpp"
 
 #include <fcntl.h>
 #include <netinet/tcp.h>
@@ -52,12 +52,12 @@
 
 }  // namespace
 
-Time PosixHome::now() { return {seconds<std::chrono::steady_clock>()}; }
-double PosixHome::unix_time() { return seconds<std::chrono::system_clock>(); }
+Time PosixSystem::now() { return {seconds<std::chrono::steady_clock>()}; }
+double PosixSystem::unix_time() { return seconds<std::chrono::system_clock>(); }
 
-int PosixHome::wait(pollfd* polled, size_t n, int ms) { return ::poll(polled, n, ms); }
+int PosixSystem::poll(pollfd* polled, size_t n, int ms) { return ::poll(polled, n, ms); }
 
-int PosixHome::listen_at(const sockaddr_in& at) {
+int PosixSystem::listen(const sockaddr_in& at) {
     const int fd = socket_of_ours(), on = 1;
     if (fd < 0) return fd;
     ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -65,7 +65,7 @@
     return ::bind(fd, address, sizeof at) == 0 && ::listen(fd, 1024) == 0 ? fd : given_up(fd);
 }
 
-int PosixHome::connect_to(const sockaddr_in& at, bool& at_once) {
+int PosixSystem::connect(const sockaddr_in& at, bool& at_once) {
     const int fd = socket_of_ours();
     if (fd < 0) return fd;
     int done;
@@ -75,43 +75,43 @@
     return done == 0 || errno == EINPROGRESS || errno == EALREADY ? fd : given_up(fd);
 }
 
-int PosixHome::accept(int fd) {
+int PosixSystem::accept(int fd) {
     const int fresh = ::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fresh >= 0) write_at_once(fresh);   // Linux hands it on from the listener, POSIX does not say so
     return fresh;
 }
 
-int PosixHome::error_of(int fd) {
+int PosixSystem::connect_error(int fd) {
     int error = 0;
     socklen_t size = sizeof error;
     ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size);
     return error;
 }
 
-ssize_t PosixHome::read(int fd, const iovec* parts, int n) { return ::readv(fd, parts, n); }
+ssize_t PosixSystem::read(int fd, const iovec* parts, int n) { return ::readv(fd, parts, n); }
 
-ssize_t PosixHome::write(int fd, const iovec* parts, int n) {
+ssize_t PosixSystem::write(int fd, const iovec* parts, int n) {
     msghdr message{};
     message.msg_iov = const_cast<iovec*>(parts);
     message.msg_iovlen = static_cast<size_t>(n);
     return ::sendmsg(fd, &message, MSG_NOSIGNAL);
 }
 
-bool PosixHome::still_quiet(int fd) {
+bool PosixSystem::is_idle(int fd) {
     char byte;
     const auto n = ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
 }
 
-bool PosixHome::has_unread(int fd) {
+bool PosixSystem::has_unread(int fd) {
     char byte;
     return ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-void PosixHome::end_sending(int fd) { ::shutdown(fd, SHUT_WR); }
-void PosixHome::close(int fd) { ::close(fd); }
+void PosixSystem::shutdown_write(int fd) { ::shutdown(fd, SHUT_WR); }
+void PosixSystem::close(int fd) { ::close(fd); }
 
-int PosixHome::hear_signals() {
+int PosixSystem::watch_signals() {
     int ends[2];
     if (::pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) return -1;
     signal_pipe = ends[1];
@@ -122,19 +122,19 @@
     return ::sigaction(SIGPIPE, &action, nullptr) == 0 ? ends[0] : -1;
 }
 
-int PosixHome::next_signal(int fd) {
+int PosixSystem::next_signal(int fd) {
     char number = 0;
     return ::read(fd, &number, 1) == 1 ? number : 0;
 }
 
-size_t PosixHome::most_descriptors() {
+size_t PosixSystem::max_descriptors() {
     rlimit system{};
     return ::getrlimit(RLIMIT_NOFILE, &system) == 0 ? system.rlim_cur : static_cast<size_t>(-1);
 }
 
-const char* PosixHome::variable(const char* name) { return std::getenv(name); }
+const char* PosixSystem::environment_variable(const char* name) { return std::getenv(name); }
 
-std::optional<std::string> PosixHome::file(const std::string& path) {
+std::optional<std::string> PosixSystem::read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::string text(std::istreambuf_iterator<char>(file), {});
     if (!file) return {};
--- a/src/run/proxy.cpp
+++ b/src/run/proxy.cpp
@@ -18,14 +18,14 @@
 constexpr Span last_words{0.25};   // for the last answers to be read, before the end
 
 struct Signals : memory::Connection {
-    Signals(memory::Owner& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
+    Signals(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
     std::string name() const override { return "signals"; }
 };
 
 }  // namespace
 
-Proxy::Proxy(Config config, Home& home, std::ostream& log)
-    : s_(std::move(config), home, log), clients_(s_), servers_(s_, clients_), watcher_(s_, servers_) {
+Proxy::Proxy(Config config, System& system, std::ostream& log)
+    : s_(std::move(config), system, log), clients_(s_), servers_(s_, clients_), watcher_(s_, servers_) {
     clients_.on_full([this] { return servers_.make_room(); });
 }
 
@@ -36,7 +36,7 @@
 }
 
 bool Proxy::start() {
-    if (!hear_signals() || !clients_.open()) {
+    if (!watch_signals() || !clients_.open()) {
         s_.log.error() << "configuration: listen can't be listened to: " << std::strerror(errno);
         return false;
     }
@@ -50,9 +50,10 @@
 
 bool Proxy::round() {
     if (watcher_.has_list()) clients_.ready();
-    s_.loop.round([this](uint64_t cookie) { s_.balancer->timer_fired(s_.loop.now(), cookie); }, [this] { settle(); });
+    s_.loop.run_once([this](uint64_t cookie) { s_.balancer->timer_fired(s_.loop.now(), cookie); },
+                     [this] { settle(); });
     if (phase_ < closed || (phase_ < over && !clients_.over())) return true;
-    s_.loop.end_all(memory::Why::stopping);
+    s_.loop.close_all(memory::CloseReason::stopping);
     s_.log.info() << s_.config.name << " ends: " << counts();
     return false;
 }
@@ -66,14 +67,14 @@
     return out.str();
 }
 
-bool Proxy::hear_signals() {
-    const int fd = s_.home.hear_signals();
-    if (fd >= 0) signals_ = &s_.loop.adopt(std::make_unique<Signals>(*this, fd));
+bool Proxy::watch_signals() {
+    const int fd = s_.system.watch_signals();
+    if (fd >= 0) signals_ = &s_.loop.add(std::make_unique<Signals>(*this, fd));
     return fd >= 0;
 }
 
-void Proxy::came(memory::Connection& c) {
-    while (const int number = s_.home.next_signal(c.fd)) {
+void Proxy::on_readable(memory::Connection& c) {
+    while (const int number = s_.system.next_signal(c.fd)) {
         if (number == SIGUSR1) {
             s_.log.warning() << s_.config.name << " counts: " << counts();
         } else if (number == SIGHUP) {
@@ -86,7 +87,7 @@
             end_at_ = s_.loop.now() + std::min(longest, most_timeout) + beyond_timeout;
             // Guards against calls that come while it stops and have more time than it has.
             clients_.answer_by(end_at_ - last_words);
-            s_.loop.set(*signals_, s_.loop.now() + clients_come);
+            s_.loop.set_timer(*signals_, s_.loop.now() + clients_come);
         }
     }
 }
@@ -96,10 +97,10 @@
 // all stays as it was.
 void Proxy::read_again() {
     const auto environment = [this](const char* name) -> const char* {
-        return std::string_view(name) == "BALANCER_DISCOVERY" ? nullptr : s_.home.variable(name);
+        return std::string_view(name) == "BALANCER_DISCOVERY" ? nullptr : s_.system.environment_variable(name);
     };
     try {
-        const Config fresh = read_config(s_.home, environment);
+        const Config fresh = read_config(s_.system, environment);
         s_.config.discovery = fresh.discovery;
         s_.config.memory_mb = fresh.memory_mb;
         s_.config.sockets = fresh.sockets;
@@ -112,15 +113,15 @@
     }
 }
 
-void Proxy::due(memory::Connection&) {
+void Proxy::on_timer(memory::Connection&) {
     if (phase_ == stopping) {
         phase_ = closed;
         clients_.last_ones();
-        s_.loop.set(*signals_, end_at_ - last_words);
+        s_.loop.set_timer(*signals_, end_at_ - last_words);
     } else if (phase_ == closed) {
         phase_ = answered;
         last_answers();
-        s_.loop.set(*signals_, end_at_);
+        s_.loop.set_timer(*signals_, end_at_);
     } else {
         phase_ = over;
     }
@@ -136,28 +137,28 @@
 
 // What can't be waited for any longer gets its answer all the same, in time for it to be read.
 void Proxy::last_answers() {
-    s_.calls.each([this](memory::Held& call) {
+    s_.calls.each([this](memory::PendingCall& call) {
         if (!call.client) return;
         error(call.id);
         s_.balancer->client_left(s_.loop.now(), call.id);   // it has its answer: nothing more is sent for it
-        s_.calls.forget_if_over(call);
+        s_.calls.erase_if_finished(call);
     });
     clients_.part_with_all();
 }
 
-void Proxy::send(CallId id, ServerId server, Span try_for) {
-    if (auto* call = s_.calls.find(id)) servers_.send(*call, server, try_for);
+void Proxy::send(CallId id, ServerId server, Span timeout) {
+    if (auto* call = s_.calls.find(id)) servers_.send(*call, server, timeout);
 }
 
-void Proxy::cancel(CallId id, int shot) {
-    if (auto* call = s_.calls.find(id)) servers_.cancel(*call, shot);
+void Proxy::cancel(CallId id, int attempt) {
+    if (auto* call = s_.calls.find(id)) servers_.cancel(*call, attempt);
 }
 
-void Proxy::rate_limit(CallId id, Span come_back) {
+void Proxy::rate_limit(CallId id, Span retry_after) {
     auto* call = s_.calls.find(id);
     if (!call) return;
     s_.counters.add(Count::calls_rate_limited);
-    clients_.give(*call, 429, "", wire::come_back(come_back));
+    clients_.give(*call, 429, "", wire::retry_after_field(retry_after));
 }
 
 void Proxy::error(CallId id) {
@@ -170,12 +171,12 @@
 void Proxy::probe(ServerId server) { servers_.probe(server); }
 
 void Proxy::close_idle(ServerId id) {
-    if (auto* server = s_.servers.find(id)) servers_.close_idle(*server, memory::Why::idle);
+    if (auto* server = s_.servers.find(id)) servers_.close_idle(*server, memory::CloseReason::idle);
 }
 
 void Proxy::watch_list() { watcher_.watch(); }
 
-void Proxy::set_timer(Span after, uint64_t cookie) { s_.loop.wake(s_.loop.now() + after, cookie); }
+void Proxy::set_timer(Span after, uint64_t cookie) { s_.loop.schedule(s_.loop.now() + after, cookie); }
 
 void Proxy::log(std::string_view line, ServerId about) {
     const auto* server = about ? s_.servers.find(about) : nullptr;
--- a/src/run/proxy.hpp
+++ b/src/run/proxy.hpp
@@ -7,17 +7,17 @@
 
 namespace myrtleroute::run {
 
-class Proxy : public Actions, public memory::Owner {
+class Proxy : public Actions, public memory::ConnectionHandler {
 public:
-    Proxy(Config config, Home& home, std::ostream& log = std::cerr);
+    Proxy(Config config, System& system, std::ostream& log = std::cerr);
     int run();      // until SIGTERM or SIGINT; the program's exit status
     bool start();   // false: it can't listen
     bool round();   // one of the loop's; false: it has ended
     Shared& state() { return s_; }   // to look at from outside
 
-    void send(CallId call, ServerId server, Span try_for) override;
-    void cancel(CallId call, int shot) override;
-    void rate_limit(CallId call, Span come_back) override;
+    void send(CallId call, ServerId server, Span timeout) override;
+    void cancel(CallId call, int attempt) override;
+    void rate_limit(CallId call, Span retry_after) override;
     void error(CallId call) override;
     void probe(ServerId server) override;
     void close_idle(ServerId server) override;
@@ -26,10 +26,10 @@
     void log(std::string_view line, ServerId about) override;
 
 private:
-    void came(memory::Connection& c) override;   // a signal
-    void broke(memory::Connection&, int) override {}
-    void due(memory::Connection&) override;      // the time to stop, then the time to end
-    bool hear_signals();
+    void on_readable(memory::Connection& c) override;   // a signal
+    void on_error(memory::Connection&, int) override {}
+    void on_timer(memory::Connection&) override;      // the time to stop, then the time to end
+    bool watch_signals();
     void read_again();
     std::string counts() const;
     void settle();
