--- a/src/run/servers.cpp
+++ b/src/run/servers.cpp
@@ -8,12 +8,12 @@
 
 namespace myrtleroute::memory {
 
-constexpr size_t most_in = 16 * 1024, most_out = wire::most_body + 40 * 1024;
+constexpr size_t max_in = 16 * 1024, max_out = wire::max_body + 40 * 1024;
 
-Line::Line(Owner& by, int fd, Server& to)
-    : Connection(by, fd, most_in, most_out), server(&to), http(wire::HttpMachine::Side::answer, reader) {
-    ++to.lines;
-    hears_leaving = true;   // no call goes out on it then
+ServerConnection::ServerConnection(ConnectionHandler& by, int fd, Server& to)
+    : Connection(by, fd, max_in, max_out), server(&to), http(wire::HttpParser::Side::response, reader) {
+    ++to.connections;
+    detect_peer_close = true;   // no call goes out on it then
 }
 
 }  // namespace myrtleroute::memory
@@ -22,8 +22,8 @@
 
 using memory::Connection;
 using memory::Count;
-using memory::Line;
-using memory::Why;
+using memory::ServerConnection;
+using memory::CloseReason;
 
 namespace {
 
@@ -48,187 +48,189 @@
 
 }  // namespace
 
-void Servers::send(memory::Held& call, ServerId id, Span try_for) {
-    const int shot = static_cast<int>(call.shots.size());
+void Servers::send(memory::PendingCall& call, ServerId id, Span timeout) {
+    const int attempt = static_cast<int>(call.attempts.size());
     auto outcome = Outcome::never_sent;
-    Line* line = try_for > Span{} ? line_to(id, outcome) : nullptr;
-    call.shots.push_back(line);
-    ++call.out;
+    ServerConnection* connection = timeout > Span{} ? connection_to(id, outcome) : nullptr;
+    call.attempts.push_back(connection);
+    ++call.open_attempts;
     s_.counters.add(Count::shots_sent);
-    if (!line) {
-        ended_.push_back({call.id, shot, outcome, 0});
+    if (!connection) {
+        ended_.push_back({call.id, attempt, outcome, 0});
         return;
     }
-    line->call = &call;
-    line->shot = shot;
-    dispatch(*line, try_for);
+    connection->call = &call;
+    connection->attempt = attempt;
+    dispatch(*connection, timeout);
 }
 
 // The latest used of the idle connections that has not been closed at the other end, or else a new one.
-Line* Servers::line_to(ServerId id, Outcome& otherwise) {
+ServerConnection* Servers::connection_to(ServerId id, Outcome& otherwise) {
     auto* server = s_.servers.find(id);
     if (!server) return nullptr;
     // Guards against a second answer, or noise, right behind the one that was asked for: what comes while
     // nothing is out closes the connection, but after the next call it would pass for that call's answer.
     const Time rested = s_.loop.now() - s_.settings().connect_timeout * rest_share;
     for (auto it = server->idle.begin(); it != server->idle.end();) {
-        auto& line = **it++;
-        if (line.answered > rested) continue;
-        unused(line);
-        if (s_.home.still_quiet(line.fd)) return &line;
-        s_.loop.end(line, Why::peer_closed);
+        auto& connection = **it++;
+        if (connection.answered > rested) continue;
+        unused(connection);
+        if (s_.system.is_idle(connection.fd)) return &connection;
+        s_.loop.close(connection, CloseReason::peer_closed);
     }
-    if (s_.loop.connections() >= s_.most_connections() && !make_room()) return nullptr;
+    if (s_.loop.connections() >= s_.max_connections() && !make_room()) return nullptr;
     bool at_once = false;
-    int fd = s_.home.connect_to(server->at, at_once);
-    if (fd < 0 && errno == EMFILE && make_room()) fd = s_.home.connect_to(server->at, at_once);
+    int fd = s_.system.connect(server->at, at_once);
+    if (fd < 0 && errno == EMFILE && make_room()) fd = s_.system.connect(server->at, at_once);
     if (fd < 0) {
         // That we have no descriptor left is no server's fault.
         if (errno != EMFILE && errno != ENFILE) otherwise = Outcome::connect_failed;
         return nullptr;
     }
     s_.counters.add(Count::connections_to_servers);
-    auto line = std::make_unique<Line>(*this, fd, *server);
-    line->connecting = !at_once;
-    return &s_.loop.adopt(std::move(line));
+    auto connection = std::make_unique<ServerConnection>(*this, fd, *server);
+    connection->connecting = !at_once;
+    return &s_.loop.add(std::move(connection));
 }
 
-void Servers::dispatch(Line& line, Span try_for) {
-    line.sent = s_.loop.now();
-    line.begun = false;
-    line.until = line.sent + try_for;
-    const auto up_by = line.sent + s_.settings().connect_timeout;
-    s_.loop.set(line, line.connecting ? std::min(line.until, up_by) : line.until);
-    if (!line.connecting) write(line);
+void Servers::dispatch(ServerConnection& connection, Span timeout) {
+    connection.sent = s_.loop.now();
+    connection.begun = false;
+    connection.until = connection.sent + timeout;
+    const auto up_by = connection.sent + s_.settings().connect_timeout;
+    s_.loop.set_timer(connection, connection.connecting ? std::min(connection.until, up_by) : connection.until);
+    if (!connection.connecting) write(connection);
 }
 
 // Guards against what changed while the connection was coming up: the server may drain by now, a window may be over,
 // and less time is left than when the call was handed over.
-void Servers::up(Connection& connection) {
-    auto& line = static_cast<Line&>(connection);
-    if (s_.loop.now() >= line.until) return timed_out(line, Outcome::connect_failed, Why::connect_timed_out);
-    if (line.call && !s_.balancer->may_start(s_.loop.now(), line.call->id, line.shot))
-        return ends(line, Outcome::never_sent, Why::server_left);
-    s_.loop.set(line, line.until);
-    write(line);
+void Servers::on_connected(Connection& base) {
+    auto& connection = static_cast<ServerConnection&>(base);
+    if (s_.loop.now() >= connection.until)
+        return timed_out(connection, Outcome::connect_failed, CloseReason::connect_timed_out);
+    if (connection.call && !s_.balancer->may_start(s_.loop.now(), connection.call->id, connection.attempt))
+        return ends(connection, Outcome::never_sent, CloseReason::server_left);
+    s_.loop.set_timer(connection, connection.until);
+    write(connection);
 }
 
-void Servers::write(Line& line) {
-    if (line.call) write(line, line.call->ask.head, line.call->ask.body);
-    else write(line, "GET /alive HTTP/1.1\r\nHost: " + line.server->endpoint + "\r\n", "");
-    s_.loop.flush(line);
+void Servers::write(ServerConnection& connection) {
+    if (connection.call) write(connection, connection.call->ask.head, connection.call->ask.body);
+    else write(connection, "GET /alive HTTP/1.1\r\nHost: " + connection.server->endpoint + "\r\n", "");
+    s_.loop.flush(connection);
 }
 
-void Servers::write(Line& line, const std::string& head, const std::string& body) {
-    const auto left = static_cast<long long>((line.until - s_.loop.now()).s * 1e6);
-    line.out.push(head);
-    line.out.push("X-Timeout: " + std::to_string(left) + "u\r\n");
+void Servers::write(ServerConnection& connection, const std::string& head, const std::string& body) {
+    const auto left = static_cast<long long>((connection.until - s_.loop.now()).s * 1e6);
+    connection.out.push(head);
+    connection.out.push("X-Timeout: " + std::to_string(left) + "u\r\n");
     if (!body.empty() || head.front() == 'P')
-        line.out.push("Content-Length: " + std::to_string(body.size()) + "\r\n");
-    line.out.push("\r\n");
-    line.out.push(body);
+        connection.out.push("Content-Length: " + std::to_string(body.size()) + "\r\n");
+    connection.out.push("\r\n");
+    connection.out.push(body);
 }
 
-void Servers::cancel(memory::Held& call, int shot) {
-    if (shot < 0 || shot >= static_cast<int>(call.shots.size()) || !call.shots[shot]) return;
-    auto& line = static_cast<Line&>(*call.shots[shot]);
+void Servers::cancel(memory::PendingCall& call, int attempt) {
+    if (attempt < 0 || attempt >= static_cast<int>(call.attempts.size()) || !call.attempts[attempt]) return;
+    auto& connection = static_cast<ServerConnection&>(*call.attempts[attempt]);
     // What no byte of has gone out provably never ran.
-    const auto outcome = line.connecting ? Outcome::never_sent : Outcome::cancelled;
-    call.shots[shot] = nullptr;
-    line.call = nullptr;
-    s_.loop.end(line, Why::cancelled);
-    ended_.push_back({call.id, shot, outcome, 0});
+    const auto outcome = connection.connecting ? Outcome::never_sent : Outcome::cancelled;
+    call.attempts[attempt] = nullptr;
+    connection.call = nullptr;
+    s_.loop.close(connection, CloseReason::cancelled);
+    ended_.push_back({call.id, attempt, outcome, 0});
 }
 
 void Servers::probe(ServerId id) {
     auto outcome = Outcome::never_sent;
-    Line* line = line_to(id, outcome);
+    ServerConnection* connection = connection_to(id, outcome);
     s_.counters.add(Count::probes_sent);
-    if (!line) {
+    if (!connection) {
         ended_.push_back({0, 0, outcome, id});
         return;
     }
-    line->probes = true;
-    dispatch(*line, s_.settings().connect_timeout * probe_share);
+    connection->probes = true;
+    dispatch(*connection, s_.settings().connect_timeout * probe_share);
 }
 
-void Servers::came(Connection& connection) {
-    auto& line = static_cast<Line&>(connection);
-    if (!line.busy()) {
-        unused(line);
-        return s_.loop.end(line, line.in.empty() ? Why::peer_closed : Why::bad_answer);
+void Servers::on_readable(Connection& base) {
+    auto& connection = static_cast<ServerConnection&>(base);
+    if (!connection.busy()) {
+        unused(connection);
+        return s_.loop.close(connection, connection.in.empty() ? CloseReason::peer_closed : CloseReason::bad_answer);
     }
-    while (!line.in.empty() && !line.http.done() && !line.http.fault())
-        line.in.drop(line.http.feed(line.in.front()));
-    if (line.ended && !line.http.done()) line.http.closed();
-    if (line.http.done() && line.out.empty()) return done(line);
+    while (!connection.in.empty() && !connection.http.done() && !connection.http.fault())
+        connection.in.drop(connection.http.feed(connection.in.front()));
+    if (connection.ended && !connection.http.done()) connection.http.connection_closed();
+    if (connection.http.done() && connection.out.empty()) return done(connection);
     // Broken before the last byte of the call was written, it can't have run.
-    const auto outcome = line.out.empty() ? Outcome::reset : Outcome::connect_failed;
-    if (line.http.done() && line.reader.outcome() == Outcome::full)
-        ends(line, Outcome::full, Why::told_to_close);
-    else if (line.http.done() || line.http.fault())
-        ends(line, outcome, line.ended ? Why::peer_closed : Why::bad_answer);
-    else if (line.ended) ends(line, outcome, Why::peer_closed);
-    else if (line.http.begun() && !std::exchange(line.begun, true))
-        s_.loop.set(line, std::min(line.until, s_.loop.now() + s_.settings().connect_timeout * whole_share));
+    const auto outcome = connection.out.empty() ? Outcome::reset : Outcome::connect_failed;
+    if (connection.http.done() && connection.reader.outcome() == Outcome::full)
+        ends(connection, Outcome::full, CloseReason::told_to_close);
+    else if (connection.http.done() || connection.http.fault())
+        ends(connection, outcome, connection.ended ? CloseReason::peer_closed : CloseReason::bad_answer);
+    else if (connection.ended) ends(connection, outcome, CloseReason::peer_closed);
+    else if (connection.http.started() && !std::exchange(connection.begun, true))
+        s_.loop.set_timer(connection,
+                          std::min(connection.until, s_.loop.now() + s_.settings().connect_timeout * whole_share));
 }
 
 // A whole answer.
-void Servers::done(Line& line) {
-    const auto outcome = line.reader.outcome();
-    const bool keeps = line.http.keeps() && line.in.empty() && !line.ended;
-    auto reply = std::move(line.reader);
-    auto* call = std::exchange(line.call, nullptr);
-    const int shot = line.shot;
-    const bool probe = std::exchange(line.probes, false);
-    const auto server = line.server->id;
-    line.http.next();
-    line.reader = {};
-    line.server->heard = line.answered = s_.loop.now();
+void Servers::done(ServerConnection& connection) {
+    const auto outcome = connection.reader.outcome();
+    const bool keeps = connection.http.keeps_alive() && connection.in.empty() && !connection.ended;
+    auto reply = std::move(connection.reader);
+    auto* call = std::exchange(connection.call, nullptr);
+    const int attempt = connection.attempt;
+    const bool probe = std::exchange(connection.probes, false);
+    const auto server = connection.server->id;
+    connection.http.next();
+    connection.reader = {};
+    connection.server->last_response = connection.answered = s_.loop.now();
     if (!reply.load.empty()) {
         std::string figures;
         const bool sound = wire::read_load(reply.load, [&](std::string_view name, double value) {
             figures.append(" ").append(name).append("=").append(std::to_string(value));
         });
         s_.counters.add(sound ? Count::load_reports : Count::load_reports_bad);
-        if (sound) s_.log.debug() << "load of " << line.server->uid << ':' << figures;
+        if (sound) s_.log.debug() << "load of " << connection.server->uid << ':' << figures;
     }
     if (keeps) {
-        line.place = idle_.insert(idle_.begin(), &line);
-        line.server_place = line.server->idle.insert(line.server->idle.begin(), &line);
-        line.idle = true;
-        s_.loop.set(line, s_.loop.now() + s_.settings().idle_close * idle_share);
+        connection.place = idle_.insert(idle_.begin(), &connection);
+        connection.server_place = connection.server->idle.insert(connection.server->idle.begin(), &connection);
+        connection.idle = true;
+        s_.loop.set_timer(connection, s_.loop.now() + s_.settings().idle_close * idle_share);
     } else {
-        s_.loop.end(line, Why::told_to_close);
+        s_.loop.close(connection, CloseReason::told_to_close);
     }
     if (probe) return probed(server, outcome == Outcome::fulfilled);
-    call->shots[shot] = nullptr;
+    call->attempts[attempt] = nullptr;
     if (outcome == Outcome::fulfilled && call->client) {
         s_.counters.add(Count::calls_fulfilled);
         clients_.give(*call, 200, reply.text,
                       reply.content_type.empty() ? "" : "Content-Type: " + reply.content_type + "\r\n");
     }
-    told(call->id, shot, outcome);
+    told(call->id, attempt, outcome);
 }
 
-void Servers::ends(Line& line, Outcome outcome, Why why) {
-    auto* call = std::exchange(line.call, nullptr);
-    const int shot = line.shot;
-    const auto server = line.server->id;
-    const bool probe = line.probes;
-    s_.loop.end(line, why);
+void Servers::ends(ServerConnection& connection, Outcome outcome, CloseReason why) {
+    auto* call = std::exchange(connection.call, nullptr);
+    const int attempt = connection.attempt;
+    const auto server = connection.server->id;
+    const bool probe = connection.probes;
+    s_.loop.close(connection, why);
     if (probe) return probed(server, false);
-    call->shots[shot] = nullptr;
-    told(call->id, shot, outcome);
+    call->attempts[attempt] = nullptr;
+    told(call->id, attempt, outcome);
 }
 
-void Servers::told(CallId id, int shot, Outcome outcome) {
+void Servers::told(CallId id, int attempt, Outcome outcome) {
     auto* call = s_.calls.find(id);
     if (!call) return;
     s_.counters.add(counter(outcome));
-    --call->out;
-    s_.balancer->attempt_ended(s_.loop.now(), id, shot, outcome, !call->client);
-    s_.calls.forget_if_over(*call);
+    --call->open_attempts;
+    s_.balancer->attempt_ended(s_.loop.now(), id, attempt, outcome, !call->client);
+    s_.calls.erase_if_finished(*call);
 }
 
 void Servers::probed(ServerId server, bool answered) {
@@ -241,55 +243,55 @@
         const auto ended = ended_.front();
         ended_.pop_front();
         if (ended.probed) probed(ended.probed, false);
-        else told(ended.call, ended.shot, ended.outcome);
+        else told(ended.call, ended.attempt, ended.outcome);
     }
 }
 
-void Servers::broke(Connection& connection, int error) {
-    auto& line = static_cast<Line&>(connection);
-    if (!line.busy()) {
-        unused(line);
-        return s_.loop.end(line, Why::peer_reset);
+void Servers::on_error(Connection& base, int error) {
+    auto& connection = static_cast<ServerConnection&>(base);
+    if (!connection.busy()) {
+        unused(connection);
+        return s_.loop.close(connection, CloseReason::peer_reset);
     }
-    const bool up = !line.connecting;
-    ends(line, up && line.out.empty() ? Outcome::reset : Outcome::connect_failed,
-         error == ECONNREFUSED ? Why::nobody_listens : Why::peer_reset);
+    const bool up = !connection.connecting;
+    ends(connection, up && connection.out.empty() ? Outcome::reset : Outcome::connect_failed,
+         error == ECONNREFUSED ? CloseReason::nobody_listens : CloseReason::peer_reset);
 }
 
-void Servers::due(Connection& connection) {
-    auto& line = static_cast<Line&>(connection);
-    if (line.idle) {
-        unused(line);
-        s_.loop.end(line, Why::idle);
-    } else if (line.connecting) {
-        timed_out(line, Outcome::connect_failed, Why::connect_timed_out);
-    } else if (line.begun) {
-        ends(line, Outcome::reset, Why::bad_answer);   // it stopped short, or its head has no end
+void Servers::on_timer(Connection& base) {
+    auto& connection = static_cast<ServerConnection&>(base);
+    if (connection.idle) {
+        unused(connection);
+        s_.loop.close(connection, CloseReason::idle);
+    } else if (connection.connecting) {
+        timed_out(connection, Outcome::connect_failed, CloseReason::connect_timed_out);
+    } else if (connection.begun) {
+        ends(connection, Outcome::reset, CloseReason::bad_answer);   // it stopped short, or its head has no end
     } else {
-        const auto outcome = line.out.empty() ? Outcome::timed_out : Outcome::connect_failed;
-        timed_out(line, outcome, Why::answer_timed_out);
+        const auto outcome = connection.out.empty() ? Outcome::timed_out : Outcome::connect_failed;
+        timed_out(connection, outcome, CloseReason::answer_timed_out);
     }
 }
 
 // Guards against calls lost on dead connections: a machine that was cut off says nothing, and what stands
 // idle to it is reset when it is back, one after another, with a call on each.
-void Servers::timed_out(Line& line, Outcome outcome, Why why) {
-    if (line.server->heard < line.sent) close_idle(*line.server, Why::silent);
-    ends(line, outcome, why);
+void Servers::timed_out(ServerConnection& connection, Outcome outcome, CloseReason why) {
+    if (connection.server->last_response < connection.sent) close_idle(*connection.server, CloseReason::silent);
+    ends(connection, outcome, why);
 }
 
-void Servers::unused(Line& line) {
-    if (!std::exchange(line.idle, false)) return;
-    idle_.erase(line.place);
-    line.server->idle.erase(line.server_place);
-    s_.loop.clear(line);
+void Servers::unused(ServerConnection& connection) {
+    if (!std::exchange(connection.idle, false)) return;
+    idle_.erase(connection.place);
+    connection.server->idle.erase(connection.server_place);
+    s_.loop.clear_timer(connection);
 }
 
-void Servers::close_idle(memory::Server& server, Why why) {
+void Servers::close_idle(memory::Server& server, CloseReason why) {
     while (!server.idle.empty()) {
-        auto& line = *server.idle.front();
-        unused(line);
-        s_.loop.end(line, why);
+        auto& connection = *server.idle.front();
+        unused(connection);
+        s_.loop.close(connection, why);
     }
 }
 
@@ -297,10 +299,10 @@
 
 bool Servers::shed() {
     if (idle_.empty()) return false;
-    auto& line = *idle_.back();
-    unused(line);
+    auto& connection = *idle_.back();
+    unused(connection);
     s_.counters.add(Count::connections_shed);
-    s_.loop.end(line, Why::shed);
+    s_.loop.close(connection, CloseReason::shed);
     return true;
 }
 
--- a/src/run/servers.hpp
+++ b/src/run/servers.hpp
@@ -1,4 +1,4 @@
-// The servers' side: carries out shots, cancels and probes on connections that are kept for each server.
+// The servers' side: carries out attempts, cancels and probes on connections that are kept for each server.
 #pragma once
 #include <deque>
 #include <list>
@@ -9,23 +9,23 @@
 
 namespace myrtleroute::memory {
 
-// A connection to a server; it carries one shot or probe at a time.
-struct Line : Connection {
-    Line(Owner& by, int fd, Server& to);
-    ~Line() override { --server->lines; }
+// A connection to a server; it carries one attempt or probe at a time.
+struct ServerConnection : Connection {
+    ServerConnection(ConnectionHandler& by, int fd, Server& to);
+    ~ServerConnection() override { --server->connections; }
     std::string name() const override { return "server " + server->uid; }
 
     Server* server;
-    wire::ReplyReader reader;
-    wire::HttpMachine http;
-    Held* call = nullptr;        // whose shot is out on it
-    int shot = 0;
+    wire::ResponseReader reader;
+    wire::HttpParser http;
+    PendingCall* call = nullptr;        // whose attempt is out on it
+    int attempt = 0;
     bool probes = false;
     Time sent, until;            // what it carries, and when that is given up
     bool begun = false;          // its answer has
     Time answered = long_ago;    // its last whole one
     bool idle = false;           // in both lists, at its places
-    std::list<Line*>::iterator place, server_place;
+    std::list<ServerConnection*>::iterator place, server_place;
     bool busy() const { return call || probes; }
 };
 
@@ -33,44 +33,44 @@
 
 namespace myrtleroute::run {
 
-class Servers : public memory::Owner {
+class Servers : public memory::ConnectionHandler {
 public:
     Servers(Shared& shared, Clients& clients) : s_(shared), clients_(clients) {}
-    void send(memory::Held& call, ServerId server, Span try_for);
-    void cancel(memory::Held& call, int shot);
+    void send(memory::PendingCall& call, ServerId server, Span timeout);
+    void cancel(memory::PendingCall& call, int attempt);
     void probe(ServerId server);
-    void close_idle(memory::Server& server, memory::Why why);
+    void close_idle(memory::Server& server, memory::CloseReason why);
     bool shed();
     bool make_room();   // ends a connection that can go, of either side
     void settle();    // tells the decisions what ended inside of their own actions
     bool settled() const { return ended_.empty(); }
 
-    void up(memory::Connection& c) override;
-    void came(memory::Connection& c) override;
-    void broke(memory::Connection& c, int error) override;
-    void due(memory::Connection& c) override;
+    void on_connected(memory::Connection& c) override;
+    void on_readable(memory::Connection& c) override;
+    void on_error(memory::Connection& c, int error) override;
+    void on_timer(memory::Connection& c) override;
 
 private:
-    memory::Line* line_to(ServerId id, Outcome& otherwise);
-    void dispatch(memory::Line& line, Span try_for);   // now, or once the connection is up
-    void write(memory::Line& line);
-    void write(memory::Line& line, const std::string& head, const std::string& body);
-    void ends(memory::Line& line, Outcome outcome, memory::Why why);   // and closes it
-    void done(memory::Line& line);
-    void unused(memory::Line& line);
-    void timed_out(memory::Line& line, Outcome outcome, memory::Why why);
-    void told(CallId call, int shot, Outcome outcome);
+    memory::ServerConnection* connection_to(ServerId id, Outcome& otherwise);
+    void dispatch(memory::ServerConnection& connection, Span timeout);   // now, or once the connection is up
+    void write(memory::ServerConnection& connection);
+    void write(memory::ServerConnection& connection, const std::string& head, const std::string& body);
+    void ends(memory::ServerConnection& connection, Outcome outcome, memory::CloseReason why);   // and closes it
+    void done(memory::ServerConnection& connection);
+    void unused(memory::ServerConnection& connection);
+    void timed_out(memory::ServerConnection& connection, Outcome outcome, memory::CloseReason why);
+    void told(CallId call, int attempt, Outcome outcome);
     void probed(ServerId server, bool answered);
 
     struct Ended {
         CallId call;
-        int shot;
+        int attempt;
         Outcome outcome;
         ServerId probed;
     };
     Shared& s_;
     Clients& clients_;
-    std::list<memory::Line*> idle_;   // the latest used first
+    std::list<memory::ServerConnection*> idle_;   // the latest used first
     std::deque<Ended> ended_;
 };
 
--- a/src/run/shared.hpp
+++ b/src/run/shared.hpp
@@ -16,7 +16,7 @@
 
 struct Shared {
     Config config;
-    Home& home;
+    System& system;
     Log log;
     memory::Servers servers;   // outlive the loop's connections to them
     Loop loop;
@@ -24,28 +24,28 @@
     memory::Calls calls;
     std::unique_ptr<Balancer> balancer;
 
-    Shared(Config c, Home& h, std::ostream& lines)
-        : config(std::move(c)), home(h), log(config.log_level, h, lines), loop(log, h) {
+    Shared(Config c, System& h, std::ostream& lines)
+        : config(std::move(c)), system(h), log(config.log_level, h, lines), loop(log, h) {
         bound_sockets();
     }
     void bound_sockets() {   // by what the system allows
-        config.sockets = std::min(config.sockets, home.most_descriptors());
+        config.sockets = std::min(config.sockets, system.max_descriptors());
     }
     const Settings& settings() const { return config.settings; }
     // Descriptors: what is open without being a connection, and a few in hand.
-    static constexpr size_t kept_back = 8;
-    size_t most_connections() const {
+    static constexpr size_t reserved_descriptors = 8;
+    size_t max_connections() const {
         // A call at its largest holds a body and an answer, and both are bounded.
-        const size_t by_memory = config.memory_mb * (1 << 20) / 2 / (3 * wire::most_body / 2);
-        return std::min(std::max(config.sockets, 2 * kept_back) - kept_back, 2 * by_memory);
+        const size_t by_memory = config.memory_mb * (1 << 20) / 2 / (3 * wire::max_body / 2);
+        return std::min(std::max(config.sockets, 2 * reserved_descriptors) - reserved_descriptors, 2 * by_memory);
     }
-    // Clients never take the descriptors that shots need; there are more of them than calls may be held, so
+    // Clients never take the descriptors that attempts need; there are more of them than calls may be held, so
     // that one too many can be told so.
-    size_t most_clients() const { return most_connections() * 3 / 4; }
+    size_t max_clients() const { return max_connections() * 3 / 4; }
     // The application holds a third of the descriptors at most; half of that may stand idle.
-    size_t most_idle_clients() const { return config.sockets / 6; }
-    size_t most_calls() const {
-        return std::min<size_t>(settings().max_open_calls, most_connections() / 2);
+    size_t max_idle_clients() const { return config.sockets / 6; }
+    size_t max_calls() const {
+        return std::min<size_t>(settings().max_open_calls, max_connections() / 2);
     }
 };
 
--- a/src/run/home.hpp
+++ b/src/run/system.hpp
@@ -18,36 +18,36 @@
 
 namespace myrtleroute::run {
 
-class Home {
+class System {
 public:
-    virtual ~Home() = default;
+    virtual ~System() = default;
 
     virtual Time now() = 0;            // seconds of a clock that never goes back; it has no epoch
     virtual double unix_time() = 0;    // seconds since 1970
 
     // As poll(2): waits for up to `ms` milliseconds, less where a signal comes. May return 0 early.
-    virtual int wait(pollfd* polled, size_t n, int ms) = 0;
+    virtual int poll(pollfd* polled, size_t n, int ms) = 0;
 
     // Descriptors don't block and are closed on exec.
-    virtual int listen_at(const sockaddr_in& at) = 0;
-    virtual int connect_to(const sockaddr_in& at, bool& at_once) = 0;   // else POLLOUT tells of its end
+    virtual int listen(const sockaddr_in& at) = 0;
+    virtual int connect(const sockaddr_in& at, bool& at_once) = 0;   // else POLLOUT tells of its end
     virtual int accept(int fd) = 0;
-    virtual int error_of(int fd) = 0;   // how a connect ended: 0, or an errno
+    virtual int connect_error(int fd) = 0;   // how a connect ended: 0, or an errno
     virtual ssize_t read(int fd, const iovec* parts, int n) = 0;        // 0: the other end sends no more
     virtual ssize_t write(int fd, const iovec* parts, int n) = 0;       // never raises SIGPIPE
-    virtual bool still_quiet(int fd) = 0;                               // no bytes and no end have come
+    virtual bool is_idle(int fd) = 0;                               // no bytes and no end have come
     virtual bool has_unread(int fd) = 0;                                // bytes have come that were not read
-    virtual void end_sending(int fd) = 0;
+    virtual void shutdown_write(int fd) = 0;
     virtual void close(int fd) = 0;
 
     // A descriptor that is readable once one of SIGTERM, SIGINT, SIGUSR1 and SIGHUP has come; then which, in
     // the order in which they came, 0 = no more.
-    virtual int hear_signals() = 0;
+    virtual int watch_signals() = 0;
     virtual int next_signal(int fd) = 0;
 
-    virtual size_t most_descriptors() = 0;               // that the system allows
-    virtual const char* variable(const char* name) = 0;  // of the environment; null: not set
-    virtual std::optional<std::string> file(const std::string& path) = 0;   // all of it; none: can't be read
+    virtual size_t max_descriptors() = 0;               // that the system allows
+    virtual const char* environment_variable(const char* name) = 0;  // of the environment; null: not set
+    virtual std::optional<std::string> read_file(const std::string& path) = 0;   // all of it; none: can't be read
 };
 
 }  // namespace myrtleroute::run
--- a/src/run/watcher.cpp
+++ b/src/run/watcher.cpp
@@ -10,7 +10,7 @@
 
 using memory::Connection;
 using memory::Count;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
@@ -28,11 +28,11 @@
 }  // namespace
 
 struct Watcher::Call : Connection {
-    Call(Owner& by, int fd)
-        : Connection(by, fd, 64 * 1024, 4096), http(wire::HttpMachine::Side::answer, reader, {.body = most_list}) {}
+    Call(ConnectionHandler& by, int fd)
+        : Connection(by, fd, 64 * 1024, 4096), http(wire::HttpParser::Side::response, reader, {.body = most_list}) {}
     std::string name() const override { return "discovery"; }
-    wire::ReplyReader reader;
-    wire::HttpMachine http;
+    wire::ResponseReader reader;
+    wire::HttpParser http;
     Time asked;
     Span hold;
     bool answered = false;   // an earlier call on this connection
@@ -41,7 +41,7 @@
 
 Watcher::Watcher(Shared& shared, Servers& servers)
     : s_(shared), servers_(servers), zones_(shared.settings().zones), chance_(shared.config.seed) {
-    clocks_apart_ = s_.home.unix_time() - s_.home.now().s;
+    clocks_apart_ = s_.system.unix_time() - s_.system.now().s;
 }
 
 void Watcher::tell_known() {
@@ -56,13 +56,13 @@
 void Watcher::ask() {
     if (!call_) {
         bool at_once = false;
-        int fd = s_.home.connect_to(s_.config.discovery, at_once);
+        int fd = s_.system.connect(s_.config.discovery, at_once);
         // Guards against drains that go unheard while descriptors are out: the list comes before what is idle.
-        if (fd < 0 && errno == EMFILE && servers_.make_room()) fd = s_.home.connect_to(s_.config.discovery, at_once);
+        if (fd < 0 && errno == EMFILE && servers_.make_room()) fd = s_.system.connect(s_.config.discovery, at_once);
         if (fd < 0) return no_list();
         auto call = std::make_unique<Call>(*this, fd);
         call->connecting = !at_once;
-        call_ = &s_.loop.adopt(std::move(call));
+        call_ = &s_.loop.add(std::move(call));
     }
     // Held no longer than the time within which a balancer that does not watch has to ask.
     const Span ask_within = s_.settings().ask_within;
@@ -81,50 +81,52 @@
 
 void Watcher::set_limit() {
     const Span waits = call_->hold > Span{} ? call_->hold + silent_after : answers_within;
-    s_.loop.set(*call_, call_->asked + (call_->connecting ? up_within : waits));
+    s_.loop.set_timer(*call_, call_->asked + (call_->connecting ? up_within : waits));
 }
 
-void Watcher::up(Connection&) { set_limit(); }
+void Watcher::on_connected(Connection&) { set_limit(); }
 
-void Watcher::came(Connection&) {
+void Watcher::on_readable(Connection&) {
     auto& c = *call_;   // there is never another
     while (!c.in.empty() && !c.http.done() && !c.http.fault()) c.in.drop(c.http.feed(c.in.front()));
-    if (c.ended && !c.http.done()) c.http.closed();
+    if (c.ended && !c.http.done()) c.http.connection_closed();
     if (!c.http.done()) {
-        if (c.http.fault() || c.ended) failed(c.ended ? Why::peer_closed : Why::bad_answer);
+        if (c.http.fault() || c.ended) failed(c.ended ? CloseReason::peer_closed : CloseReason::bad_answer);
         return;
     }
-    if (c.reader.status != 200) return failed(Why::no_list);
+    if (c.reader.status != 200) return failed(CloseReason::no_list);
     const auto rev = rev_;
-    if (!wire::tell_list(c.reader.text, *this, rev_)) return failed(Why::bad_answer);
+    if (!wire::deliver_list(c.reader.text, *this, rev_)) return failed(CloseReason::bad_answer);
     const bool nothing_new = has_rev_ && rev == rev_;
     has_rev_ = true;
-    const bool keeps = c.http.keeps() && c.in.empty() && !c.ended;
+    const bool keeps = c.http.keeps_alive() && c.in.empty() && !c.ended;
     c.http.next();
     c.reader = {};
     c.answered = true;
     if (!keeps) {
-        s_.loop.end(c, Why::told_to_close);
+        s_.loop.close(c, CloseReason::told_to_close);
         call_ = nullptr;
     }
     if (keeps && nothing_new && s_.loop.now() - c.asked < rest) {
         c.rests = true;   // it does not hold calls back, and would be asked without end
-        return s_.loop.set(c, s_.loop.now() + rest);
+        return s_.loop.set_timer(c, s_.loop.now() + rest);
     }
     ask();   // at once, so that the watch goes on
 }
 
-void Watcher::broke(Connection& c, int) { failed(c.connecting ? Why::nobody_listens : Why::peer_reset); }
+void Watcher::on_error(Connection& c, int) {
+    failed(c.connecting ? CloseReason::nobody_listens : CloseReason::peer_reset);
+}
 
-void Watcher::due(Connection&) {
+void Watcher::on_timer(Connection&) {
     if (call_->rests) ask();
-    else failed(call_->connecting ? Why::connect_timed_out : Why::answer_timed_out);
+    else failed(call_->connecting ? CloseReason::connect_timed_out : CloseReason::answer_timed_out);
 }
 
-void Watcher::failed(Why why) {
+void Watcher::failed(CloseReason why) {
     // Discovery may close a connection between two calls; that is no failure, and the watch goes on.
-    const bool crossed = call_->answered && !call_->http.begun() && why != Why::answer_timed_out;
-    s_.loop.end(*call_, why);
+    const bool crossed = call_->answered && !call_->http.started() && why != CloseReason::answer_timed_out;
+    s_.loop.close(*call_, why);
     call_ = nullptr;
     if (crossed) ask();
     else no_list();
@@ -132,7 +134,7 @@
 
 // Another discovery may number its lists afresh, so it is asked for all it has.
 void Watcher::discovery_moved() {
-    if (call_) s_.loop.end(*std::exchange(call_, nullptr), Why::told_to_close);
+    if (call_) s_.loop.close(*std::exchange(call_, nullptr), CloseReason::told_to_close);
     has_rev_ = false;
     ask();
 }
@@ -146,7 +148,7 @@
     s_.balancer->list_failed(s_.loop.now());
 }
 
-void Watcher::list_starts(bool whole) {
+void Watcher::list_began(bool whole) {
     ++lists_;
     entries_ = 0;
     whole_ = whole;
@@ -155,12 +157,12 @@
 
 void Watcher::server(std::string_view uid, std::string_view endpoint, std::string_view zone, uint16_t cell,
                      std::string_view state, double size, double boot_ms) {
-    auto& server = s_.servers.named(uid);
+    auto& server = s_.servers.find_or_add(uid);
     server.listed_in = lists_;
     if (server.endpoint != endpoint && !endpoint.empty()) {
-        servers_.close_idle(server, Why::server_left);
+        servers_.close_idle(server, CloseReason::server_left);
         server.endpoint = endpoint;
-        server.at = *wire::read_endpoint(endpoint);
+        server.at = *wire::parse_endpoint(endpoint);
     }
     const auto is = state == "SERVING" ? State::ready : state == "DRAINING" ? State::draining : State::gone;
     if (is == State::gone) leaves(server);
@@ -171,14 +173,14 @@
     ++entries_;
 }
 
-void Watcher::list_ends() {
+void Watcher::list_ended() {
     if (whole_)
         s_.servers.each([&](memory::Server& server) {
             if (server.listed_in == lists_) return;
             leaves(server);
         });
     // The decisions may go on using one that is called gone, for as long as they remember it.
-    s_.servers.forget_gone(s_.loop.now() - (s_.settings().drain_binds_alone ? gone_server_retention : Span{}));
+    s_.servers.erase_gone(s_.loop.now() - (s_.settings().drain_binds_alone ? gone_server_retention : Span{}));
     if (!cached_) s_.counters.add(Count::lists_told);
     if (entries_) s_.log.info() << (whole_ ? "whole list, servers: " : "list changes, servers: ") << entries_;
     s_.balancer->list_ended();
@@ -186,8 +188,8 @@
 
 // Where only draining binds, one that is called gone may serve on, and its connections with it.
 void Watcher::leaves(memory::Server& server) {
-    if (!std::exchange(server.gone, true)) server.left = s_.loop.now();
-    if (!s_.settings().drain_binds_alone) servers_.close_idle(server, Why::server_left);
+    if (!std::exchange(server.gone, true)) server.left_at = s_.loop.now();
+    if (!s_.settings().drain_binds_alone) servers_.close_idle(server, CloseReason::server_left);
 }
 
 uint16_t Watcher::zone_number(std::string_view name) {
--- a/src/run/watcher.hpp
+++ b/src/run/watcher.hpp
@@ -8,7 +8,7 @@
 
 namespace myrtleroute::run {
 
-class Watcher : public memory::Owner, public wire::ListSink {
+class Watcher : public memory::ConnectionHandler, public wire::ServerListSink {
 public:
     Watcher(Shared& shared, Servers& servers);
     void tell_known();
@@ -17,21 +17,21 @@
     void discovery_moved();            // to where the configuration now says
     void settle();
 
-    void list_starts(bool whole) override;
+    void list_began(bool whole) override;
     void server(std::string_view uid, std::string_view endpoint, std::string_view zone, uint16_t cell,
                 std::string_view state, double size, double boot_ms) override;
-    void list_ends() override;
+    void list_ended() override;
 
-    void up(memory::Connection& c) override;
-    void came(memory::Connection& c) override;
-    void broke(memory::Connection& c, int error) override;
-    void due(memory::Connection& c) override;
+    void on_connected(memory::Connection& c) override;
+    void on_readable(memory::Connection& c) override;
+    void on_error(memory::Connection& c, int error) override;
+    void on_timer(memory::Connection& c) override;
 
 private:
     struct Call;
     void ask();
     void set_limit();                      // of the call that is out
-    void failed(memory::Why why);
+    void failed(memory::CloseReason why);
     void no_list();
     uint16_t zone_number(std::string_view name);
     void leaves(memory::Server& server);   // called gone
--- a/src/soak/checker.cpp
+++ b/src/soak/checker.cpp
@@ -158,7 +158,8 @@
         const auto space = line.rfind(' ');
         const auto name = std::string_view(line).substr(0, std::min(line.find('{'), space));
         if (line.starts_with('#') || space == line.npos || !name.ends_with(ending)) continue;
-        if (wire::decimal(wire::trim(std::string_view(line).substr(space))).value_or(1) > 0) violated.push_back(line);
+        if (wire::parse_decimal(wire::trim(std::string_view(line).substr(space))).value_or(1) > 0)
+            violated.push_back(line);
     }
     return violated;
 }
--- a/src/soak/hosts.cpp
+++ b/src/soak/hosts.cpp
@@ -32,7 +32,7 @@
     return std::string(size.data(), end) + "\r\n" + bytes + "\r\n";
 }
 
-struct RequestReader : wire::HttpReader {
+struct RequestReader : wire::HttpHandler {
     int start(std::string_view, std::string_view path, std::string_view) override {
         target = path;
         fields.clear();
@@ -69,7 +69,7 @@
         : host_(host),
           socket_(std::move(socket)),
           timer_(host.context_),
-          http_(wire::HttpMachine::Side::ask, reader_, request_limits()) {}
+          http_(wire::HttpParser::Side::request, reader_, request_limits()) {}
 
     void read() {
         socket_.async_read_some(asio::buffer(buffer_), [self = shared_from_this()](asio::error_code error, size_t n) {
@@ -103,7 +103,7 @@
         host_.events_.ran(request_id_, field_of(reader_.fields, "X-Tenant-Id"));
         count_running(true);
         // A stream may go on at this host behind the last event that the client has.
-        event_ = wire::whole<int>(field_of(reader_.fields, "Last-Event-Id")).value_or(0);
+        event_ = wire::parse_integer<int>(field_of(reader_.fields, "Last-Event-Id")).value_or(0);
         after_a_while([this] {
             if (host_.options_.streams) return begin_stream();
             finish([this] { answer(200, "", plain_body(request_id_)); });
@@ -176,7 +176,7 @@
     tcp::socket socket_;
     asio::steady_timer timer_;
     RequestReader reader_;
-    wire::HttpMachine http_;
+    wire::HttpParser http_;
     std::array<char, 8192> buffer_{};
     std::string unread_, out_, request_id_;
     int event_ = 0;       // that was sent last
--- a/src/soak/http_call.cpp
+++ b/src/soak/http_call.cpp
@@ -25,7 +25,7 @@
         : call_(std::move(call)),
           socket_(context),
           timer_(context),
-          http_(wire::HttpMachine::Side::answer, reader_, answer_limits()) {}
+          http_(wire::HttpParser::Side::response, reader_, answer_limits()) {}
 
     void start() {
         after(timer_, call_.patience.s, [self = shared_from_this()] { self->end({}); });
@@ -52,7 +52,7 @@
     void came(asio::error_code error, std::string_view bytes) {
         if (over_) return;
         http_.feed(bytes);
-        if (error == asio::error::eof) http_.closed();
+        if (error == asio::error::eof) http_.connection_closed();
         if (http_.done() && !http_.fault()) return end(std::move(reader_.reply));
         if (error || http_.fault()) return end({});
         read();
@@ -69,28 +69,28 @@
     HttpCall call_;
     tcp::socket socket_;
     asio::steady_timer timer_;
-    ReplyReader reader_;
-    wire::HttpMachine http_;
+    ResponseReader reader_;
+    wire::HttpParser http_;
     std::array<char, 16384> buffer_{};
     bool over_ = false;
 };
 
 }   // namespace
 
-int ReplyReader::start(std::string_view, std::string_view code, std::string_view) {
+int ResponseReader::start(std::string_view, std::string_view code, std::string_view) {
     reply = {};
-    reply.status = wire::whole<int>(code).value_or(0);
+    reply.status = wire::parse_integer<int>(code).value_or(0);
     return 0;
 }
 
-int ReplyReader::field(std::string_view name, std::string_view value) {
+int ResponseReader::field(std::string_view name, std::string_view value) {
     reply.fields.emplace_back(name, value);
     return 0;
 }
 
 std::string field_of(const Fields& fields, std::string_view name) {
     for (const auto& [known, value] : fields)
-        if (wire::same(known, name)) return value;
+        if (wire::equals_ignore_case(known, name)) return value;
     return {};
 }
 
--- a/src/soak/http_call.hpp
+++ b/src/soak/http_call.hpp
@@ -26,7 +26,7 @@
 };
 
 // Collects an answer.
-struct ReplyReader : wire::HttpReader {
+struct ResponseReader : wire::HttpHandler {
     int start(std::string_view version, std::string_view code, std::string_view reason) override;
     int field(std::string_view name, std::string_view value) override;
     void body(std::string_view bytes) override { reply.body += bytes; }
--- a/src/soak/kept_clients.cpp
+++ b/src/soak/kept_clients.cpp
@@ -35,7 +35,7 @@
           now_(std::move(now)),
           socket_(context),
           timer_(context),
-          http_(wire::HttpMachine::Side::answer, reader_, {}) {}
+          http_(wire::HttpParser::Side::response, reader_, {}) {}
 
     void connect() {
         proxy_ = platform_.pick_proxy();
@@ -88,7 +88,7 @@
             http_.feed({buffer_.data(), n});
             if (http_.done() && !http_.fault()) return answered();
             if (!error && !http_.fault()) return read();
-            if (http_.begun()) return cut("in the middle of the answer");
+            if (http_.started()) return cut("in the middle of the answer");
             if (error != asio::error::eof) return unread();
             after(timer_, looked_at_after, [this] { look_at_end(); });
         });
@@ -101,7 +101,7 @@
             {reply.status, field_of(reply.fields, "X-Request-Id"),
              !field_of(reply.fields, "X-Server-Signature").empty(), is_whole_body(reply.body, request_.id, streams_)},
             now_());
-        if (!http_.keeps()) return connect_again();
+        if (!http_.keeps_alive()) return connect_again();
         after(timer_, chance_.exponential(mean_pause), [this] { send(); });
     }
 
@@ -132,8 +132,8 @@
     std::function<double()> now_;
     tcp::socket socket_;
     asio::steady_timer timer_;
-    ReplyReader reader_;
-    wire::HttpMachine http_;
+    ResponseReader reader_;
+    wire::HttpParser http_;
     std::array<char, 16384> buffer_{};
     size_t proxy_ = 0;
     Sent request_;
--- a/src/wire/ask.cpp
+++ b/src/wire/ask.cpp
@@ -8,43 +8,43 @@
 
 namespace myrtleroute::wire {
 
-Span read_time_out(std::string_view text) {
+Span parse_timeout(std::string_view text) {
     if (text.size() < 2) return {-1};
     const char unit = text.back();
     const auto plain = text.substr(0, text.size() - 1);
-    const auto n = plain.find_first_not_of("0123456789.") == plain.npos ? decimal(plain) : std::nullopt;
+    const auto n = plain.find_first_not_of("0123456789.") == plain.npos ? parse_decimal(plain) : std::nullopt;
     if (!n || (unit != 'm' && unit != 'u')) return {-1};
     return {*n * (unit == 'm' ? 1e-3 : 1e-6)};
 }
 
-void AskReader::next() {
+void RequestReader::next() {
     ask_ = {};
     up_ = host_ = false;
 }
 
-int AskReader::start(std::string_view method, std::string_view target, std::string_view) {
+int RequestReader::start(std::string_view method, std::string_view target, std::string_view) {
     if (method != "GET" && method != "POST") return 405;
     up_ = method == "GET" && target == "/up";
     ask_.head.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
     return 0;
 }
 
-int AskReader::field(std::string_view name, std::string_view value) {
-    if (of_one_connection(name)) return 0;
-    if (same(name, "Host")) host_ = true;
-    if (same(name, "X-Timeout")) {
+int RequestReader::field(std::string_view name, std::string_view value) {
+    if (is_hop_by_hop(name)) return 0;
+    if (equals_ignore_case(name, "Host")) host_ = true;
+    if (equals_ignore_case(name, "X-Timeout")) {
         if (ask_.patience.s >= 0) return 400;
-        ask_.patience = read_time_out(value);
+        ask_.patience = parse_timeout(value);
         return ask_.patience.s > 0 ? 0 : 400;
     }
-    if (same(name, "X-Priority-Class")) {
+    if (equals_ignore_case(name, "X-Priority-Class")) {
         if (ask_.product >= 0) return 400;
         for (size_t i = 0; i < settings_->products.size(); ++i)
             if (settings_->products[i].name == value) ask_.product = static_cast<int>(i);
         if (ask_.product < 0) return 400;
     }
-    if (same(name, "X-Attrs")) attributes(value);
-    if (same(name, "X-Request-ID")) {
+    if (equals_ignore_case(name, "X-Attrs")) attributes(value);
+    if (equals_ignore_case(name, "X-Request-ID")) {
         if (!ask_.id.empty() || value.empty()) return 400;
         ask_.id = value;
     }
@@ -54,17 +54,17 @@
 
 // Further figures, `name=value` with commas between. They only help to decide well, so what is unsound or
 // unknown among them counts as not told, and the call is taken all the same.
-void AskReader::attributes(std::string_view list) {
+void RequestReader::attributes(std::string_view list) {
     while (!list.empty()) {
         const auto [name, value] = next_pair(list);
-        if (const auto n = name == "EstimateS" ? decimal(value) : std::nullopt; n && *n >= 0) ask_.work = {*n};
-        if (const auto n = name == "Object" ? whole<uint64_t>(value) : std::nullopt) ask_.key = *n;
-        if (const auto n = name == "Billing" ? decimal(value) : std::nullopt; n && *n >= 0 && *n < 65536)
+        if (const auto n = name == "EstimateS" ? parse_decimal(value) : std::nullopt; n && *n >= 0) ask_.work = {*n};
+        if (const auto n = name == "Object" ? parse_integer<uint64_t>(value) : std::nullopt) ask_.key = *n;
+        if (const auto n = name == "Billing" ? parse_decimal(value) : std::nullopt; n && *n >= 0 && *n < 65536)
             ask_.tenant = static_cast<uint32_t>(*n);
     }
 }
 
-int AskReader::head_ends(Body body) {
+int RequestReader::head_ended(Body body) {
     const bool get = ask_.head.front() == 'G';
     if (get && body == Body::some) return 400;      // servers may disagree on where it ends
     if (up_) return 0;
@@ -72,7 +72,7 @@
     if (ask_.id.empty() || ask_.product < 0) return 400;
     const auto& product = settings_->products[ask_.product];
     if (get != (product.repeat == Idempotency::idempotent)) return 405;
-    if (!get && body == Body::unsaid) return 411;
+    if (!get && body == Body::unspecified) return 411;
     // No client waits for longer than its class's time, whatever it says; so none can be held on to by it.
     if (ask_.patience.s < 0 || ask_.patience > product.client_timeout) ask_.patience = product.client_timeout;
     // Guards against one client's nonsense setting what all calls are measured by.
@@ -80,7 +80,7 @@
     return 0;
 }
 
-std::string answer(int status, std::string_view body, bool keep, std::string_view more) {
+std::string format_response(int status, std::string_view body, bool keep, std::string_view more) {
     std::string_view reason = "Error";
     for (const auto& [known, phrase] : {std::pair{200, "OK"}, {400, "Bad Request"},
                                         {405, "Method Not Allowed"},
@@ -97,7 +97,7 @@
     return text.append(more).append("\r\n").append(body);
 }
 
-std::string come_back(Span after) {
+std::string retry_after_field(Span after) {
     if (after <= Span{}) return {};
     std::ostringstream field;
     field << "Retry-After: " << after.s << "\r\n";
--- a/src/wire/discovery.cpp
+++ b/src/wire/discovery.cpp
@@ -5,17 +5,17 @@
 
 namespace myrtleroute::wire {
 
-void ListReader::unsound(std::string_view key) {
+void ServerListReader::unsound(std::string_view key) {
     if (sound_) fault_ = key;
     sound_ = false;
 }
 
-const char* ListReader::fault() const {
+const char* ServerListReader::fault() const {
     if (!sound_) return fault_.c_str();
     return !rev_ ? "rev" : !all_ ? "all" : "targets";
 }
 
-void ListReader::opens(bool list) {
+void ServerListReader::opens(bool list) {
     ++depth_;
     if (skipped_ || depth_ > 3) {   // fields of later versions
         ++skipped_;
@@ -27,7 +27,7 @@
         else if (!list || targets_) unsound("targets");
         else {
             targets_ = true;
-            if (sink_) sink_->list_starts(whole_);
+            if (sink_) sink_->list_began(whole_);
         }
     }
     if (depth_ != 3) return;
@@ -40,23 +40,23 @@
     size_ = 1;
 }
 
-void ListReader::closes(bool) {
+void ServerListReader::closes(bool) {
     --depth_;
     if (skipped_) {
         --skipped_;
         return;
     }
     if (depth_ == 2) entry_ends();
-    if (depth_ == 1 && sink_) sink_->list_ends();
+    if (depth_ == 1 && sink_) sink_->list_ended();
     if (depth_ == 0) over_ = true;
 }
 
-void ListReader::value(Kind kind, std::string_view text) {
+void ServerListReader::value(Kind kind, std::string_view text) {
     if (skipped_) return;
     if (depth_ == 0 || depth_ == 2) return unsound("targets");
     if (depth_ == 1) {
         if (key_ == "rev") {
-            const auto n = kind == Kind::number ? wire::whole<uint64_t>(text) : std::nullopt;
+            const auto n = kind == Kind::number ? wire::parse_integer<uint64_t>(text) : std::nullopt;
             if (!n) return unsound("rev");
             number_ = *n;
             rev_ = true;
@@ -75,7 +75,7 @@
         into = text;
     };
     const auto number = [&](double& into, double most) {
-        const auto n = kind == Kind::number ? decimal(text) : std::nullopt;
+        const auto n = kind == Kind::number ? parse_decimal(text) : std::nullopt;
         if (!n || *n < 0 || *n > most) return unsound(key_);
         into = *n;
     };
@@ -88,20 +88,20 @@
     else if (key_ == "boot_ms") number(boot_ms_, 1e15);
 }
 
-void ListReader::entry_ends() {
+void ServerListReader::entry_ends() {
     if (uid_.empty()) return unsound("uid");
     const bool deleted = state_ == "DELETED";
     if (!deleted && state_ != "SERVING" && state_ != "DRAINING") return unsound("state");
-    if (!(deleted && endpoint_.empty()) && !read_endpoint(endpoint_)) return unsound("endpoint");
+    if (!(deleted && endpoint_.empty()) && !parse_endpoint(endpoint_)) return unsound("endpoint");
     if (sink_) sink_->server(uid_, endpoint_, zone_, static_cast<uint16_t>(cell_), state_, size_, boot_ms_);
 }
 
-bool tell_list(std::string_view body, ListSink& sink, uint64_t& rev) {
-    ListReader check;
-    JsonMachine first(check);
+bool deliver_list(std::string_view body, ServerListSink& sink, uint64_t& rev) {
+    ServerListReader check;
+    JsonParser first(check);
     if (!first.feed(body) || !first.finish() || !check.sound()) return false;
-    ListReader tell(&sink, check.whole());
-    JsonMachine second(tell);
+    ServerListReader tell(&sink, check.whole());
+    JsonParser second(tell);
     second.feed(body);
     second.finish();
     rev = check.rev();
--- a/src/wire/discovery.hpp
+++ b/src/wire/discovery.hpp
@@ -9,19 +9,19 @@
 
 namespace myrtleroute::wire {
 
-class ListSink {
+class ServerListSink {
 public:
-    virtual ~ListSink() = default;
-    virtual void list_starts(bool whole) = 0;
+    virtual ~ServerListSink() = default;
+    virtual void list_began(bool whole) = 0;
     virtual void server(std::string_view uid, std::string_view endpoint, std::string_view zone, uint16_t cell,
                         std::string_view state, double size, double boot_ms) = 0;
-    virtual void list_ends() = 0;
+    virtual void list_ended() = 0;
 };
 
 // Reads one object `{"rev":..,"all":..,"targets":[..]}`; with a sink it tells it, without it only checks.
-class ListReader : public JsonReader {
+class ServerListReader : public JsonHandler {
 public:
-    explicit ListReader(ListSink* sink = nullptr, bool whole = false) : sink_(sink), whole_(whole) {}
+    explicit ServerListReader(ServerListSink* sink = nullptr, bool whole = false) : sink_(sink), whole_(whole) {}
     bool sound() const { return sound_ && over_ && rev_ && all_ && targets_; }
     const char* fault() const;   // the key that is missing or unsound
     uint64_t rev() const { return number_; }
@@ -36,7 +36,7 @@
     void entry_ends();
     void unsound(std::string_view key);
 
-    ListSink* sink_;
+    ServerListSink* sink_;
     bool whole_, sound_ = true, over_ = false, rev_ = false, all_ = false, targets_ = false;
     uint64_t number_ = 0;
     int depth_ = 0, skipped_ = 0;
@@ -46,6 +46,6 @@
 };
 
 // Checks a whole body, then tells it; the version comes back, nothing if it is no sound list.
-bool tell_list(std::string_view body, ListSink& sink, uint64_t& rev);
+bool deliver_list(std::string_view body, ServerListSink& sink, uint64_t& rev);
 
 }  // namespace myrtleroute::wire
--- a/src/wire/endpoint.hpp
+++ b/src/wire/endpoint.hpp
@@ -11,10 +11,10 @@
 
 namespace myrtleroute::wire {
 
-inline std::optional<sockaddr_in> read_endpoint(std::string_view text) {
+inline std::optional<sockaddr_in> parse_endpoint(std::string_view text) {
     const auto colon = text.rfind(':');
     if (colon == text.npos) return {};
-    const auto port = whole<uint16_t>(text.substr(colon + 1));
+    const auto port = parse_integer<uint16_t>(text.substr(colon + 1));
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_port = htons(port.value_or(0));
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-size_t HttpMachine::feed(std::string_view bytes) {
+size_t HttpParser::feed(std::string_view bytes) {
     const size_t given = bytes.size();
     while (!bytes.empty() && !fault_ && state_ != State::done) {
         begun_ = true;
@@ -60,19 +60,19 @@
     return given - bytes.size();
 }
 
-void HttpMachine::closed() {
+void HttpParser::connection_closed() {
     if (state_ == State::to_end) state_ = State::done;
     else if (begun_ && state_ != State::done) fail(400);
 }
 
-void HttpMachine::next() { *this = HttpMachine(side_, *reader_, limits_); }
+void HttpParser::next() { *this = HttpParser(side_, *reader_, limits_); }
 
-void HttpMachine::line(std::string_view text) {
+void HttpParser::line(std::string_view text) {
     switch (state_) {
         case State::start:
-            if (text.empty() && side_ == Side::ask && head_ == 2) return;   // one is allowed before it
+            if (text.empty() && side_ == Side::request && head_ == 2) return;   // one is allowed before it
             return start_line(text);
-        case State::fields: return text.empty() ? head_ends() : field_line(text);
+        case State::fields: return text.empty() ? head_ended() : field_line(text);
         case State::chunk_size: return chunk_size(text);
         case State::chunk_end:
             if (!text.empty()) return fail(400);
@@ -85,63 +85,63 @@
     }
 }
 
-void HttpMachine::start_line(std::string_view text) {
+void HttpParser::start_line(std::string_view text) {
     const auto one = text.find(' ');
     if (one == text.npos) return fail(400);
     auto two = text.find(' ', one + 1);
-    if (two == text.npos && side_ == Side::answer) two = text.size();   // the reason may be left out
+    if (two == text.npos && side_ == Side::response) two = text.size();   // the reason may be left out
     if (two == text.npos) return fail(400);
     const auto first = text.substr(0, one), second = text.substr(one + 1, two - one - 1);
     const auto third = two < text.size() ? text.substr(two + 1) : std::string_view{};
-    const auto version = side_ == Side::ask ? third : first;
+    const auto version = side_ == Side::request ? third : first;
     if (version != "HTTP/1.1" && version != "HTTP/1.0") return fail(400);
     old_ = version == "HTTP/1.0";
     keeps_ = !old_;
-    if (side_ == Side::ask) {
+    if (side_ == Side::request) {
         if (!token(first) || second.empty() || second.front() != '/' || !visible(second, false))
             return fail(400);
     } else {
-        status_ = whole<int>(second).value_or(0);
+        status_ = parse_integer<int>(second).value_or(0);
         if (second.size() != 3 || status_ < 100) return fail(400);
     }
     state_ = State::fields;
     if (const int fault = reader_->start(first, second, third)) fail(fault);
 }
 
-void HttpMachine::field_line(std::string_view text) {
+void HttpParser::field_line(std::string_view text) {
     const auto colon = text.find(':');
     if (colon == text.npos) return fail(400);
     const auto name = text.substr(0, colon), value = trim(text.substr(colon + 1));
     if (!token(name) || !visible(value, true)) return fail(400);   // also folded lines
-    if (same(name, "Content-Length")) {
-        const auto length = whole<uint64_t>(value);
+    if (equals_ignore_case(name, "Content-Length")) {
+        const auto length = parse_integer<uint64_t>(value);
         if (!length || has_length_) return fail(400);
         has_length_ = true;
         if (*length > limits_.body) return fail(413);
         left_ = static_cast<size_t>(*length);
-    } else if (same(name, "Transfer-Encoding")) {
-        if (chunked_ || !same(value, "chunked")) return fail(400);
+    } else if (equals_ignore_case(name, "Transfer-Encoding")) {
+        if (chunked_ || !equals_ignore_case(value, "chunked")) return fail(400);
         chunked_ = true;
-    } else if (same(name, "Connection")) {
+    } else if (equals_ignore_case(name, "Connection")) {
         for (auto rest = value; !rest.empty();) {
-            const auto part = next_part(rest);
-            if (same(part, "close")) keeps_ = false;
-            if (same(part, "keep-alive") && old_) keeps_ = true;
+            const auto part = next_item(rest);
+            if (equals_ignore_case(part, "close")) keeps_ = false;
+            if (equals_ignore_case(part, "keep-alive") && old_) keeps_ = true;
         }
-    } else if (same(name, "Host")) {
+    } else if (equals_ignore_case(name, "Host")) {
         ++hosts_;
-    } else if (same(name, "Expect") && side_ == Side::ask) {
-        if (!same(value, "100-continue")) return fail(417);
+    } else if (equals_ignore_case(name, "Expect") && side_ == Side::request) {
+        if (!equals_ignore_case(value, "100-continue")) return fail(417);
         continue_ = true;
     }
     if (const int fault = reader_->field(name, value)) fail(fault);
 }
 
-void HttpMachine::head_ends() {
-    if (side_ == Side::ask && hosts_ != 1 && !(old_ && hosts_ == 0)) return fail(400);
+void HttpParser::head_ended() {
+    if (side_ == Side::request && hosts_ != 1 && !(old_ && hosts_ == 0)) return fail(400);
     // Two lengths, or one that an older parser would not see: where the message ends is anyone's guess.
     if (chunked_ && (has_length_ || old_)) return fail(400);
-    if (side_ == Side::answer && status_ < 200) {
+    if (side_ == Side::response && status_ < 200) {
         if (status_ == 101) return fail(400);
         const auto head = head_;
         next();
@@ -149,18 +149,18 @@
         begun_ = false;
         return;
     }
-    const auto body = chunked_ || left_ ? HttpReader::Body::some
-                      : has_length_     ? HttpReader::Body::none : HttpReader::Body::unsaid;
-    if (const int fault = reader_->head_ends(body)) return fail(fault);
-    const bool bare = side_ == Side::answer && (status_ == 204 || status_ == 304);
+    const auto body = chunked_ || left_ ? HttpHandler::Body::some
+                      : has_length_     ? HttpHandler::Body::none : HttpHandler::Body::unspecified;
+    if (const int fault = reader_->head_ended(body)) return fail(fault);
+    const bool bare = side_ == Side::response && (status_ == 204 || status_ == 304);
     if (bare) state_ = State::done;
     else if (chunked_) state_ = State::chunk_size;
-    else if (has_length_ || side_ == Side::ask) state_ = left_ ? State::body : State::done;
+    else if (has_length_ || side_ == Side::request) state_ = left_ ? State::body : State::done;
     else state_ = State::to_end, keeps_ = false;   // an answer that ends with its connection (RFC 9112, 6.3)
 }
 
-void HttpMachine::chunk_size(std::string_view text) {
-    const auto size = whole<uint32_t>(trim(text.substr(0, text.find(';'))), 16);
+void HttpParser::chunk_size(std::string_view text) {
+    const auto size = parse_integer<uint32_t>(trim(text.substr(0, text.find(';'))), 16);
     if (!size) return fail(400);
     taken_ += *size;
     if (taken_ > limits_.body) return fail(413);
--- a/src/wire/http.hpp
+++ b/src/wire/http.hpp
@@ -6,43 +6,43 @@
 
 namespace myrtleroute::wire {
 
-constexpr size_t most_body = 64 * 1024;
+constexpr size_t max_body = 64 * 1024;
 
 // What a message may take at most, in bytes.
 struct HttpLimits {
-    size_t line = 8 * 1024, head = 32 * 1024, body = most_body;
+    size_t line = 8 * 1024, head = 32 * 1024, body = max_body;
 };
 
 // Takes what the machine has read. Where a status comes back it is the fault to answer with, 0 = none.
-class HttpReader {
+class HttpHandler {
 public:
-    virtual ~HttpReader() = default;
+    virtual ~HttpHandler() = default;
     // method, target and version; of an answer: version, status and reason
     virtual int start(std::string_view first, std::string_view second, std::string_view third) = 0;
     virtual int field(std::string_view name, std::string_view value) = 0;
-    enum class Body { unsaid, none, some };   // what the head says of it
-    virtual int head_ends(Body) { return 0; }
+    enum class Body { unspecified, none, some };   // what the head says of it
+    virtual int head_ended(Body) { return 0; }
     virtual void body(std::string_view bytes) = 0;
 };
 
-class HttpMachine {
+class HttpParser {
 public:
-    enum class Side { ask, answer };
-    HttpMachine(Side side, HttpReader& reader, HttpLimits limits = {})
+    enum class Side { request, response };
+    HttpParser(Side side, HttpHandler& reader, HttpLimits limits = {})
         : side_(side), reader_(&reader), limits_(limits) {}
 
     size_t feed(std::string_view bytes);   // how many were taken; none past the end of the message
-    void closed();                         // the other end sends no more; a reset is no such end
+    void connection_closed();                         // the other end sends no more; a reset is no such end
     void next();                           // for the next message of the connection
 
-    bool begun() const { return begun_; }
+    bool started() const { return begun_; }
     bool done() const { return state_ == State::done; }
     int fault() const { return fault_; }   // an HTTP status; 0 = none
-    bool keeps() const { return keeps_; }  // whether the connection may carry another message
-    bool wants_continue() const {          // the client holds its body back until it is told to go on
+    bool keeps_alive() const { return keeps_; }  // whether the connection may carry another message
+    bool expects_continue() const {          // the client holds its body back until it is told to go on
         return continue_ && (state_ == State::body || state_ == State::chunk_size);
     }
-    void continued() { continue_ = false; }
+    void continue_sent() { continue_ = false; }
 
 private:
     enum class State { start, fields, body, chunk_size, chunk, chunk_end, trailer, to_end, done };
@@ -50,11 +50,11 @@
     void line(std::string_view text);
     void start_line(std::string_view text);
     void field_line(std::string_view text);
-    void head_ends();
+    void head_ended();
     void chunk_size(std::string_view text);
 
     Side side_;
-    HttpReader* reader_;
+    HttpHandler* reader_;
     HttpLimits limits_;
     State state_ = State::start;
     std::string line_;
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-bool JsonMachine::feed(std::string_view bytes) {
+bool JsonParser::feed(std::string_view bytes) {
     for (const char c : bytes) {
         take(c);
         if (state_ == State::broken) return false;
@@ -39,12 +39,12 @@
     return true;
 }
 
-bool JsonMachine::finish() {
+bool JsonParser::finish() {
     if (state_ == State::bare) ends_bare();
     return state_ == State::over;
 }
 
-void JsonMachine::take(char c) {
+void JsonParser::take(char c) {
     switch (state_) {
         case State::bare:
             if (!space(c) && c != ',' && c != ']' && c != '}') {
@@ -112,10 +112,10 @@
     }
 }
 
-void JsonMachine::ends_value() { state_ = lists_.empty() ? State::over : State::comma_or_end; }
+void JsonParser::ends_value() { state_ = lists_.empty() ? State::over : State::comma_or_end; }
 
-bool JsonMachine::ends_bare() {
-    using Kind = JsonReader::Kind;
+bool JsonParser::ends_bare() {
+    using Kind = JsonHandler::Kind;
     const bool truth = text_ == "true" || text_ == "false", null = text_ == "null";
     if (!truth && !null && !sound_number(text_)) {
         state_ = State::broken;
@@ -126,16 +126,16 @@
     return true;
 }
 
-void JsonMachine::ends_text() {
+void JsonParser::ends_text() {
     if (is_key_) {
         state_ = State::colon;
         return reader_.key(text_);
     }
     ends_value();
-    reader_.value(JsonReader::Kind::text, text_);
+    reader_.value(JsonHandler::Kind::text, text_);
 }
 
-void JsonMachine::open(bool list) {
+void JsonParser::open(bool list) {
     if (lists_.size() == most_depth) {
         state_ = State::broken;
         return;
@@ -145,13 +145,13 @@
     reader_.opens(list);
 }
 
-void JsonMachine::close(bool list) {
+void JsonParser::close(bool list) {
     lists_.pop_back();
     ends_value();
     reader_.closes(list);
 }
 
-void JsonMachine::hex_digit(char c) {
+void JsonParser::hex_digit(char c) {
     const char low = c >= 'A' && c <= 'F' ? static_cast<char>(c + 32) : c;
     if (!digit(low) && !(low >= 'a' && low <= 'f')) {
         state_ = State::broken;
@@ -171,7 +171,7 @@
     }
 }
 
-void JsonMachine::add_rune(unsigned rune) {
+void JsonParser::add_rune(unsigned rune) {
     const auto add = [this](unsigned byte) { text_ += static_cast<char>(byte); };
     if (rune < 0x80) return add(rune);
     if (rune < 0x800) {
--- a/src/wire/json.hpp
+++ b/src/wire/json.hpp
@@ -6,19 +6,19 @@
 
 namespace myrtleroute::wire {
 
-class JsonReader {
+class JsonHandler {
 public:
     enum class Kind { text, number, truth, null };
-    virtual ~JsonReader() = default;
+    virtual ~JsonHandler() = default;
     virtual void opens(bool list) = 0;    // an object, or a list
     virtual void closes(bool list) = 0;
     virtual void key(std::string_view name) = 0;
     virtual void value(Kind kind, std::string_view text) = 0;   // numbers, true, false and null as written
 };
 
-class JsonMachine {
+class JsonParser {
 public:
-    explicit JsonMachine(JsonReader& reader) : reader_(reader) {}
+    explicit JsonParser(JsonHandler& reader) : reader_(reader) {}
     bool feed(std::string_view bytes);   // false: this is no JSON
     bool finish();                       // whether exactly one value was read
 
@@ -34,7 +34,7 @@
     void hex_digit(char c);
     void add_rune(unsigned rune);
 
-    JsonReader& reader_;
+    JsonHandler& reader_;
     State state_ = State::value;
     std::vector<bool> lists_;   // what is open: a list, or an object
     std::string text_;
--- a/src/wire/load_report.hpp
+++ b/src/wire/load_report.hpp
@@ -14,7 +14,7 @@
     for (const bool telling : {false, true})
         for (auto rest = report.substr(form.size()); !rest.empty();) {
             const auto [name, said] = next_pair(rest);
-            const auto value = decimal(said);
+            const auto value = parse_decimal(said);
             if (name.empty() || !value || *value < 0) return false;
             if (telling) take(name, *value);
         }
--- a/src/wire/reply.hpp
+++ b/src/wire/reply.hpp
@@ -9,21 +9,21 @@
 
 namespace myrtleroute::wire {
 
-class ReplyReader : public HttpReader {
+class ResponseReader : public HttpHandler {
 public:
     int status = 0;
     bool not_run = false;
     std::string content_type, load, text;
 
     int start(std::string_view, std::string_view code, std::string_view) override {
-        *this = ReplyReader();
-        status = whole<int>(code).value_or(0);
+        *this = ResponseReader();
+        status = parse_integer<int>(code).value_or(0);
         return 0;
     }
     int field(std::string_view name, std::string_view value) override {
-        if (same(name, "X-Not-Processed")) not_run = value == "1";
-        if (same(name, "X-Server-Load")) load = value;
-        if (same(name, "Content-Type")) content_type = value;
+        if (equals_ignore_case(name, "X-Not-Processed")) not_run = value == "1";
+        if (equals_ignore_case(name, "X-Server-Load")) load = value;
+        if (equals_ignore_case(name, "Content-Type")) content_type = value;
         return 0;
     }
     void body(std::string_view bytes) override { text.append(bytes); }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -57,7 +57,7 @@
     SECTION("bytes come in order, then the end; a half-close leaves the other way open") {
         s.net.write(*s.client, "one");
         s.net.write(*s.client, "two");
-        s.net.end_sending(*s.client);
+        s.net.shutdown_write(*s.client);
         s.run(1);
         CHECK(s.read(*s.server) == "onetwo");
         CHECK(s.read(*s.server) == "end");
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -109,7 +109,7 @@
 class Listener {
 public:
     explicit Listener(int backlog = 64) : endpoint(fresh_endpoint()), fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-        const auto at = *myrtleroute::wire::read_endpoint(endpoint);
+        const auto at = *myrtleroute::wire::parse_endpoint(endpoint);
         const int on = 1;   // an earlier run may have left connections behind
         ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
         REQUIRE(::bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
@@ -137,7 +137,7 @@
 };
 
 inline Wire connect(const std::string& endpoint, int flags = 0) {
-    const auto at = *myrtleroute::wire::read_endpoint(endpoint);
+    const auto at = *myrtleroute::wire::parse_endpoint(endpoint);
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | flags, 0);
     if (::connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 || flags) return Wire(fd);
     ::close(fd);
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -27,16 +27,16 @@
             if (ring.push(some)) in += some;
             else CHECK(some.size() > limit - ring.size());
         } else if (!ring.full()) {
-            const auto parts = ring.free_parts();
+            const auto parts = ring.writable_parts();
             REQUIRE(parts[0].iov_len > 0);
             size_t n = 0;
             for (const auto& part : parts)
                 for (size_t k = 0; k < part.iov_len && n < some.size(); ++k, ++n)
                     static_cast<char*>(part.iov_base)[k] = some[n];
-            ring.wrote(n);
+            ring.commit(n);
             in += some.substr(0, n);
         }
-        const auto held = ring.held_parts();
+        const auto held = ring.readable_parts();
         REQUIRE(held[0].iov_len + held[1].iov_len == ring.size());
         CHECK(ring.size() <= limit);
         const size_t n = std::min<size_t>(ring.front().size(), chance.next() % (limit + 1));
@@ -75,28 +75,28 @@
 
 TEST_CASE("a server has the same id at every balancer, whatever it heard of before") {
     Servers one, other;
-    for (const char* uid : {"s-1", "s-2", "s-3"}) one.named(uid);
-    for (const char* uid : {"s-3", "s-9", "s-1"}) other.named(uid);
-    CHECK(one.named("s-1").id == other.named("s-1").id);
-    CHECK(one.named("s-3").id == other.named("s-3").id);
-    CHECK(one.named("s-1").id != one.named("s-2").id);
-    CHECK(one.find(one.named("s-2").id) == &one.named("s-2"));
-    CHECK(one.find(other.named("s-9").id) == nullptr);
+    for (const char* uid : {"s-1", "s-2", "s-3"}) one.find_or_add(uid);
+    for (const char* uid : {"s-3", "s-9", "s-1"}) other.find_or_add(uid);
+    CHECK(one.find_or_add("s-1").id == other.find_or_add("s-1").id);
+    CHECK(one.find_or_add("s-3").id == other.find_or_add("s-3").id);
+    CHECK(one.find_or_add("s-1").id != one.find_or_add("s-2").id);
+    CHECK(one.find(one.find_or_add("s-2").id) == &one.find_or_add("s-2"));
+    CHECK(one.find(other.find_or_add("s-9").id) == nullptr);
 }
 
 TEST_CASE("a server that is gone is forgotten once no connection leads to it") {
     struct Case { bool gone; int lines; bool known; };
     const auto c = GENERATE(Case{false, 0, true}, Case{true, 1, true}, Case{true, 0, false});
     Servers servers;
-    servers.named("s-1");
-    auto& server = servers.named("s-2");
+    servers.find_or_add("s-1");
+    auto& server = servers.find_or_add("s-2");
     const auto id = server.id;
     server.gone = c.gone;
-    server.lines = c.lines;
-    servers.forget_gone(Time{0});
+    server.connections = c.lines;
+    servers.erase_gone(Time{0});
     CHECK((servers.find(id) != nullptr) == c.known);
     CHECK(servers.size() == (c.known ? 2 : 1));
-    CHECK(servers.named("s-2").id == id);
+    CHECK(servers.find_or_add("s-2").id == id);
 }
 
 TEST_CASE("a call is held until it has its answer and its last shot has ended") {
@@ -104,13 +104,13 @@
     const auto c = GENERATE(Case{true, 0, true}, Case{true, 1, true}, Case{false, 1, true}, Case{false, 0, false});
     Calls calls;
     Connection* somebody = reinterpret_cast<Connection*>(&calls);
-    Ask ask;
+    ApiRequest ask;
     ask.id = "9b1f";
     auto& call = calls.take(ask);
     const auto id = call.id;
     call.client = c.client ? somebody : nullptr;
-    call.out = c.out;
-    calls.forget_if_over(call);
+    call.open_attempts = c.out;
+    calls.erase_if_finished(call);
     CHECK((calls.find(id) != nullptr) == c.held);
     CHECK(calls.size() == (c.held ? 1 : 0));
     CHECK(calls.open("9b1f") == c.held);
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -391,7 +391,7 @@
     what.control = ends[1];
     const pid_t pid = start(what);
     ::close(ends[1]);
-    RigHome home;
+    RigSystem system;
     std::vector<int> sockets;
     for (const int proxy : {0, 1}) {
         const int fd = ::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
--- a/tests/system/pool_test.cpp
+++ b/tests/system/pool_test.cpp
@@ -11,26 +11,26 @@
 namespace {
 
 // A system in which time stands still and nothing can be opened.
-class StillHome : public run::Home {
+class StillSystem : public run::System {
 public:
     Time now() override { return Time{1000}; }
     double unix_time() override { return 0; }
-    int wait(pollfd*, size_t, int) override { return 0; }
-    int listen_at(const sockaddr_in&) override { return refuse(); }
-    int connect_to(const sockaddr_in&, bool&) override { return refuse(); }
+    int poll(pollfd*, size_t, int) override { return 0; }
+    int listen(const sockaddr_in&) override { return refuse(); }
+    int connect(const sockaddr_in&, bool&) override { return refuse(); }
     int accept(int) override { return refuse(); }
-    int error_of(int) override { return 0; }
+    int connect_error(int) override { return 0; }
     ssize_t read(int, const iovec*, int) override { return refuse(); }
     ssize_t write(int, const iovec*, int) override { return refuse(); }
-    bool still_quiet(int) override { return true; }
+    bool is_idle(int) override { return true; }
     bool has_unread(int) override { return false; }
-    void end_sending(int) override {}
+    void shutdown_write(int) override {}
     void close(int) override {}
-    int hear_signals() override { return refuse(); }
+    int watch_signals() override { return refuse(); }
     int next_signal(int) override { return 0; }
-    size_t most_descriptors() override { return 1024; }
-    const char* variable(const char*) override { return nullptr; }
-    std::optional<std::string> file(const std::string&) override { return {}; }
+    size_t max_descriptors() override { return 1024; }
+    const char* environment_variable(const char*) override { return nullptr; }
+    std::optional<std::string> read_file(const std::string&) override { return {}; }
 
 private:
     static int refuse() {
@@ -40,8 +40,8 @@
 };
 
 struct Pool {
-    StillHome home;
-    proxy::Context context{settings(), home, 1};
+    StillSystem system;
+    proxy::Context context{settings(), system, 1};
     std::vector<ServerId> sent;
     int refused = 0;
     configuration::Route route;
--- a/tests/system/proxy_test.cpp
+++ b/tests/system/proxy_test.cpp
@@ -161,7 +161,7 @@
         if (reset)
             host->reset();
         else
-            host->end_sending();
+            host->shutdown_write();
         world.advance(Span{0.1});
         const auto answer = client.take();
         CHECK(contains(answer, reset ? "HTTP/1.1 502 " : "HTTP/1.1 200 OK"));
--- a/tests/system/proxy_world.hpp
+++ b/tests/system/proxy_world.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "lab/net.hpp"
-#include "lab/virtual_home.hpp"
+#include "lab/virtual_system.hpp"
 #include "messages/messages.hpp"
 #include "roles/proxy/proxy.hpp"
 
@@ -29,7 +29,7 @@
         broken = broken || socket.state == lab::Socket::State::over;
     }
     void send(const std::string& bytes) { net_.send(*socket_, bytes); }
-    void end_sending() { net_.end_sending(*socket_); }
+    void shutdown_write() { net_.shutdown_write(*socket_); }
     void close() { net_.close(*socket_); }
     void reset() { net_.abort(*socket_); }
     // What has come since the last call.
@@ -78,7 +78,7 @@
 
     // `change`: of the settings that the proxy starts with.
     explicit ProxyWorld(size_t hosts = 2, const std::function<void(configuration::NodeSettings&)>& change = {})
-        : control(net, 2, {"10.0.0.2", internal_port}), home_(queue, net, machine_, [this] { wake(queue.now()); }) {
+        : control(net, 2, {"10.0.0.2", internal_port}), system_(queue, net, machine_, [this] { wake(queue.now()); }) {
         for (size_t i = 0; i < hosts; ++i)
             this->hosts.push_back(std::make_unique<ScriptedListener>(net, 10 + static_cast<int>(i), host_address(i)));
         configuration::NodeSettings settings;
@@ -92,14 +92,14 @@
         settings.seeds = {{"10.0.0.2", control_port}};
         settings.retry_budget_slack = 50;
         if (change) change(settings);
-        proxy_ = std::make_unique<proxy::Proxy>(settings, home_, 1, [] { return std::nullopt; });
+        proxy_ = std::make_unique<proxy::Proxy>(settings, system_, 1, [] { return std::nullopt; });
         started_ = proxy_->start();
         wake(queue.now());
         advance(Span{0.1});
     }
     ~ProxyWorld() {
         proxy_.reset();
-        home_.end_process();
+        system_.end_process();
     }
 
     // What a control node says on a new subscription.
@@ -184,7 +184,7 @@
         const auto value = at + series.size() + 2;
         return text.substr(value, text.find('\n', value) - value);
     }
-    void signal(int number) { home_.signal(number); }
+    void signal(int number) { system_.signal(number); }
     bool is_over() const { return proxy_->over(); }
     bool started() const { return started_; }
 
@@ -217,13 +217,13 @@
         if (!proxy_ || proxy_->over()) return;
         const auto before = wake_;
         proxy_->round();
-        if (proxy_->over()) return home_.end_process();
+        if (proxy_->over()) return system_.end_process();
         if (wake_ != before) return;   // something was heard meanwhile
-        wake(home_.sleeps() ? home_.until() : queue.now());
+        wake(system_.sleeps() ? system_.until() : queue.now());
     }
 
     lab::Machine machine_{1}, client_machine_{3};
-    lab::VirtualHome home_;
+    lab::VirtualSystem system_;
     std::unique_ptr<proxy::Proxy> proxy_;
     std::vector<std::unique_ptr<LateEar>> clients_;
     uint64_t wake_ = 0;
--- a/tests/wire_machines_test.cpp
+++ b/tests/wire_machines_test.cpp
@@ -13,12 +13,12 @@
 
 using namespace myrtleroute;
 using namespace myrtleroute::wire;
-using Side = HttpMachine::Side;
+using Side = HttpParser::Side;
 
 namespace {
 
 // Feeds all of it in pieces of `step` bytes; what is past the end of the message comes back.
-std::string feed(HttpMachine& machine, std::string bytes, size_t step) {
+std::string feed(HttpParser& machine, std::string bytes, size_t step) {
     while (!bytes.empty() && !machine.done() && !machine.fault()) {
         const size_t n = machine.feed(std::string_view(bytes).substr(0, step));
         bytes.erase(0, n);
@@ -53,9 +53,9 @@
         Case{"GET / HTTP/1.0\r\n" + id + product + "\r\n", "GET / HTTP/1.1\r\n" + id + product + "Host: api\r\n",
              "", 0, 4});
     for (const size_t step : {size_t{1}, size_t{2}, size_t{7}, c.text.size()}) {
-        AskReader reader(settings());
-        HttpMachine machine(Side::ask, reader);
-        CHECK_FALSE(machine.begun());
+        RequestReader reader(settings());
+        HttpParser machine(Side::request, reader);
+        CHECK_FALSE(machine.started());
         CHECK(feed(machine, c.text.substr(0, c.text.size() - 1), step).empty());
         CHECK_FALSE(machine.done());   // not before its last byte
         CHECK(feed(machine, c.text.substr(c.text.size() - 1) + "GET /next", step) == "GET /next");
@@ -76,8 +76,8 @@
                             Case{"EstimateS=-1,Billing=-1", 0, 0}, Case{"EstimateS=nan,Billing=x", 0, 0},
                             Case{"EstimateS,=,Billing=70000", 0, 0}, Case{"Other=3,Billing=2", 0, 2}, Case{"EstimateS=1e300", 4, 0});
     const std::string text = "GET /api HTTP/1.1\r\n" + fields + "X-Attrs: " + c.attributes + "\r\n\r\n";
-    AskReader reader(settings());
-    HttpMachine machine(Side::ask, reader);
+    RequestReader reader(settings());
+    HttpParser machine(Side::request, reader);
     feed(machine, text, text.size());
     REQUIRE(machine.done());
     CHECK(machine.fault() == 0);
@@ -116,16 +116,16 @@
         Case{"GET /api HTTP/1.1\r\n" + host + product + "X-Request-ID:\r\n", 400},
         Case{"GET /api HTTP/1.1\r\n" + host + product + "\r\n", 400});
     for (const size_t step : {size_t{1}, c.text.size()}) {
-        AskReader reader(settings());
-        HttpMachine machine(Side::ask, reader);
+        RequestReader reader(settings());
+        HttpParser machine(Side::request, reader);
         feed(machine, c.text, step);
         CHECK(machine.fault() == c.status);
         CHECK_FALSE(machine.done());
     }
     std::string many = get;   // each line is short, but there is no end of them
     while (many.size() < 40000) many += "A: b\r\n";
-    AskReader reader(settings());
-    HttpMachine machine(Side::ask, reader);
+    RequestReader reader(settings());
+    HttpParser machine(Side::request, reader);
     feed(machine, many, 4096);
     CHECK(machine.fault() == 431);
 }
@@ -164,10 +164,10 @@
         Case{ok + "Content-Length: 65537\r\n\r\n", false, false, {}, {}, {}},
         Case{ok + "\r\n" + std::string(65537, 'x'), false, false, {}, {}, {}});
     for (const size_t step : {size_t{1}, c.text.size()}) {
-        ReplyReader reader;
-        HttpMachine machine(Side::answer, reader);
+        ResponseReader reader;
+        HttpParser machine(Side::response, reader);
         feed(machine, c.text, step);
-        if (c.closes) machine.closed();
+        if (c.closes) machine.connection_closed();
         REQUIRE(machine.done() == c.done);
         if (!c.done) {
             CHECK(machine.fault() != 0);
@@ -175,38 +175,38 @@
         }
         CHECK(reader.outcome() == c.outcome);
         CHECK(reader.text == c.body);
-        CHECK(machine.keeps() == c.keeps);
+        CHECK(machine.keeps_alive() == c.keeps);
     }
 }
 
 TEST_CASE("an answer without a length is not whole before its connection has ended") {
-    ReplyReader reader;
-    HttpMachine machine(Side::answer, reader);
+    ResponseReader reader;
+    HttpParser machine(Side::response, reader);
     feed(machine, "HTTP/1.1 200 OK\r\n\r\nabc", 1);
     CHECK_FALSE(machine.done());
     CHECK(machine.fault() == 0);
     feed(machine, "d", 1);
-    machine.closed();
+    machine.connection_closed();
     CHECK(machine.done());
     CHECK(reader.text == "abcd");
 }
 
 TEST_CASE("a machine goes on with the next message of its connection") {
-    AskReader reader(settings());
-    HttpMachine machine(Side::ask, reader);
+    RequestReader reader(settings());
+    HttpParser machine(Side::request, reader);
     std::string bytes = "POST /1 HTTP/1.1\r\n" + posted + "Content-Length: 2\r\n\r\nabGET /2 HTTP/1.1\r\n" + fields +
                         "Connection: close\r\n\r\n";
     bytes = feed(machine, bytes, bytes.size());
-    CHECK((machine.keeps() && reader.ask().body == "ab"));
+    CHECK((machine.keeps_alive() && reader.ask().body == "ab"));
     machine.next();
     reader.next();
     CHECK(feed(machine, bytes, 3).empty());
-    CHECK((machine.done() && !machine.keeps() && reader.ask().body.empty()));
+    CHECK((machine.done() && !machine.keeps_alive() && reader.ask().body.empty()));
     CHECK(reader.ask().head.substr(0, 6) == "GET /2");
 }
 
 TEST_CASE("JSON, in pieces of any size") {
-    struct Trace : JsonReader {
+    struct Trace : JsonHandler {
         std::string said;
         void opens(bool list) override { said += list ? "[" : "{"; }
         void closes(bool list) override { said += list ? "]" : "}"; }
@@ -227,7 +227,7 @@
         Case{"\"a\nb\"", ""}, Case{"{1:2}", ""}, Case{std::string(40, '['), ""}, Case{std::string(40, '1'), ""});
     for (const size_t step : {size_t{1}, size_t{3}, c.text.size() + 1}) {
         Trace trace;
-        JsonMachine machine(trace);
+        JsonParser machine(trace);
         bool sound = true;
         for (size_t at = 0; at < c.text.size() && sound; at += step)
             sound = machine.feed(std::string_view(c.text).substr(at, step));
@@ -237,15 +237,15 @@
 }
 
 TEST_CASE("a list is told whole or not at all") {
-    struct Told : ListSink {
+    struct Told : ServerListSink {
         std::ostringstream said;
-        void list_starts(bool whole) override { said << (whole ? "whole" : "changes"); }
+        void list_began(bool whole) override { said << (whole ? "whole" : "changes"); }
         void server(std::string_view uid, std::string_view endpoint, std::string_view zone, uint16_t cell,
                     std::string_view state, double size, double boot_ms) override {
             said << ' ' << uid << ',' << endpoint << ',' << zone << ',' << cell << ',' << state << ',' << size << ','
                  << boot_ms;
         }
-        void list_ends() override { said << " end"; }
+        void list_ended() override { said << " end"; }
     };
     const std::string one = R"({"uid":"s-1","endpoint":"10.0.0.1:80","az":"a","model":"m","pod_group":3,)"
                             R"("state":"SERVING","capacity_hint":1.5,"boot_ms":25})";
@@ -274,12 +274,12 @@
         Case{"[]", "", "targets"}, Case{"", "", "rev"}, Case{"<html>", "", "rev"});
     Told sink;
     uint64_t rev = 1;
-    CHECK(tell_list(c.text, sink, rev) == !c.said.empty());
+    CHECK(deliver_list(c.text, sink, rev) == !c.said.empty());
     CHECK(sink.said.str() == c.said);
     CHECK(rev == (c.said.empty() ? 1 : 7));
     if (c.fault.empty()) return;
-    ListReader check;
-    JsonMachine machine(check);
+    ServerListReader check;
+    JsonParser machine(check);
     machine.feed(c.text);
     CHECK(check.fault() == c.fault);
 }
