--- a/bench/loopback_cost.cpp
+++ b/bench/loopback_cost.cpp
@@ -78,7 +78,7 @@
         while (!c.in.empty() && !peer.http.done()) c.in.drop(peer.http.feed(c.in.front()));
         if (c.ended || peer.http.fault()) return loop_.close(c, CloseReason::peer_closed);
         if (!peer.http.done()) return;
-        peer.http.next();
+        peer.http.reset();
         if (peer.asked.target.find("hold_ms") != std::string::npos) return;   // nothing ever changes
         const bool list = peer.asked.target.starts_with("/discovery");
         c.out.push(wire::format_response(200, list ? targets() : std::string(200, 'a'), true));
@@ -117,7 +117,7 @@
         if (!caller.http.done()) return;
         fulfilled += caller.reader.status == 200;
         ++answered_;
-        caller.http.next();
+        caller.http.reset();
         call(c);
     }
     void on_error(Connection&, int) override { std::abort(); }   // then nothing is measured
--- a/example/toy_servers.cpp
+++ b/example/toy_servers.cpp
@@ -77,7 +77,7 @@
         auto& peer = static_cast<Peer&>(c);
         c.out.push(peer.reply);
         peer.reply.clear();
-        peer.http.next();
+        peer.http.reset();
         loop_.flush(c);
     }
 
--- a/src/lab/application.cpp
+++ b/src/lab/application.cpp
@@ -158,7 +158,7 @@
         left.remove_prefix(conn.machine.feed(left));
         if (!conn.machine.done()) continue;
         const bool keeps = conn.machine.keeps_alive();
-        conn.machine.next();
+        conn.machine.reset();
         conn.strange_answered = true;
         if (conn.busy && conn.sent && !conn.half && !conn.strange) site_.oracle.answered(conn.call, conn.status, conn.text);
         if (!keeps || conn.strange || conn.half) return leave(socket.number);
--- a/src/lab/oracle.cpp
+++ b/src/lab/oracle.cpp
@@ -287,7 +287,7 @@
         if (!c.machine.done()) continue;
         if (c.asks) shot_written(c);
         else answer_written(c, s);
-        c.machine.next();
+        c.machine.reset();
     }
 }
 
--- a/src/lab/registry.cpp
+++ b/src/lab/registry.cpp
@@ -170,7 +170,7 @@
     while (!left.empty() && !call.machine.done() && !call.machine.fault()) left.remove_prefix(call.machine.feed(left));
     if (socket.fin_in || socket.error || call.machine.fault()) return end(socket.number);
     if (!call.machine.done()) return;
-    call.machine.next();
+    call.machine.reset();
     if (on(FaultKind::silent_list)) return;
     if (on(FaultKind::no_list)) {
         if (chance_.yes(0.4)) return end(socket.number, true);
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -173,7 +173,7 @@
     if (!left.empty() && on(FaultKind::resets) && chance_.yes(how(FaultKind::resets) * 0.1)) return end(socket.number, true);
     while (!left.empty() && !conn.machine.done() && !conn.machine.fault()) left.remove_prefix(conn.machine.feed(left));
     if (conn.machine.done()) {
-        conn.machine.next();
+        conn.machine.reset();
         asked(conn);
         if (!conns_.count(socket.number)) return;
     }
--- a/src/memory/byte_ring.hpp
+++ b/src/memory/byte_ring.hpp
@@ -1,4 +1,4 @@
-// The bytes of one direction of a connection: a ring that takes memory only while it holds something and
+// Ring buffer for the bytes of one direction of a connection. It allocates memory only while it holds bytes and
 // never more than its limit.
 #pragma once
 #include <sys/uio.h>
@@ -18,8 +18,8 @@
     bool empty() const { return size_ == 0; }
     bool full() const { return size_ == limit_; }
 
-    // The parts that may be written to, then how much of them was; asking makes room for at least one byte
-    // unless the ring is full.
+    // Free space as up to two parts, to be followed by commit(bytes written). Grows the buffer by at least one byte
+    // if there is no free space, unless the limit is reached.
     std::array<iovec, 2> writable_parts() {
         if (size_ == capacity_ && size_ < limit_) grow(size_ + 1);
         const size_t end = wrap(start_ + size_), free = capacity_ - size_;
@@ -30,12 +30,12 @@
         size_ += n;
         if (empty()) release();
     }
-    // The parts that hold bytes, then how many of them are done with.
+    // Buffered bytes as up to two parts, to be followed by drop(bytes consumed).
     std::array<iovec, 2> readable_parts() {
         const size_t first = std::min(size_, capacity_ - start_);
         return {iovec{bytes_.get() + start_, first}, iovec{bytes_.get(), size_ - first}};
     }
-    std::string_view front() const {
+    std::string_view front() const {   // the first contiguous part of the buffered bytes
         return {bytes_.get() + start_, std::min(size_, capacity_ - start_)};
     }
     void drop(size_t n) {
@@ -43,7 +43,7 @@
         size_ -= n;
         if (empty()) release();
     }
-    bool push(std::string_view bytes) {
+    bool push(std::string_view bytes) {   // false: does not fit within the limit; nothing is added
         if (bytes.size() > limit_ - size_) return false;
         if (bytes.empty()) return true;
         if (bytes.size() > capacity_ - size_) grow(size_ + bytes.size());
@@ -58,15 +58,15 @@
     static constexpr size_t min_capacity_ = 4096;
     size_t wrap(size_t at) const { return at >= capacity_ ? at - capacity_ : at; }
     void grow(size_t wanted) {
-        const size_t bigger = std::min(limit_, std::max({wanted, 2 * capacity_, std::min(min_capacity_, limit_)}));
-        auto fresh = std::make_unique_for_overwrite<char[]>(bigger);
+        const size_t new_capacity = std::min(limit_, std::max({wanted, 2 * capacity_, std::min(min_capacity_, limit_)}));
+        auto buffer = std::make_unique_for_overwrite<char[]>(new_capacity);
         const auto held = readable_parts();
         if (size_) {
-            std::memcpy(fresh.get(), held[0].iov_base, held[0].iov_len);
-            std::memcpy(fresh.get() + held[0].iov_len, held[1].iov_base, held[1].iov_len);
+            std::memcpy(buffer.get(), held[0].iov_base, held[0].iov_len);
+            std::memcpy(buffer.get() + held[0].iov_len, held[1].iov_base, held[1].iov_len);
         }
-        bytes_ = std::move(fresh);
-        capacity_ = bigger;
+        bytes_ = std::move(buffer);
+        capacity_ = new_capacity;
         start_ = 0;
     }
     void release() {
--- a/src/memory/calls.hpp
+++ b/src/memory/calls.hpp
@@ -1,4 +1,4 @@
-// The API calls that are held: what goes on to a server, who waits for the answer and which attempts are out.
+// API calls in progress: the request as it is sent on, the client that waits, and the attempts at servers.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -13,55 +13,56 @@
 
 struct Connection;
 
-// What an API call says of itself, filled field by field as it is read.
+// An API request, filled field by field while it is parsed.
 struct ApiRequest {
-    std::string head;      // first line and fields, as they go on to a server; length and time-out come last
+    std::string head;      // request line and fields as sent to a server; Content-Length and X-Timeout are appended
     std::string body;
     int product = -1;
     uint32_t tenant = 0;
-    uint64_t key = 0;      // what it concerns, 0 = not told
-    Span work;             // what it is told to cost a server, 0 = not told
-    Span patience{-1};     // counted from the client's send; below 0 = not said
-    std::string id;        // the client's
+    uint64_t key = 0;      // object that the call concerns, 0 = not given
+    Span work;             // estimated cost at a server, 0 = not given
+    Span timeout{-1};      // the client's, from its send; below 0 = not given
+    std::string id;        // X-Request-ID of the client
 };
 
+// A call that waits for its response or for the end of an attempt.
 struct PendingCall {
     CallId id = 0;
-    ApiRequest ask;
-    Connection* client = nullptr;      // none once it has its answer, or is gone
-    std::vector<Connection*> attempts;    // where each is out; none once it has ended
-    int open_attempts = 0;                       // attempts whose end is still to be told
+    ApiRequest request;
+    Connection* client = nullptr;      // null once it has its response or has disconnected
+    std::vector<Connection*> attempts; // the connection of each attempt; null once that has ended
+    int open_attempts = 0;             // attempts whose end has not been reported to the balancer
 };
 
 class Calls {
 public:
-    PendingCall& take(ApiRequest ask) {
+    PendingCall& add(ApiRequest request) {
         auto call = std::make_unique<PendingCall>();
         call->id = next_++;
-        call->ask = std::move(ask);
-        open_.insert(call->ask.id);
-        return *(held_[call->id] = std::move(call));
+        call->request = std::move(request);
+        open_ids_.insert(call->request.id);
+        return *(calls_[call->id] = std::move(call));
     }
     PendingCall* find(CallId id) {
-        const auto it = held_.find(id);
-        return it == held_.end() ? nullptr : it->second.get();
+        const auto it = calls_.find(id);
+        return it == calls_.end() ? nullptr : it->second.get();
     }
     void erase_if_finished(PendingCall& call) {
         if (call.client || call.open_attempts) return;
-        open_.erase(call.ask.id);
-        held_.erase(call.id);
+        open_ids_.erase(call.request.id);
+        calls_.erase(call.id);
     }
-    bool open(const std::string& id) const { return open_.count(id) > 0; }   // by the client's id
-    size_t size() const { return held_.size(); }
-    template <class Each>
-    void each(Each&& what) {   // at the end only
-        for (auto it = held_.begin(); it != held_.end();) what(*(it++)->second);
+    bool open(const std::string& id) const { return open_ids_.count(id) > 0; }   // whether a call with this id is in progress
+    size_t size() const { return calls_.size(); }
+    template <class Visitor>
+    void each(Visitor&& visit) {   // `visit` may erase the call it gets
+        for (auto it = calls_.begin(); it != calls_.end();) visit(*(it++)->second);
     }
 
 private:
     CallId next_ = 1;
-    std::map<CallId, std::unique_ptr<PendingCall>> held_;   // by age
-    std::set<std::string> open_;
+    std::map<CallId, std::unique_ptr<PendingCall>> calls_;   // in order of arrival
+    std::set<std::string> open_ids_;
 };
 
 }  // namespace myrtleroute::memory
--- a/src/memory/counters.hpp
+++ b/src/memory/counters.hpp
@@ -1,4 +1,4 @@
-// What the proxy takes in, sends and answers, counted from its start.
+// Counters of counter the proxy receives, sends and answers, from its start on.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -23,8 +23,8 @@
 
 class Counters {
 public:
-    void add(Count what) { ++counts_[static_cast<size_t>(what)]; }
-    uint64_t operator[](Count what) const { return counts_[static_cast<size_t>(what)]; }
+    void add(Count counter) { ++counts_[static_cast<size_t>(counter)]; }
+    uint64_t operator[](Count counter) const { return counts_[static_cast<size_t>(counter)]; }
     void print(std::ostream& out) const {
         static constexpr const char* names[] = {
 #define X(name) #name,
--- a/src/memory/servers.hpp
+++ b/src/memory/servers.hpp
@@ -1,4 +1,4 @@
-// The servers that discovery has named, each with its address and the connections that stand idle to it.
+// The servers listed by discovery, each with its address and its idle connections.
 #pragma once
 #include <netinet/in.h>
 
@@ -21,17 +21,17 @@
     ServerId id = 0;
     std::string uid, endpoint;
     sockaddr_in at{};
-    uint64_t listed_in = 0;          // the last list that named it
-    Time last_response = long_ago;           // its last whole answer
-    Time left_at = long_ago;            // when a list first called it gone
-    std::list<ServerConnection*> idle;           // the latest used first
-    int connections = 0;                   // connections to it, idle or not
-    bool gone = false;               // by the list
+    uint64_t listed_in = 0;          // number of the last list that contained it
+    Time last_response = long_ago;   // when its last complete response arrived
+    Time left_at = long_ago;         // when a list first reported it gone
+    std::list<ServerConnection*> idle;   // most recently used first
+    int connections = 0;             // open connections to it, idle or not
+    bool gone = false;               // according to the list
 };
 
 class Servers {
 public:
-    // The decisions' id of a uid: the same at every balancer, since each finds its part of the list by it.
+    // The id is derived from the uid, so that it is the same at every balancer: each selects its part of the list by it.
     Server& find_or_add(std::string_view uid) {
         const auto it = by_uid_.find(uid);
         if (it != by_uid_.end()) return *it->second;
@@ -49,21 +49,21 @@
         const auto it = by_id_.find(id);
         return it == by_id_.end() ? nullptr : it->second;
     }
-    // Those that are gone, that no connection leads to and that have neither been listed nor answered since
-    // `kept`; new machines come under new uids all day.
-    void erase_gone(Time kept) {
+    // Erases servers that are gone, have no connections and have neither been listed nor answered since
+    // `kept_since`. Machines are replaced under new uids all the time, so the table would grow without bound.
+    void erase_gone(Time kept_since) {
         for (auto it = by_uid_.begin(); it != by_uid_.end();) {
             const auto here = it++;
             const auto& server = *here->second;
-            if (!server.gone || server.connections || std::max(server.last_response, server.left_at) > kept) continue;
+            if (!server.gone || server.connections || std::max(server.last_response, server.left_at) > kept_since) continue;
             by_id_.erase(here->second->id);
             by_uid_.erase(here);
         }
     }
     size_t size() const { return by_uid_.size(); }
-    template <class Each>
-    void each(Each&& what) {
-        for (auto& [uid, server] : by_uid_) what(*server);
+    template <class Visitor>
+    void each(Visitor&& visit) {
+        for (auto& [uid, server] : by_uid_) visit(*server);
     }
 
 private:
--- a/src/memory/timers.hpp
+++ b/src/memory/timers.hpp
@@ -1,4 +1,4 @@
-// Timers that objects own: a heap in which each knows its place, so that it can be moved or taken out.
+// Intrusive timers in a binary heap. Each timer knows its index in the heap, so that it can be changed or removed.
 #pragma once
 #include <utility>
 #include <vector>
@@ -9,14 +9,14 @@
 
 class Timer {
 public:
-    bool set() const { return place_ != none_; }
+    bool set() const { return index_ != none_; }
     Time at() const { return at_; }
 
 private:
     friend class Timers;
     static constexpr size_t none_ = static_cast<size_t>(-1);
     Time at_;
-    size_t place_ = none_;
+    size_t index_ = none_;
 };
 
 class Timers {
@@ -26,28 +26,28 @@
     Timer& first() const { return *heap_.front(); }
     void set(Timer& t, Time at) {
         if (!t.set()) {
-            t.place_ = heap_.size();
+            t.index_ = heap_.size();
             heap_.push_back(&t);
         }
         t.at_ = at;
-        settle(t.place_);
+        restore_order(t.index_);
     }
     void clear(Timer& t) {
         if (!t.set()) return;
-        const size_t place = std::exchange(t.place_, Timer::none_);
+        const size_t index = std::exchange(t.index_, Timer::none_);
         Timer* last = heap_.back();
         heap_.pop_back();
         if (last == &t) return;
-        put(place, last);
-        settle(place);
+        put(index, last);
+        restore_order(index);
     }
 
 private:
-    void put(size_t place, Timer* t) {
-        heap_[place] = t;
-        t->place_ = place;
+    void put(size_t index, Timer* t) {
+        heap_[index] = t;
+        t->index_ = index;
     }
-    void settle(size_t at) {
+    void restore_order(size_t at) {
         Timer* t = heap_[at];
         while (at > 0 && t->at_ < heap_[(at - 1) / 2]->at_) {
             put(at, heap_[(at - 1) / 2]);
--- a/src/rig/discovery.cpp
+++ b/src/rig/discovery.cpp
@@ -198,7 +198,7 @@
     line.out.push(wire::format_response(200, words(line.proxy, whole ? 0 : line.from, to, whole), true));
     told_.push_back({at(loop_.now()), to, static_cast<uint16_t>(line.proxy), false});
     line.asks = line.watches = false;
-    line.http.next();
+    line.http.reset();
     loop_.clear_timer(line);
     loop_.flush(line);
 }
--- a/src/rig/load.cpp
+++ b/src/rig/load.cpp
@@ -150,7 +150,7 @@
     const bool wrong = status == 200 && !line.reader.text.starts_with(std::string_view(body, static_cast<size_t>(size)));
     over(line, wrong ? CallEnd::wrong : CallEnd::answered);
     line.used = true;
-    line.http.next();
+    line.http.reset();
     if (!keeps || line.ended) return loop_.close(line, CloseReason::told_to_close);
     a.idle.push_back(&line);
 }
--- a/src/rig/servers.cpp
+++ b/src/rig/servers.cpp
@@ -288,7 +288,7 @@
     shot.ended = at(loop_.now());
     line.shot = Line::none;
     line.out.push(wire::format_response(status, body, true, fields));
-    line.http.next();
+    line.http.reset();
     loop_.set_timer(line, loop_.now() + idle_close);
     loop_.flush(line);
     if (!line.in.empty()) on_readable(line);
--- a/src/roles/proxy/front.cpp
+++ b/src/roles/proxy/front.cpp
@@ -238,7 +238,7 @@
     client.request = nullptr;
     if (std::exchange(client.busy, false) && !client.is_probe) report_.request_ended(RequestEnd::answered);
     client.rests_since = context_.now();
-    client.http.next();
+    client.http.reset();
     client.reader.next();
     context_.loop.set_timer(client, context_.now() + unread_within);
     context_.loop.flush(client);
--- a/src/roles/proxy/hosts.cpp
+++ b/src/roles/proxy/hosts.cpp
@@ -173,7 +173,7 @@
         connection.in.drop(connection.http.feed(connection.in.front()));
         if (in_head && connection.reader.head_done) head_came(connection);
         if (connection.http.done() && connection.foreign) {   // an answer in excess; ours may come behind it
-            connection.http.next();
+            connection.http.reset();
             connection.reader = {};
             connection.foreign = false;
         }
@@ -259,7 +259,7 @@
     connection.request = nullptr;
     connection.is_probe = connection.read_paused = false;
     if (!keeps || !has_room) return context_.loop.close(connection, CloseReason::told_to_close);
-    connection.http.next();
+    connection.http.reset();
     connection.reader = {};
     connection.idle = true;
     connection.place = idle_.insert(idle_.begin(), &connection);
--- a/src/run/clients.cpp
+++ b/src/run/clients.cpp
@@ -125,24 +125,24 @@
     c.asked = true;
     // Guards against calls hidden behind others, and against one that takes another's place: a connection
     // carries one call at a time, and an id is one call's until that is over.
-    if (!c.in.empty() || s_.calls.open(c.reader.ask().id)) return refuse(c, c.in.empty() ? 409 : 400);
+    if (!c.in.empty() || s_.calls.open(c.reader.request().id)) return refuse(c, c.in.empty() ? 409 : 400);
     // At the door, as the simulator does: nothing of it has run, so a retry is harmless.
     if (s_.calls.size() >= s_.max_calls()) {
         s_.counters.add(Count::calls_turned_away_full);
         return say(c, 503, "",
                    wire::retry_after_field(s_.settings().retry_after ? s_.settings().max_retry_after : Span{}));
     }
-    auto& call = s_.calls.take(std::move(c.reader.ask()));
+    auto& call = s_.calls.add(std::move(c.reader.request()));
     call.client = &c;
     c.call = &call;
     s_.counters.add(Count::calls_taken);
     // Our answer has to be with the client before it gives up, so a little of its patience is kept back.
-    const Span patience = call.ask.patience;
+    const Span patience = call.request.timeout;
     const Span theirs = patience - std::min(s_.settings().answer_margin, patience * 0.1);
     const Span ours = std::min(theirs, answer_by_ - s_.loop.now());
     const auto id = call.id;
-    s_.balancer->call_arrived(s_.loop.now(), id, static_cast<uint32_t>(call.ask.product), call.ask.tenant, ours,
-                              call.ask.work, call.ask.key, false);
+    s_.balancer->call_arrived(s_.loop.now(), id, static_cast<uint32_t>(call.request.product), call.request.tenant, ours,
+                              call.request.work, call.request.key, false);
     s_.calls.erase_if_finished(call);
 }
 
@@ -168,8 +168,8 @@
     const bool crowded = idle_.size() >= s_.max_idle_clients();
     if (stopping_ || crowded || !c.in.empty()) c.last = true;   // the latter: more has come before this answer
     c.out.push(wire::format_response(status, body, !c.last, fields));
-    c.http.next();
-    c.reader.next();
+    c.http.reset();
+    c.reader.reset();
     s_.loop.set_timer(c, s_.loop.now() + read_within);
     s_.loop.flush(c);
     if (c.out.empty()) rest(c);
--- a/src/run/config.cpp
+++ b/src/run/config.cpp
@@ -15,19 +15,19 @@
     std::map<std::string, std::string> found;
     bool has_known = false, is_object = false;
 
-    void opens(bool list) override {
+    void on_open(bool list) override {
         if (known_depth_ || (open_.size() == 1 && key_ == "known")) {
             has_known = true;
             ++known_depth_;
-            return known_.opens(list);
+            return known_.on_open(list);
         }
         if (open_.empty()) is_object = !list;
         open_.push_back({open_.empty() ? "" : path(), list, 0, {}});
     }
-    void closes(bool list) override {
+    void on_close(bool list) override {
         if (known_depth_) {
             --known_depth_;
-            return known_.closes(list);
+            return known_.on_close(list);
         }
         const auto ended = std::move(open_.back());
         open_.pop_back();
@@ -35,12 +35,12 @@
         found[ended.path] = ended.joined;
         found[ended.path + ".count"] = std::to_string(ended.count);
     }
-    void key(std::string_view name) override {
-        if (known_depth_) return known_.key(name);
+    void on_key(std::string_view name) override {
+        if (known_depth_) return known_.on_key(name);
         key_ = name;
     }
-    void value(Kind kind, std::string_view text) override {
-        if (known_depth_) return known_.value(kind, text);
+    void on_value(Kind kind, std::string_view text) override {
+        if (known_depth_) return known_.on_value(kind, text);
         if (open_.empty() || kind == Kind::null) return;
         std::string plain(text);
         for (char& c : plain)
@@ -117,7 +117,7 @@
     wire::ServerListReader known;
     Flattener flat(known);
     if (!flatten(text, flat)) bad("BALANCER_CONFIG", "is no JSON object");
-    if (flat.has_known && !known.sound()) bad(std::string("known.") + known.fault(), "is missing or unsound");
+    if (flat.has_known && !known.valid()) bad(std::string("known.") + known.fault(), "is missing or unsound");
     const Keys keys(flat.found, environment);
     Config c;
     c.name = keys.text("name", "BALANCER_NAME", "myrtleroute");
@@ -160,7 +160,7 @@
     wire::ServerListReader check;
     Flattener first(check);
     if (!flatten(text, first) || !first.has_known) return;
-    wire::ServerListReader tell(&sink, check.whole());
+    wire::ServerListReader tell(&sink, check.complete());
     Flattener second(tell);
     flatten(text, second);
     rev = check.rev();
--- a/src/run/servers.cpp
+++ b/src/run/servers.cpp
@@ -115,7 +115,7 @@
 }
 
 void Servers::write(ServerConnection& connection) {
-    if (connection.call) write(connection, connection.call->ask.head, connection.call->ask.body);
+    if (connection.call) write(connection, connection.call->request.head, connection.call->request.body);
     else write(connection, "GET /alive HTTP/1.1\r\nHost: " + connection.server->endpoint + "\r\n", "");
     s_.loop.flush(connection);
 }
@@ -184,7 +184,7 @@
     const int attempt = connection.attempt;
     const bool probe = std::exchange(connection.probes, false);
     const auto server = connection.server->id;
-    connection.http.next();
+    connection.http.reset();
     connection.reader = {};
     connection.server->last_response = connection.answered = s_.loop.now();
     if (!reply.load.empty()) {
--- a/src/run/watcher.cpp
+++ b/src/run/watcher.cpp
@@ -100,7 +100,7 @@
     const bool nothing_new = has_rev_ && rev == rev_;
     has_rev_ = true;
     const bool keeps = c.http.keeps_alive() && c.in.empty() && !c.ended;
-    c.http.next();
+    c.http.reset();
     c.reader = {};
     c.answered = true;
     if (!keeps) {
--- a/src/soak/hosts.cpp
+++ b/src/soak/hosts.cpp
@@ -84,7 +84,7 @@
         unread_.erase(0, http_.feed(unread_));
         if (http_.fault()) return reset(socket_);
         if (!http_.done()) return read();
-        http_.next();
+        http_.reset();
         handle();
     }
 
--- a/src/soak/kept_clients.cpp
+++ b/src/soak/kept_clients.cpp
@@ -50,7 +50,7 @@
     void connect_again() {
         asio::error_code ignored;
         socket_.close(ignored);
-        http_.next();
+        http_.reset();
         after(timer_, reconnect_after + chance_.exponential(mean_pause), [this] { connect(); });
     }
 
@@ -63,7 +63,7 @@
                             {"Authorization", std::string("Token ") + kept_key},
                             {"X-Token-Count", "5,5"}};
         text_ = request_text("POST", std::string(route.path) + "x", route_host, fields, "{}");
-        http_.next();
+        http_.reset();
         reader_ = {};
         checker_.sent(request_, now_());
         after(timer_, patience, [this] { timed_out(); });
--- a/src/wire/ask.hpp
+++ b/src/wire/ask.hpp
@@ -1,4 +1,4 @@
-// Reads what a client asks for straight into its API call, and words the answers to clients.
+// Parses the API requests of clients into memory::ApiRequest, and formats the responses to clients.
 #pragma once
 #include <string>
 #include <string_view>
@@ -12,29 +12,30 @@
 class RequestReader : public HttpHandler {
 public:
     explicit RequestReader(const Settings& settings) : settings_(&settings) {}
-    void next();                                  // for the next one of the connection
-    bool is_health_check() const { return up_; }       // GET /up
-    memory::ApiRequest& ask() { return ask_; }
+    void reset();                                  // before the next request of the connection
+    bool is_health_check() const { return health_check_; }       // GET /up
+    memory::ApiRequest& request() { return request_; }
 
     int start(std::string_view method, std::string_view target, std::string_view version) override;
     int field(std::string_view name, std::string_view value) override;
     int head_ended(Body body) override;
-    void body(std::string_view bytes) override { ask_.body.append(bytes); }
+    void body(std::string_view bytes) override { request_.body.append(bytes); }
 
 private:
     void attributes(std::string_view list);
 
     const Settings* settings_;
-    memory::ApiRequest ask_;
-    bool up_ = false, host_ = false;
+    memory::ApiRequest request_;
+    bool health_check_ = false, has_host_ = false;
 };
 
-// `480m` or `900u`; below 0 where it is neither.
+// Parses a timeout in milliseconds or microseconds, `480m` or `900u`; below 0 if malformed.
 Span parse_timeout(std::string_view text);
 
-// The field that tells a client when to try again; none for no time at all.
-std::string retry_after_field(Span after);
+// The header line that tells a client when to retry; empty if there is no delay.
+std::string retry_after_field(Span delay);
 
-std::string format_response(int status, std::string_view body, bool keep, std::string_view more = {});
+// A response with Content-Length; `extra_fields` are complete header lines.
+std::string format_response(int status, std::string_view body, bool keep_alive, std::string_view extra_fields = {});
 
 }  // namespace myrtleroute::wire
--- a/src/wire/endpoint.hpp
+++ b/src/wire/endpoint.hpp
@@ -1,4 +1,4 @@
-// An address and a port, as configuration and discovery write them: 10.1.0.18:5000.
+// IPv4 address and port as written in the configuration and by discovery: 10.1.0.18:5000.
 #pragma once
 #include <arpa/inet.h>
 #include <netinet/in.h>
--- a/src/wire/json.hpp
+++ b/src/wire/json.hpp
@@ -1,4 +1,4 @@
-// JSON as a state machine that is fed bytes; what it reads goes to a reader piece by piece.
+// Incremental JSON parser. It is fed bytes and passes what it reads to a handler.
 #pragma once
 #include <string>
 #include <string_view>
@@ -8,39 +8,39 @@
 
 class JsonHandler {
 public:
-    enum class Kind { text, number, truth, null };
+    enum class Kind { text, number, boolean, null };
     virtual ~JsonHandler() = default;
-    virtual void opens(bool list) = 0;    // an object, or a list
-    virtual void closes(bool list) = 0;
-    virtual void key(std::string_view name) = 0;
-    virtual void value(Kind kind, std::string_view text) = 0;   // numbers, true, false and null as written
+    virtual void on_open(bool list) = 0;    // an object or a list begins
+    virtual void on_close(bool list) = 0;
+    virtual void on_key(std::string_view name) = 0;
+    virtual void on_value(Kind kind, std::string_view text) = 0;   // literals as written
 };
 
 class JsonParser {
 public:
-    explicit JsonParser(JsonHandler& reader) : reader_(reader) {}
-    bool feed(std::string_view bytes);   // false: this is no JSON
+    explicit JsonParser(JsonHandler& handler) : handler_(handler) {}
+    bool feed(std::string_view bytes);   // false: malformed
     bool finish();                       // whether exactly one value was read
 
 private:
-    enum class State { value, value_or_end, key, key_or_end, colon, comma_or_end, text, escape, hex, bare,
-                       over, broken };
-    void take(char c);
-    void ends_value();
-    bool ends_bare();
-    void ends_text();
+    enum class State { value, value_or_end, key, key_or_end, colon, comma_or_end, text, escape, hex, literal,
+                       done, invalid };
+    void consume(char c);
+    void value_ended();
+    bool literal_ended();
+    void text_ended();
     void open(bool list);
     void close(bool list);
     void hex_digit(char c);
-    void add_rune(unsigned rune);
+    void append_code_point(unsigned code_point);
 
-    JsonHandler& reader_;
+    JsonHandler& handler_;
     State state_ = State::value;
-    std::vector<bool> lists_;   // what is open: a list, or an object
+    std::vector<bool> lists_;   // the open containers: true = list, false = object
     std::string text_;
     bool is_key_ = false;
-    unsigned rune_ = 0, high_ = 0;
-    int digits_ = 0;
+    unsigned code_point_ = 0, high_surrogate_ = 0;
+    int hex_digits_ = 0;
 };
 
 }  // namespace myrtleroute::wire
--- a/src/wire/load_report.hpp
+++ b/src/wire/load_report.hpp
@@ -1,4 +1,4 @@
-// A server's report of its load: `TEXT inflight=7, queue=2, util=0.61`.
+// Parses a server's load report: `TEXT inflight=7, queue=2, util=0.61`.
 #pragma once
 #include <string_view>
 
@@ -6,17 +6,17 @@
 
 namespace myrtleroute::wire {
 
-// Gives each figure to `take`; false where any of it is no report, and then none is given.
-template <class Take>
-bool read_load(std::string_view report, Take&& take) {
-    constexpr std::string_view form = "TEXT ";
-    if (report.substr(0, form.size()) != form) return false;
-    for (const bool telling : {false, true})
-        for (auto rest = report.substr(form.size()); !rest.empty();) {
-            const auto [name, said] = next_pair(rest);
-            const auto value = parse_decimal(said);
+// Passes each metric to `visit(name, value)`; false, and nothing passed, if any part of the report is malformed.
+template <class Visitor>
+bool read_load(std::string_view report, Visitor&& visit) {
+    constexpr std::string_view prefix = "TEXT ";
+    if (report.substr(0, prefix.size()) != prefix) return false;
+    for (const bool deliver : {false, true})
+        for (auto rest = report.substr(prefix.size()); !rest.empty();) {
+            const auto [name, text] = next_pair(rest);
+            const auto value = parse_decimal(text);
             if (name.empty() || !value || *value < 0) return false;
-            if (telling) take(name, *value);
+            if (deliver) visit(name, *value);
         }
     return true;
 }
--- a/src/wire/reply.hpp
+++ b/src/wire/reply.hpp
@@ -1,4 +1,4 @@
-// Reads what a server or discovery answers, and tells what it makes of a shot.
+// Reads the responses of servers and of discovery, and classifies the outcome of an attempt.
 #pragma once
 #include <string>
 #include <string_view>
@@ -12,7 +12,7 @@
 class ResponseReader : public HttpHandler {
 public:
     int status = 0;
-    bool not_run = false;
+    bool not_processed = false;
     std::string content_type, load, text;
 
     int start(std::string_view, std::string_view code, std::string_view) override {
@@ -21,17 +21,17 @@
         return 0;
     }
     int field(std::string_view name, std::string_view value) override {
-        if (equals_ignore_case(name, "X-Not-Processed")) not_run = value == "1";
+        if (equals_ignore_case(name, "X-Not-Processed")) not_processed = value == "1";
         if (equals_ignore_case(name, "X-Server-Load")) load = value;
         if (equals_ignore_case(name, "Content-Type")) content_type = value;
         return 0;
     }
     void body(std::string_view bytes) override { text.append(bytes); }
 
-    // Only a server that says so itself has not run it; any other refusal may have come after the effect.
+    // Only X-Not-Processed guarantees that the call has not been executed; any other error may follow its effect.
     Outcome outcome() const {
         if (status == 200) return Outcome::fulfilled;
-        return not_run && (status == 503 || status == 504) ? Outcome::full : Outcome::errored;
+        return not_processed && (status == 503 || status == 504) ? Outcome::full : Outcome::errored;
     }
 };
 
--- a/src/wire/text.hpp
+++ b/src/wire/text.hpp
@@ -1,4 +1,4 @@
-// What the parsers share: comparing, trimming and reading numbers, all of it strict.
+// Helpers of the parsers: comparison, trimming and strict parsing of numbers.
 #pragma once
 #include <charconv>
 #include <cmath>
@@ -10,7 +10,7 @@
 
 inline char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
 
-inline bool equals_ignore_case(std::string_view a, std::string_view b) {   // but for case
+inline bool equals_ignore_case(std::string_view a, std::string_view b) {   // ASCII
     if (a.size() != b.size()) return false;
     for (size_t i = 0; i < a.size(); ++i)
         if (lower(a[i]) != lower(b[i])) return false;
@@ -23,7 +23,7 @@
     return s;
 }
 
-// Fields that concern one connection only (RFC 9110, 7.6.1), and those that frame a message anew on each.
+// Hop-by-hop fields (RFC 9110, 7.6.1), and those that frame the message, which each connection sets anew.
 inline bool is_hop_by_hop(std::string_view name) {
     constexpr std::string_view names[] = {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
                                           "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"};
@@ -32,24 +32,24 @@
     return false;
 }
 
-// Takes the next part off a list with commas.
+// Removes the next item from a comma-separated list and returns it.
 inline std::string_view next_item(std::string_view& rest) {
     const auto comma = rest.find(',');
-    const auto part = rest.substr(0, comma);
+    const auto item = rest.substr(0, comma);
     rest = comma == rest.npos ? std::string_view{} : rest.substr(comma + 1);
-    return trim(part);
+    return trim(item);
 }
 
-// The same of a list of `name=value`; no name where it is no such part.
+// The same for a list of `name=value` pairs; an empty name if the item has no `=`.
 inline std::pair<std::string_view, std::string_view> next_pair(std::string_view& rest) {
-    const auto part = next_item(rest);
-    const auto is = part.find('=');
-    if (is == part.npos) return {};
-    return {trim(part.substr(0, is)), trim(part.substr(is + 1))};
+    const auto item = next_item(rest);
+    const auto is = item.find('=');
+    if (is == item.npos) return {};
+    return {trim(item.substr(0, is)), trim(item.substr(is + 1))};
 }
 
 template <class T>
-std::optional<T> parse_integer(std::string_view s, int base = 10) {   // digits alone, and no more than T holds
+std::optional<T> parse_integer(std::string_view s, int base = 10) {   // digits only, within the range of T
     T value{};
     const auto [end, error] = std::from_chars(s.data(), s.data() + s.size(), value, base);
     if (s.empty() || s.front() == '-' || error != std::errc{} || end != s.data() + s.size()) return {};
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -100,21 +100,21 @@
 }
 
 TEST_CASE("a call is held until it has its answer and its last shot has ended") {
-    struct Case { bool client; int out; bool held; };
+    struct Case { bool client; int out; bool pending; };
     const auto c = GENERATE(Case{true, 0, true}, Case{true, 1, true}, Case{false, 1, true}, Case{false, 0, false});
     Calls calls;
     Connection* somebody = reinterpret_cast<Connection*>(&calls);
-    ApiRequest ask;
-    ask.id = "9b1f";
-    auto& call = calls.take(ask);
+    ApiRequest request;
+    request.id = "9b1f";
+    auto& call = calls.add(request);
     const auto id = call.id;
     call.client = c.client ? somebody : nullptr;
     call.open_attempts = c.out;
     calls.erase_if_finished(call);
-    CHECK((calls.find(id) != nullptr) == c.held);
-    CHECK(calls.size() == (c.held ? 1 : 0));
-    CHECK(calls.open("9b1f") == c.held);
-    CHECK(calls.take({}).id != id);   // never used again
+    CHECK((calls.find(id) != nullptr) == c.pending);
+    CHECK(calls.size() == (c.pending ? 1 : 0));
+    CHECK(calls.open("9b1f") == c.pending);
+    CHECK(calls.add({}).id != id);   // never used again
 }
 
 TEST_CASE("counters are printed by name") {
--- a/tests/wire_machines_test.cpp
+++ b/tests/wire_machines_test.cpp
@@ -61,10 +61,10 @@
         CHECK(feed(machine, c.text.substr(c.text.size() - 1) + "GET /next", step) == "GET /next");
         REQUIRE(machine.done());
         CHECK(machine.fault() == 0);
-        CHECK(reader.ask().head == c.head);
-        CHECK(reader.ask().body == c.body);
-        CHECK(reader.ask().product == c.product);
-        CHECK(reader.ask().patience.s == Approx(c.patience));
+        CHECK(reader.request().head == c.head);
+        CHECK(reader.request().body == c.body);
+        CHECK(reader.request().product == c.product);
+        CHECK(reader.request().timeout.s == Approx(c.patience));
     }
 }
 
@@ -81,9 +81,9 @@
     feed(machine, text, text.size());
     REQUIRE(machine.done());
     CHECK(machine.fault() == 0);
-    CHECK(reader.ask().work.s == Approx(c.work));
-    CHECK(reader.ask().tenant == c.tenant);
-    CHECK(reader.ask().key == c.key);
+    CHECK(reader.request().work.s == Approx(c.work));
+    CHECK(reader.request().tenant == c.tenant);
+    CHECK(reader.request().key == c.key);
 }
 
 TEST_CASE("malformed, oversized and ambiguous requests are refused") {
@@ -197,21 +197,21 @@
     std::string bytes = "POST /1 HTTP/1.1\r\n" + posted + "Content-Length: 2\r\n\r\nabGET /2 HTTP/1.1\r\n" + fields +
                         "Connection: close\r\n\r\n";
     bytes = feed(machine, bytes, bytes.size());
-    CHECK((machine.keeps_alive() && reader.ask().body == "ab"));
-    machine.next();
-    reader.next();
+    CHECK((machine.keeps_alive() && reader.request().body == "ab"));
+    machine.reset();
+    reader.reset();
     CHECK(feed(machine, bytes, 3).empty());
-    CHECK((machine.done() && !machine.keeps_alive() && reader.ask().body.empty()));
-    CHECK(reader.ask().head.substr(0, 6) == "GET /2");
+    CHECK((machine.done() && !machine.keeps_alive() && reader.request().body.empty()));
+    CHECK(reader.request().head.substr(0, 6) == "GET /2");
 }
 
 TEST_CASE("JSON, in pieces of any size") {
     struct Trace : JsonHandler {
         std::string said;
-        void opens(bool list) override { said += list ? "[" : "{"; }
-        void closes(bool list) override { said += list ? "]" : "}"; }
-        void key(std::string_view name) override { said.append(name).append(":"); }
-        void value(Kind kind, std::string_view text) override {
+        void on_open(bool list) override { said += list ? "[" : "{"; }
+        void on_close(bool list) override { said += list ? "]" : "}"; }
+        void on_key(std::string_view name) override { said.append(name).append(":"); }
+        void on_value(Kind kind, std::string_view text) override {
             said.append(1, "tnbz"[static_cast<int>(kind)]).append("(").append(text).append(")");
         }
     };
