--- a/src/memory/byte_ring.hpp
+++ b/src/memory/byte_ring.hpp
@@ -58,15 +58,15 @@
     static constexpr size_t min_capacity_ = 4096;
     size_t wrap(size_t at) const { return at >= capacity_ ? at - capacity_ : at; }
     void grow(size_t wanted) {
-        const size_t new_capacity = std::min(limit_, std::max({wanted, 2 * capacity_, std::min(min_capacity_, limit_)}));
-        auto buffer = std::make_unique_for_overwrite<char[]>(new_capacity);
+        const size_t capacity = std::min(limit_, std::max({wanted, 2 * capacity_, std::min(min_capacity_, limit_)}));
+        auto buffer = std::make_unique_for_overwrite<char[]>(capacity);
         const auto held = readable_parts();
         if (size_) {
             std::memcpy(buffer.get(), held[0].iov_base, held[0].iov_len);
             std::memcpy(buffer.get() + held[0].iov_len, held[1].iov_base, held[1].iov_len);
         }
         bytes_ = std::move(buffer);
-        capacity_ = new_capacity;
+        capacity_ = capacity;
         start_ = 0;
     }
     void release() {
--- a/src/memory/calls.hpp
+++ b/src/memory/calls.hpp
@@ -52,7 +52,7 @@
         open_ids_.erase(call.request.id);
         calls_.erase(call.id);
     }
-    bool open(const std::string& id) const { return open_ids_.count(id) > 0; }   // whether a call with this id is in progress
+    bool open(const std::string& id) const { return open_ids_.count(id) > 0; }   // a call with this id
     size_t size() const { return calls_.size(); }
     template <class Visitor>
     void each(Visitor&& visit) {   // `visit` may erase the call it gets
--- a/src/memory/servers.hpp
+++ b/src/memory/servers.hpp
@@ -31,7 +31,7 @@
 
 class Servers {
 public:
-    // The id is derived from the uid, so that it is the same at every balancer: each selects its part of the list by it.
+    // The id is derived from the uid, so that it is the same at every balancer: each picks its part of the list by it.
     Server& find_or_add(std::string_view uid) {
         const auto it = by_uid_.find(uid);
         if (it != by_uid_.end()) return *it->second;
@@ -50,12 +50,12 @@
         return it == by_id_.end() ? nullptr : it->second;
     }
     // Erases servers that are gone, have no connections and have neither been listed nor answered since
-    // `kept_since`. Machines are replaced under new uids all the time, so the table would grow without bound.
-    void erase_gone(Time kept_since) {
+    // `since`. Machines are replaced under new uids all the time, so the table would grow without bound.
+    void erase_gone(Time since) {
         for (auto it = by_uid_.begin(); it != by_uid_.end();) {
             const auto here = it++;
             const auto& server = *here->second;
-            if (!server.gone || server.connections || std::max(server.last_response, server.left_at) > kept_since) continue;
+            if (!server.gone || server.connections || std::max(server.last_response, server.left_at) > since) continue;
             by_id_.erase(here->second->id);
             by_uid_.erase(here);
         }
--- a/src/run/clients.hpp
+++ b/src/run/clients.hpp
@@ -1,4 +1,4 @@
-// The application's side: takes API calls from connections and gives each its one answer.
+// The client side: reads API calls from the application's connections and sends one response to each.
 #pragma once
 #include <cmath>
 #include <deque>
@@ -13,16 +13,16 @@
 class Clients : public memory::ConnectionHandler {
 public:
     explicit Clients(Shared& shared) : s_(shared) {}
-    bool open();                                     // false: can't listen there
+    bool open();                                     // false: can't listen at the configured address
     void ready() { ready_ = true; }                  // GET /up may answer 200
-    void give(memory::PendingCall& call, int status, std::string_view body, std::string_view fields = {});
-    bool shed();                                     // ends a connection that can go, if there is one
-    void settle();                                   // goes on with calls that wait behind an answer
-    void answer_by(Time last) { answer_by_ = last; } // whatever time a call has
-    void last_ones();                                // takes what has come, listens no more, parts with idle ones
-    void part_with_all();                            // that have no call out
-    bool over() const { return open_ == 0 && !listener_; }
-    void on_full(std::function<bool()> make_room) { make_room_ = std::move(make_room); }
+    void respond(memory::PendingCall& call, int status, std::string_view body, std::string_view fields = {});
+    bool shed();                                     // closes a connection that can be spared; false: there is none
+    void process_waiting();    // reads the next calls of connections whose response has been written
+    void set_final_deadline(Time deadline) { final_deadline_ = deadline; } // upper bound of all deadlines
+    void stop_accepting();     // accepts what is queued, stops listening, closes idle connections
+    void close_idle();                            // those without a call
+    bool finished() const { return open_ == 0 && !listener_; }
+    void set_make_room(std::function<bool()> make_room) { make_room_ = std::move(make_room); }
 
     void on_readable(memory::Connection& c) override;
     void on_written(memory::Connection& c) override;
@@ -34,22 +34,22 @@
     struct Client;
     void accept();
     void read(Client& c);
-    void take(Client& c);
-    void say(Client& c, int status, std::string_view body, std::string_view fields = {});
-    void refuse(Client& c, int status);
-    void rest(Client& c);
-    void part(Client& c, memory::CloseReason why);
-    void leave(Client& c);
-    void wait(Client& c);
+    void handle_request(Client& c);
+    void send_response(Client& c, int status, std::string_view body, std::string_view fields = {});
+    void reject(Client& c, int status);
+    void become_idle(Client& c);
+    void start_close(Client& c, memory::CloseReason why);
+    void remove_from_list(Client& c);
+    void enqueue(Client& c);
     void end(Client& c, memory::CloseReason why);
 
     Shared& s_;
     Listener* listener_ = nullptr;
-    std::list<Client*> idle_, silent_, lingering_;   // the longest so first; `silent_` never asked
+    std::list<Client*> idle_, silent_, lingering_;   // longest first; `silent_` have sent no call yet
     std::deque<Client*> waiting_;
     std::function<bool()> make_room_;
     size_t open_ = 0;
-    Time answer_by_{HUGE_VAL};
+    Time final_deadline_{HUGE_VAL};
     bool ready_ = false, stopping_ = false;
 };
 
--- a/src/run/config.hpp
+++ b/src/run/config.hpp
@@ -1,4 +1,4 @@
-// The one place where configuration is read, checked and given defaults.
+// Reads and validates the configuration and applies its defaults.
 #pragma once
 #include <netinet/in.h>
 
@@ -15,7 +15,7 @@
 
 namespace myrtleroute::run {
 
-struct BadConfig : std::runtime_error {   // its text names the faulty key
+struct ConfigError : std::runtime_error {   // its text names the invalid key
     using std::runtime_error::runtime_error;
 };
 
@@ -27,15 +27,15 @@
     Level log_level = Level::info;
     Settings settings;
 
-    // Tells the list that the configuration holds, if it holds one.
-    void tell_known(wire::ServerListSink& sink, uint64_t& rev) const;
+    // Delivers the server list contained in the configuration, if there is one.
+    void deliver_known(wire::ServerListSink& sink, uint64_t& rev) const;
 
-    std::string text;   // the configuration itself, dropped once the list has been told
+    std::string text;   // the configuration file; dropped once the list has been delivered
 };
 
 using Environment = std::function<const char*(const char* name)>;
 
-// From the file that BALANCER_CONFIG names; other variables of the environment win over what it says.
+// Reads the file named by BALANCER_CONFIG; other environment variables override its values.
 Config read_config(System& system, const Environment& environment);
 Config read_config(std::string text, const Environment& environment);
 
--- a/src/run/log.hpp
+++ b/src/run/log.hpp
@@ -1,4 +1,4 @@
-// Log lines on standard error, with a level filter.
+// Log lines with a minimum level, by default on standard error.
 #pragma once
 #include <iomanip>
 #include <iostream>
@@ -14,7 +14,7 @@
 enum class Level { debug, info, warning, error };
 constexpr const char* level_names[] = {"debug", "info", "warning", "error"};
 
-inline std::optional<Level> read_level(std::string_view text) {
+inline std::optional<Level> parse_level(std::string_view text) {
     for (int i = 0; i < 4; ++i)
         if (text == level_names[i]) return static_cast<Level>(i);
     return {};
@@ -22,16 +22,16 @@
 
 class Log {
 public:
-    Log(Level least, System& system, std::ostream& out = std::cerr) : least_(least), system_(system), out_(out) {}
+    Log(Level min, System& system, std::ostream& out = std::cerr) : min_(min), system_(system), out_(out) {}
 
     ~Log() { flush(); }
-    // Writes the lines collected since: once a round, so that a crowd of them costs little.
+    // Writes the lines collected since the last flush; once per loop iteration, so that many lines cost one write.
     void flush() {
         if (!lines_.empty()) out_ << lines_ << std::flush;
         lines_.clear();
     }
 
-    // Collects a line and passes it on whole when it goes out of scope.
+    // Collects a line and appends it to the log when it goes out of scope.
     class Line {
     public:
         Line(std::string* lines, Level level, System& system) : lines_(lines) {
@@ -45,8 +45,8 @@
         }
         Line(const Line&) = delete;
         template <class T>
-        Line& operator<<(const T& what) {
-            if (lines_) text_ << what;
+        Line& operator<<(const T& value) {
+            if (lines_) text_ << value;
             return *this;
         }
 
@@ -55,16 +55,16 @@
         std::ostringstream text_;
     };
 
-    void let(Level least) { least_ = least; }   // from now on
-    bool writes(Level level) const { return level >= least_; }
-    Line at(Level level) { return {writes(level) ? &lines_ : nullptr, level, system_}; }
+    void set_level(Level min) { min_ = min; }
+    bool is_enabled(Level level) const { return level >= min_; }
+    Line at(Level level) { return {is_enabled(level) ? &lines_ : nullptr, level, system_}; }
     Line debug() { return at(Level::debug); }
     Line info() { return at(Level::info); }
     Line warning() { return at(Level::warning); }
     Line error() { return at(Level::error); }
 
 private:
-    Level least_;
+    Level min_;
     System& system_;
     std::ostream& out_;
     std::string lines_;
--- a/src/run/loop.cpp
+++ b/src/run/loop.cpp
@@ -60,7 +60,7 @@
         const auto n = system_.write(c.fd, parts.data(), parts[1].iov_len ? 2 : 1);
         if (n > 0) c.out.drop(static_cast<size_t>(n));
         else if (errno == EINTR) continue;
-        else break;   // it is full; or it broke, and then reading says so
+        else break;   // the socket buffer is full, or the connection failed: a read then reports the error
     }
     if (c.open()) update_poll_events(c);
 }
@@ -78,7 +78,7 @@
             else if (errno != EINTR) c.error = errno;
         }
     }
-    // Guards against a message cut off by a reset passing for one that its sender ended: a reset is no end.
+    // Guards against taking a message cut off by a reset for one that its sender has completed: a reset is not an end.
     if (!c.error || !c.in.empty()) {
         update_poll_events(c);
         c.handler->on_readable(c);
@@ -87,23 +87,23 @@
     if (c.open()) update_poll_events(c);
 }
 
-void Loop::dispatch(Connection& c, short what) {
-    if (c.connecting && (what & (POLLOUT | POLLERR | POLLHUP))) {
+void Loop::dispatch(Connection& c, short events) {
+    if (c.connecting && (events & (POLLOUT | POLLERR | POLLHUP))) {
         if (const int error = system_.connect_error(c.fd)) return c.handler->on_error(c, error);
-        if (!(what & POLLOUT)) return;
+        if (!(events & POLLOUT)) return;
         c.connecting = false;
         c.handler->on_connected(c);
         if (!c.open()) return;
     }
-    if ((what & POLLOUT) && !c.out.empty()) {
+    if ((events & POLLOUT) && !c.out.empty()) {
         flush(c);
         if (c.out.empty()) c.handler->on_written(c);
     }
     if (!c.open()) return;
     if (c.listens) return c.handler->on_readable(c);
-    if ((what & POLLIN) && !c.read_paused) return read(c);
-    if (what & (POLLERR | POLLHUP | POLLNVAL)) return c.handler->on_error(c, ECONNRESET);
-    if (what & POLLRDHUP) {   // behind bytes that have no room
+    if ((events & POLLIN) && !c.read_paused) return read(c);
+    if (events & (POLLERR | POLLHUP | POLLNVAL)) return c.handler->on_error(c, ECONNRESET);
+    if (events & POLLRDHUP) {   // the end of stream is behind bytes that don't fit into the buffer
         c.ended = true;
         c.handler->on_readable(c);
     }
@@ -118,8 +118,8 @@
     return until <= 0 ? 0 : static_cast<int>(std::ceil(until * 1000));
 }
 
-void Loop::run_once(const std::function<void(uint64_t)>& woken, const std::function<void()>& settle) {
-    settle();
+void Loop::run_once(const std::function<void(uint64_t)>& timer_fired, const std::function<void()>& deferred) {
+    deferred();
     log_.flush();
     const int n = system_.poll(polled_.data(), polled_.size(), poll_timeout());
     now_ = system_.now();
@@ -127,24 +127,24 @@
     if (n > 0)
         for (size_t i = 0; i < polled_.size(); ++i)
             if (polled_[i].revents) ready_.emplace_back(connections_[i].get(), polled_[i].revents);
-    // Guards against work for a client that has gone, or on a connection that has ended, in the same round.
-    const auto gone = [](const auto& r) { return (r.second & (POLLRDHUP | POLLHUP | POLLERR)) != 0; };
-    std::stable_partition(ready_.begin(), ready_.end(), gone);
-    for (auto& [c, what] : ready_) {
-        if (c->open()) dispatch(*c, what);
-        settle();
+    // Guards against work for a client that has closed, or on a connection that has ended, in the same iteration.
+    const auto peer_closed = [](const auto& r) { return (r.second & (POLLRDHUP | POLLHUP | POLLERR)) != 0; };
+    std::stable_partition(ready_.begin(), ready_.end(), peer_closed);
+    for (auto& [c, events] : ready_) {
+        if (c->open()) dispatch(*c, events);
+        deferred();
     }
     while (!timers_.empty() && timers_.first().at() <= now_) {
         auto& c = static_cast<Connection&>(timers_.first());
         timers_.clear(c);
         c.handler->on_timer(c);
-        settle();
+        deferred();
     }
     while (!scheduled_.empty() && scheduled_.top().at <= now_) {
         const auto cookie = scheduled_.top().cookie;
         scheduled_.pop();
-        woken(cookie);
-        settle();
+        timer_fired(cookie);
+        deferred();
     }
     ended_.clear();
 }
--- a/src/run/loop.hpp
+++ b/src/run/loop.hpp
@@ -1,4 +1,4 @@
-// The loop: polls every connection, the thin driver that moves bytes between sockets and rings, timers.
+// Event loop: polls all connections, moves bytes between sockets and ring buffers, and runs timers.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -20,7 +20,7 @@
     System& system() const { return system_; }
     size_t connections() const { return polled_.size(); }
     size_t timers() const { return timers_.size(); }
-    size_t unwritten_connections() const;   // connections with bytes that wait to be written
+    size_t unwritten_connections() const;   // connections with pending output
     size_t scheduled() const { return scheduled_.size(); }
 
     template <class C>
@@ -29,23 +29,23 @@
         register_connection(std::move(connection));
         return c;
     }
-    void flush(memory::Connection& c);                     // writes what it can; the rest when it may
-    void poll_for_input(memory::Connection& c, bool on);
-    void close(memory::Connection& c, memory::CloseReason why);      // closes it, with its log line
+    void flush(memory::Connection& c);                     // writes what the socket takes now, the rest later
+    void poll_for_input(memory::Connection& c, bool on);   // for connections that the handler reads itself
+    void close(memory::Connection& c, memory::CloseReason why);      // and logs the reason
     void close_all(memory::CloseReason why);
     void set_timer(memory::Connection& c, Time at) { timers_.set(c, at); }
     void clear_timer(memory::Connection& c) { timers_.clear(c); }
     void schedule(Time at, uint64_t cookie) { scheduled_.push({at, next_scheduled_++, cookie}); }
 
-    // One round: waits until something is due or has come, and hands it on. `settle` runs after every part,
-    // for what must not happen inside of what caused it; `woken` gets the cookies whose time has come.
-    void run_once(const std::function<void(uint64_t)>& woken, const std::function<void()>& settle);
+    // One iteration: waits until an event or a timer is due and dispatches it. `deferred` runs after each event, for
+    // work that must not run inside the event's handler; `timer_fired` gets the cookies of schedule() that are due.
+    void run_once(const std::function<void(uint64_t)>& timer_fired, const std::function<void()>& deferred);
 
 private:
     void register_connection(std::unique_ptr<memory::Connection> c);
-    void update_poll_events(memory::Connection& c);                // at what it is polled for
+    void update_poll_events(memory::Connection& c);                // the events it is polled for
     void read(memory::Connection& c);
-    void dispatch(memory::Connection& c, short what);
+    void dispatch(memory::Connection& c, short events);
     int poll_timeout() const;
 
     struct ScheduledTimer {
@@ -57,8 +57,8 @@
     System& system_;
     Time now_;
     std::vector<pollfd> polled_;
-    std::vector<std::unique_ptr<memory::Connection>> connections_;   // by the same places
-    std::vector<std::unique_ptr<memory::Connection>> ended_;         // until the round is over
+    std::vector<std::unique_ptr<memory::Connection>> connections_;   // parallel to polled_
+    std::vector<std::unique_ptr<memory::Connection>> ended_;         // kept alive until the iteration is over
     std::vector<std::pair<memory::Connection*, short>> ready_;
     memory::Timers timers_;
     std::priority_queue<ScheduledTimer> scheduled_;
--- a/src/run/posix_system.cpp
+++ b/src/run/posix_system.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-int signal_pipe = -1;   // a signal's handler can be told of nothing else
+int signal_pipe = -1;   // global, since a signal handler gets no other context
 
 void on_signal(int number) {
     const int error = errno;
@@ -31,19 +31,19 @@
     return std::chrono::duration<double>(Clock::now().time_since_epoch()).count();
 }
 
-// Guards against the end of an answer held back by the system, and lost where a reset comes next.
-void write_at_once(int fd) {
+// Guards against the system holding back the end of a response, which would be lost if a reset follows.
+void disable_nagle(int fd) {
     const int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-int socket_of_ours() {
+int create_socket() {
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (fd >= 0) write_at_once(fd);
+    if (fd >= 0) disable_nagle(fd);
     return fd;
 }
 
-int given_up(int fd) {   // with the error that led to it
+int close_keeping_errno(int fd) {   // closes after a failure and keeps its errno
     const int error = errno;
     ::close(fd);
     errno = error;
@@ -58,27 +58,27 @@
 int PosixSystem::poll(pollfd* polled, size_t n, int ms) { return ::poll(polled, n, ms); }
 
 int PosixSystem::listen(const sockaddr_in& at) {
-    const int fd = socket_of_ours(), on = 1;
+    const int fd = create_socket(), on = 1;
     if (fd < 0) return fd;
     ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     const auto* address = reinterpret_cast<const sockaddr*>(&at);
-    return ::bind(fd, address, sizeof at) == 0 && ::listen(fd, 1024) == 0 ? fd : given_up(fd);
+    return ::bind(fd, address, sizeof at) == 0 && ::listen(fd, 1024) == 0 ? fd : close_keeping_errno(fd);
 }
 
 int PosixSystem::connect(const sockaddr_in& at, bool& at_once) {
-    const int fd = socket_of_ours();
+    const int fd = create_socket();
     if (fd < 0) return fd;
     int done;
     do done = ::connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at);
     while (done < 0 && errno == EINTR);
     at_once = done == 0;
-    return done == 0 || errno == EINPROGRESS || errno == EALREADY ? fd : given_up(fd);
+    return done == 0 || errno == EINPROGRESS || errno == EALREADY ? fd : close_keeping_errno(fd);
 }
 
 int PosixSystem::accept(int fd) {
-    const int fresh = ::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (fresh >= 0) write_at_once(fresh);   // Linux hands it on from the listener, POSIX does not say so
-    return fresh;
+    const int accepted = ::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    if (accepted >= 0) disable_nagle(accepted);   // inherited from the listener on Linux, not specified by POSIX
+    return accepted;
 }
 
 int PosixSystem::connect_error(int fd) {
--- a/src/run/posix_system.hpp
+++ b/src/run/posix_system.hpp
@@ -1,10 +1,10 @@
-// The home of the program: poll(2), sockets, the system's clocks, signals, environment and files.
+// The implementation of System on POSIX: poll(2), sockets, clocks, signals, environment and files.
 #pragma once
 #include "run/system.hpp"
 
 namespace myrtleroute::run {
 
-class PosixSystem : public System {   // one in a process, since signals are a process's
+class PosixSystem : public System {   // at most one per process, since signal handlers are per process
 public:
     Time now() override;
     double unix_time() override;
--- a/src/run/proxy.cpp
+++ b/src/run/proxy.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-// At a planned restart new connections go on coming for up to 0.4 s, and the end comes no sooner than the
-// longest client timeout, 3 s at most, and 0.7 s more.
-constexpr Span clients_come{0.5}, most_timeout{3}, beyond_timeout{0.6};
-constexpr Span last_words{0.25};   // for the last answers to be read, before the end
+// At a planned restart new connections keep arriving for up to 0.4 s, and the process is killed no sooner than 0.7 s
+// after the longest client timeout, which counts as 3 s at most.
+constexpr Span accept_duration{0.5}, most_timeout{3}, timeout_margin{0.6};
+constexpr Span response_read_time{0.25};   // for clients to read the last responses before the process ends
 
 struct Signals : memory::Connection {
     Signals(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
@@ -26,7 +26,7 @@
 
 Proxy::Proxy(Config config, System& system, std::ostream& log)
     : s_(std::move(config), system, log), clients_(s_), servers_(s_, clients_), watcher_(s_, servers_) {
-    clients_.on_full([this] { return servers_.make_room(); });
+    clients_.set_make_room([this] { return servers_.make_room(); });
 }
 
 int Proxy::run() {
@@ -37,12 +37,12 @@
 
 bool Proxy::start() {
     if (!watch_signals() || !clients_.open()) {
-        s_.log.error() << "configuration: listen can't be listened to: " << std::strerror(errno);
+        s_.log.error() << "configuration: listen can't be opened: " << std::strerror(errno);
         return false;
     }
     s_.balancer = start_balancer(s_.loop.now(), s_.settings(), s_.config.seed, *this);
-    watcher_.tell_known();
-    // Where the list is sent unasked, the decisions ask for none: the watch is kept from here.
+    watcher_.deliver_known();
+    // Where the list is pushed, the balancer does not request it: the watch starts here.
     if (s_.settings().pushed) watcher_.watch();
     s_.log.info() << s_.config.name << " serves";
     return true;
@@ -52,13 +52,13 @@
     if (watcher_.has_list()) clients_.ready();
     s_.loop.run_once([this](uint64_t cookie) { s_.balancer->timer_fired(s_.loop.now(), cookie); },
                      [this] { settle(); });
-    if (phase_ < closed || (phase_ < over && !clients_.over())) return true;
+    if (phase_ < closed || (phase_ < over && !clients_.finished())) return true;
     s_.loop.close_all(memory::CloseReason::stopping);
     s_.log.info() << s_.config.name << " ends: " << counts();
     return false;
 }
 
-// All that was counted, and what is held now.
+// All counters, and the current numbers of servers, calls and connections.
 std::string Proxy::counts() const {
     std::ostringstream out;
     s_.counters.print(out);
@@ -78,24 +78,24 @@
         if (number == SIGUSR1) {
             s_.log.warning() << s_.config.name << " counts: " << counts();
         } else if (number == SIGHUP) {
-            if (phase_ == serving) read_again();
+            if (phase_ == serving) reload();
         } else if (phase_ == serving) {
-            s_.log.info() << s_.config.name << " is told to stop";
+            s_.log.info() << s_.config.name << " is shutting down";
             Span longest;
             for (const auto& p : s_.settings().products) longest = std::max(longest, p.client_timeout);
             phase_ = stopping;
-            end_at_ = s_.loop.now() + std::min(longest, most_timeout) + beyond_timeout;
-            // Guards against calls that come while it stops and have more time than it has.
-            clients_.answer_by(end_at_ - last_words);
-            s_.loop.set_timer(*signals_, s_.loop.now() + clients_come);
+            end_at_ = s_.loop.now() + std::min(longest, most_timeout) + timeout_margin;
+            // Guards against calls that arrive during the shutdown with a deadline after its end.
+            clients_.set_final_deadline(end_at_ - response_read_time);
+            s_.loop.set_timer(*signals_, s_.loop.now() + accept_duration);
         }
     }
 }
 
-// Discovery, limits and log level are taken from the file as it is now, whatever the environment said of
-// discovery at the start; the rest holds until the next start. Guards against a file half written or at fault:
-// all stays as it was.
-void Proxy::read_again() {
+// Takes discovery, limits and log level from the file as it is now, even if the environment set discovery at the
+// start; all other settings apply at the next start. Guards against a file that is half written or invalid:
+// the configuration then stays unchanged.
+void Proxy::reload() {
     const auto environment = [this](const char* name) -> const char* {
         return std::string_view(name) == "BALANCER_DISCOVERY" ? nullptr : s_.system.environment_variable(name);
     };
@@ -105,22 +105,22 @@
         s_.config.memory_mb = fresh.memory_mb;
         s_.config.sockets = fresh.sockets;
         s_.bound_sockets();
-        s_.log.let(fresh.log_level);
-        s_.log.info() << s_.config.name << " has read its configuration again";
+        s_.log.set_level(fresh.log_level);
+        s_.log.info() << s_.config.name << " has reloaded its configuration";
         watcher_.discovery_moved();
-    } catch (const BadConfig& fault) {
-        s_.log.error() << fault.what() << "; all stays as it was";
+    } catch (const ConfigError& fault) {
+        s_.log.error() << fault.what() << "; the configuration is unchanged";
     }
 }
 
 void Proxy::on_timer(memory::Connection&) {
     if (phase_ == stopping) {
         phase_ = closed;
-        clients_.last_ones();
-        s_.loop.set_timer(*signals_, end_at_ - last_words);
+        clients_.stop_accepting();
+        s_.loop.set_timer(*signals_, end_at_ - response_read_time);
     } else if (phase_ == closed) {
         phase_ = answered;
-        last_answers();
+        answer_remaining();
         s_.loop.set_timer(*signals_, end_at_);
     } else {
         phase_ = over;
@@ -129,21 +129,21 @@
 
 void Proxy::settle() {
     do {
-        servers_.settle();
-        watcher_.settle();
-        clients_.settle();
-    } while (!servers_.settled());
+        servers_.report_ended();
+        watcher_.start_requested();
+        clients_.process_waiting();
+    } while (!servers_.all_reported());
 }
 
-// What can't be waited for any longer gets its answer all the same, in time for it to be read.
-void Proxy::last_answers() {
+// Fails the calls that can't be waited for any longer, early enough for the responses to be read.
+void Proxy::answer_remaining() {
     s_.calls.each([this](memory::PendingCall& call) {
         if (!call.client) return;
         error(call.id);
-        s_.balancer->client_left(s_.loop.now(), call.id);   // it has its answer: nothing more is sent for it
+        s_.balancer->client_left(s_.loop.now(), call.id);   // it has its response: no further attempts
         s_.calls.erase_if_finished(call);
     });
-    clients_.part_with_all();
+    clients_.close_idle();
 }
 
 void Proxy::send(CallId id, ServerId server, Span timeout) {
@@ -158,14 +158,14 @@
     auto* call = s_.calls.find(id);
     if (!call) return;
     s_.counters.add(Count::calls_rate_limited);
-    clients_.give(*call, 429, "", wire::retry_after_field(retry_after));
+    clients_.respond(*call, 429, "", wire::retry_after_field(retry_after));
 }
 
 void Proxy::error(CallId id) {
     auto* call = s_.calls.find(id);
     if (!call) return;
     s_.counters.add(Count::calls_errored);
-    clients_.give(*call, 502, "");
+    clients_.respond(*call, 502, "");
 }
 
 void Proxy::probe(ServerId server) { servers_.probe(server); }
--- a/src/run/proxy.hpp
+++ b/src/run/proxy.hpp
@@ -1,4 +1,4 @@
-// The proxy: carries out what the decisions ask for, and takes it through start, service and stop.
+// The proxy: carries out the actions of the balancer, and manages startup, service and shutdown.
 #pragma once
 #include "run/clients.hpp"
 #include "run/servers.hpp"
@@ -10,10 +10,10 @@
 class Proxy : public Actions, public memory::ConnectionHandler {
 public:
     Proxy(Config config, System& system, std::ostream& log = std::cerr);
-    int run();      // until SIGTERM or SIGINT; the program's exit status
-    bool start();   // false: it can't listen
-    bool round();   // one of the loop's; false: it has ended
-    Shared& state() { return s_; }   // to look at from outside
+    int run();      // until SIGTERM or SIGINT; returns the exit status
+    bool start();   // false: can't listen
+    bool round();   // one iteration of the loop; false: the proxy has ended
+    Shared& state() { return s_; }   // for inspection by the lab
 
     void send(CallId call, ServerId server, Span timeout) override;
     void cancel(CallId call, int attempt) override;
@@ -28,12 +28,12 @@
 private:
     void on_readable(memory::Connection& c) override;   // a signal
     void on_error(memory::Connection&, int) override {}
-    void on_timer(memory::Connection&) override;      // the time to stop, then the time to end
+    void on_timer(memory::Connection&) override;      // the next phase of the shutdown
     bool watch_signals();
-    void read_again();
+    void reload();
     std::string counts() const;
     void settle();
-    void last_answers();
+    void answer_remaining();
 
     Shared s_;
     Clients clients_;
--- a/src/run/servers.cpp
+++ b/src/run/servers.cpp
@@ -13,7 +13,7 @@
 ServerConnection::ServerConnection(ConnectionHandler& by, int fd, Server& to)
     : Connection(by, fd, max_in, max_out), server(&to), http(wire::HttpParser::Side::response, reader) {
     ++to.connections;
-    detect_peer_close = true;   // no call goes out on it then
+    detect_peer_close = true;   // no call may be sent on a connection that the server has closed
 }
 
 }  // namespace myrtleroute::memory
@@ -27,10 +27,10 @@
 
 namespace {
 
-constexpr double idle_share = 0.75;   // of the time after which servers close idle connections
-constexpr double probe_share = 2;     // of the time a connection may take to come up
-constexpr double whole_share = 1;     // of that time: for an answer to be whole, once it has begun
-constexpr double rest_share = 0.02;   // of that time: before a connection that has answered is used again
+constexpr double idle_ratio = 0.75;    // of the time after which servers close idle connections
+constexpr double probe_ratio = 2;      // of the connect timeout
+constexpr double response_ratio = 1;   // of the connect timeout: for a response to be complete, once begun
+constexpr double reuse_ratio = 0.02;     // of the connect timeout: before an answered connection is used again
 
 Count counter(Outcome outcome) {
     switch (outcome) {
@@ -64,17 +64,17 @@
     dispatch(*connection, timeout);
 }
 
-// The latest used of the idle connections that has not been closed at the other end, or else a new one.
-ServerConnection* Servers::connection_to(ServerId id, Outcome& otherwise) {
+// The most recently used idle connection that the server has not closed, or else a new one.
+ServerConnection* Servers::connection_to(ServerId id, Outcome& failure) {
     auto* server = s_.servers.find(id);
     if (!server) return nullptr;
-    // Guards against a second answer, or noise, right behind the one that was asked for: what comes while
-    // nothing is out closes the connection, but after the next call it would pass for that call's answer.
-    const Time rested = s_.loop.now() - s_.settings().connect_timeout * rest_share;
+    // Guards against a second response, or other bytes, right behind a response: bytes that arrive while no request
+    // is outstanding close the connection, but after the next call they would be taken for that call's response.
+    const Time reusable_before = s_.loop.now() - s_.settings().connect_timeout * reuse_ratio;
     for (auto it = server->idle.begin(); it != server->idle.end();) {
         auto& connection = **it++;
-        if (connection.answered > rested) continue;
-        unused(connection);
+        if (connection.answered > reusable_before) continue;
+        remove_from_pool(connection);
         if (s_.system.is_idle(connection.fd)) return &connection;
         s_.loop.close(connection, CloseReason::peer_closed);
     }
@@ -83,8 +83,8 @@
     int fd = s_.system.connect(server->at, at_once);
     if (fd < 0 && errno == EMFILE && make_room()) fd = s_.system.connect(server->at, at_once);
     if (fd < 0) {
-        // That we have no descriptor left is no server's fault.
-        if (errno != EMFILE && errno != ENFILE) otherwise = Outcome::connect_failed;
+        // Running out of descriptors is not a failure of the server.
+        if (errno != EMFILE && errno != ENFILE) failure = Outcome::connect_failed;
         return nullptr;
     }
     s_.counters.add(Count::connections_to_servers);
@@ -102,14 +102,14 @@
     if (!connection.connecting) write(connection);
 }
 
-// Guards against what changed while the connection was coming up: the server may drain by now, a window may be over,
-// and less time is left than when the call was handed over.
+// Guards against changes while the connection was being established: the server may drain by now, a time window may
+// have ended, and less time is left than when the attempt was started.
 void Servers::on_connected(Connection& base) {
     auto& connection = static_cast<ServerConnection&>(base);
     if (s_.loop.now() >= connection.until)
         return timed_out(connection, Outcome::connect_failed, CloseReason::connect_timed_out);
     if (connection.call && !s_.balancer->may_start(s_.loop.now(), connection.call->id, connection.attempt))
-        return ends(connection, Outcome::never_sent, CloseReason::server_left);
+        return fail(connection, Outcome::never_sent, CloseReason::server_left);
     s_.loop.set_timer(connection, connection.until);
     write(connection);
 }
@@ -133,7 +133,7 @@
 void Servers::cancel(memory::PendingCall& call, int attempt) {
     if (attempt < 0 || attempt >= static_cast<int>(call.attempts.size()) || !call.attempts[attempt]) return;
     auto& connection = static_cast<ServerConnection&>(*call.attempts[attempt]);
-    // What no byte of has gone out provably never ran.
+    // Nothing has been sent while the connection is being established, so the call can't have been executed.
     const auto outcome = connection.connecting ? Outcome::never_sent : Outcome::cancelled;
     call.attempts[attempt] = nullptr;
     connection.call = nullptr;
@@ -149,82 +149,82 @@
         ended_.push_back({0, 0, outcome, id});
         return;
     }
-    connection->probes = true;
-    dispatch(*connection, s_.settings().connect_timeout * probe_share);
+    connection->is_probe = true;
+    dispatch(*connection, s_.settings().connect_timeout * probe_ratio);
 }
 
 void Servers::on_readable(Connection& base) {
     auto& connection = static_cast<ServerConnection&>(base);
     if (!connection.busy()) {
-        unused(connection);
+        remove_from_pool(connection);
         return s_.loop.close(connection, connection.in.empty() ? CloseReason::peer_closed : CloseReason::bad_answer);
     }
     while (!connection.in.empty() && !connection.http.done() && !connection.http.fault())
         connection.in.drop(connection.http.feed(connection.in.front()));
     if (connection.ended && !connection.http.done()) connection.http.connection_closed();
-    if (connection.http.done() && connection.out.empty()) return done(connection);
-    // Broken before the last byte of the call was written, it can't have run.
+    if (connection.http.done() && connection.out.empty()) return response_complete(connection);
+    // If the connection failed before the last byte of the call was written, the call can't have been executed.
     const auto outcome = connection.out.empty() ? Outcome::reset : Outcome::connect_failed;
     if (connection.http.done() && connection.reader.outcome() == Outcome::full)
-        ends(connection, Outcome::full, CloseReason::told_to_close);
+        fail(connection, Outcome::full, CloseReason::told_to_close);
     else if (connection.http.done() || connection.http.fault())
-        ends(connection, outcome, connection.ended ? CloseReason::peer_closed : CloseReason::bad_answer);
-    else if (connection.ended) ends(connection, outcome, CloseReason::peer_closed);
+        fail(connection, outcome, connection.ended ? CloseReason::peer_closed : CloseReason::bad_answer);
+    else if (connection.ended) fail(connection, outcome, CloseReason::peer_closed);
     else if (connection.http.started() && !std::exchange(connection.begun, true))
         s_.loop.set_timer(connection,
-                          std::min(connection.until, s_.loop.now() + s_.settings().connect_timeout * whole_share));
+                          std::min(connection.until, s_.loop.now() + s_.settings().connect_timeout * response_ratio));
 }
 
-// A whole answer.
-void Servers::done(ServerConnection& connection) {
+// The response is complete.
+void Servers::response_complete(ServerConnection& connection) {
     const auto outcome = connection.reader.outcome();
-    const bool keeps = connection.http.keeps_alive() && connection.in.empty() && !connection.ended;
+    const bool reusable = connection.http.keeps_alive() && connection.in.empty() && !connection.ended;
     auto reply = std::move(connection.reader);
     auto* call = std::exchange(connection.call, nullptr);
     const int attempt = connection.attempt;
-    const bool probe = std::exchange(connection.probes, false);
+    const bool probe = std::exchange(connection.is_probe, false);
     const auto server = connection.server->id;
     connection.http.reset();
     connection.reader = {};
     connection.server->last_response = connection.answered = s_.loop.now();
     if (!reply.load.empty()) {
-        std::string figures;
-        const bool sound = wire::read_load(reply.load, [&](std::string_view name, double value) {
-            figures.append(" ").append(name).append("=").append(std::to_string(value));
+        std::string values;
+        const bool valid = wire::read_load(reply.load, [&](std::string_view name, double value) {
+            values.append(" ").append(name).append("=").append(std::to_string(value));
         });
-        s_.counters.add(sound ? Count::load_reports : Count::load_reports_bad);
-        if (sound) s_.log.debug() << "load of " << connection.server->uid << ':' << figures;
+        s_.counters.add(valid ? Count::load_reports : Count::load_reports_bad);
+        if (valid) s_.log.debug() << "load of " << connection.server->uid << ':' << values;
     }
-    if (keeps) {
-        connection.place = idle_.insert(idle_.begin(), &connection);
-        connection.server_place = connection.server->idle.insert(connection.server->idle.begin(), &connection);
+    if (reusable) {
+        connection.position = idle_.insert(idle_.begin(), &connection);
+        connection.server_position = connection.server->idle.insert(connection.server->idle.begin(), &connection);
         connection.idle = true;
-        s_.loop.set_timer(connection, s_.loop.now() + s_.settings().idle_close * idle_share);
+        s_.loop.set_timer(connection, s_.loop.now() + s_.settings().idle_close * idle_ratio);
     } else {
         s_.loop.close(connection, CloseReason::told_to_close);
     }
-    if (probe) return probed(server, outcome == Outcome::fulfilled);
+    if (probe) return report_probe(server, outcome == Outcome::fulfilled);
     call->attempts[attempt] = nullptr;
     if (outcome == Outcome::fulfilled && call->client) {
         s_.counters.add(Count::calls_fulfilled);
-        clients_.give(*call, 200, reply.text,
+        clients_.respond(*call, 200, reply.text,
                       reply.content_type.empty() ? "" : "Content-Type: " + reply.content_type + "\r\n");
     }
-    told(call->id, attempt, outcome);
+    report_attempt(call->id, attempt, outcome);
 }
 
-void Servers::ends(ServerConnection& connection, Outcome outcome, CloseReason why) {
+void Servers::fail(ServerConnection& connection, Outcome outcome, CloseReason why) {
     auto* call = std::exchange(connection.call, nullptr);
     const int attempt = connection.attempt;
     const auto server = connection.server->id;
-    const bool probe = connection.probes;
+    const bool probe = connection.is_probe;
     s_.loop.close(connection, why);
-    if (probe) return probed(server, false);
+    if (probe) return report_probe(server, false);
     call->attempts[attempt] = nullptr;
-    told(call->id, attempt, outcome);
+    report_attempt(call->id, attempt, outcome);
 }
 
-void Servers::told(CallId id, int attempt, Outcome outcome) {
+void Servers::report_attempt(CallId id, int attempt, Outcome outcome) {
     auto* call = s_.calls.find(id);
     if (!call) return;
     s_.counters.add(counter(outcome));
@@ -233,64 +233,64 @@
     s_.calls.erase_if_finished(*call);
 }
 
-void Servers::probed(ServerId server, bool answered) {
+void Servers::report_probe(ServerId server, bool answered) {
     if (answered) s_.counters.add(Count::probes_answered);
     s_.balancer->probe_ended(s_.loop.now(), server, answered);
 }
 
-void Servers::settle() {
+void Servers::report_ended() {
     while (!ended_.empty()) {
         const auto ended = ended_.front();
         ended_.pop_front();
-        if (ended.probed) probed(ended.probed, false);
-        else told(ended.call, ended.attempt, ended.outcome);
+        if (ended.probed_server) report_probe(ended.probed_server, false);
+        else report_attempt(ended.call, ended.attempt, ended.outcome);
     }
 }
 
 void Servers::on_error(Connection& base, int error) {
     auto& connection = static_cast<ServerConnection&>(base);
     if (!connection.busy()) {
-        unused(connection);
+        remove_from_pool(connection);
         return s_.loop.close(connection, CloseReason::peer_reset);
     }
-    const bool up = !connection.connecting;
-    ends(connection, up && connection.out.empty() ? Outcome::reset : Outcome::connect_failed,
+    const bool connected = !connection.connecting;
+    fail(connection, connected && connection.out.empty() ? Outcome::reset : Outcome::connect_failed,
          error == ECONNREFUSED ? CloseReason::nobody_listens : CloseReason::peer_reset);
 }
 
 void Servers::on_timer(Connection& base) {
     auto& connection = static_cast<ServerConnection&>(base);
     if (connection.idle) {
-        unused(connection);
+        remove_from_pool(connection);
         s_.loop.close(connection, CloseReason::idle);
     } else if (connection.connecting) {
         timed_out(connection, Outcome::connect_failed, CloseReason::connect_timed_out);
     } else if (connection.begun) {
-        ends(connection, Outcome::reset, CloseReason::bad_answer);   // it stopped short, or its head has no end
+        fail(connection, Outcome::reset, CloseReason::bad_answer);   // incomplete, or its head never ends
     } else {
         const auto outcome = connection.out.empty() ? Outcome::timed_out : Outcome::connect_failed;
         timed_out(connection, outcome, CloseReason::answer_timed_out);
     }
 }
 
-// Guards against calls lost on dead connections: a machine that was cut off says nothing, and what stands
-// idle to it is reset when it is back, one after another, with a call on each.
+// Guards against calls lost on dead connections: a machine that is cut off sends nothing, and its idle connections
+// would be reset one after another when it is back, each with a call on it.
 void Servers::timed_out(ServerConnection& connection, Outcome outcome, CloseReason why) {
     if (connection.server->last_response < connection.sent) close_idle(*connection.server, CloseReason::silent);
-    ends(connection, outcome, why);
+    fail(connection, outcome, why);
 }
 
-void Servers::unused(ServerConnection& connection) {
+void Servers::remove_from_pool(ServerConnection& connection) {
     if (!std::exchange(connection.idle, false)) return;
-    idle_.erase(connection.place);
-    connection.server->idle.erase(connection.server_place);
+    idle_.erase(connection.position);
+    connection.server->idle.erase(connection.server_position);
     s_.loop.clear_timer(connection);
 }
 
 void Servers::close_idle(memory::Server& server, CloseReason why) {
     while (!server.idle.empty()) {
         auto& connection = *server.idle.front();
-        unused(connection);
+        remove_from_pool(connection);
         s_.loop.close(connection, why);
     }
 }
@@ -300,7 +300,7 @@
 bool Servers::shed() {
     if (idle_.empty()) return false;
     auto& connection = *idle_.back();
-    unused(connection);
+    remove_from_pool(connection);
     s_.counters.add(Count::connections_shed);
     s_.loop.close(connection, CloseReason::shed);
     return true;
--- a/src/run/servers.hpp
+++ b/src/run/servers.hpp
@@ -1,4 +1,4 @@
-// The servers' side: carries out attempts, cancels and probes on connections that are kept for each server.
+// The server side: performs attempts, cancellations and probes over pooled connections to each server.
 #pragma once
 #include <deque>
 #include <list>
@@ -18,15 +18,15 @@
     Server* server;
     wire::ResponseReader reader;
     wire::HttpParser http;
-    PendingCall* call = nullptr;        // whose attempt is out on it
+    PendingCall* call = nullptr; // the call of the attempt that it carries
     int attempt = 0;
-    bool probes = false;
-    Time sent, until;            // what it carries, and when that is given up
-    bool begun = false;          // its answer has
-    Time answered = long_ago;    // its last whole one
-    bool idle = false;           // in both lists, at its places
-    std::list<ServerConnection*>::iterator place, server_place;
-    bool busy() const { return call || probes; }
+    bool is_probe = false;
+    Time sent, until;            // start and deadline of the attempt or probe
+    bool begun = false;          // the response has begun
+    Time answered = long_ago;    // when its last complete response arrived
+    bool idle = false;           // in both lists of idle connections, at these positions
+    std::list<ServerConnection*>::iterator position, server_position;
+    bool busy() const { return call || is_probe; }
 };
 
 }  // namespace myrtleroute::memory
@@ -41,9 +41,9 @@
     void probe(ServerId server);
     void close_idle(memory::Server& server, memory::CloseReason why);
     bool shed();
-    bool make_room();   // ends a connection that can go, of either side
-    void settle();    // tells the decisions what ended inside of their own actions
-    bool settled() const { return ended_.empty(); }
+    bool make_room();   // closes an idle connection to a server or of a client; false: there is none
+    void report_ended();    // reports attempts that ended within the balancer's own actions
+    bool all_reported() const { return ended_.empty(); }
 
     void on_connected(memory::Connection& c) override;
     void on_readable(memory::Connection& c) override;
@@ -51,26 +51,26 @@
     void on_timer(memory::Connection& c) override;
 
 private:
-    memory::ServerConnection* connection_to(ServerId id, Outcome& otherwise);
-    void dispatch(memory::ServerConnection& connection, Span timeout);   // now, or once the connection is up
+    memory::ServerConnection* connection_to(ServerId id, Outcome& failure);
+    void dispatch(memory::ServerConnection& connection, Span timeout);   // now, or once the connection is established
     void write(memory::ServerConnection& connection);
     void write(memory::ServerConnection& connection, const std::string& head, const std::string& body);
-    void ends(memory::ServerConnection& connection, Outcome outcome, memory::CloseReason why);   // and closes it
-    void done(memory::ServerConnection& connection);
-    void unused(memory::ServerConnection& connection);
+    void fail(memory::ServerConnection& connection, Outcome outcome, memory::CloseReason why);   // and closes it
+    void response_complete(memory::ServerConnection& connection);
+    void remove_from_pool(memory::ServerConnection& connection);
     void timed_out(memory::ServerConnection& connection, Outcome outcome, memory::CloseReason why);
-    void told(CallId call, int attempt, Outcome outcome);
-    void probed(ServerId server, bool answered);
+    void report_attempt(CallId call, int attempt, Outcome outcome);
+    void report_probe(ServerId server, bool answered);
 
     struct Ended {
         CallId call;
         int attempt;
         Outcome outcome;
-        ServerId probed;
+        ServerId probed_server;   // 0: an attempt
     };
     Shared& s_;
     Clients& clients_;
-    std::list<memory::ServerConnection*> idle_;   // the latest used first
+    std::list<memory::ServerConnection*> idle_;   // most recently used first
     std::deque<Ended> ended_;
 };
 
--- a/src/run/watcher.hpp
+++ b/src/run/watcher.hpp
@@ -1,4 +1,4 @@
-// Discovery's side: watches the list of servers and tells it.
+// The discovery client: watches the server list by long polling and passes it to the balancer.
 #pragma once
 #include "random.hpp"
 #include "run/servers.hpp"
@@ -11,13 +11,13 @@
 class Watcher : public memory::ConnectionHandler, public wire::ServerListSink {
 public:
     Watcher(Shared& shared, Servers& servers);
-    void tell_known();
+    void deliver_known();
     bool has_list() const { return has_list_; }
-    void watch() { wanted_ = true; }   // from now on, until a call fails
-    void discovery_moved();            // to where the configuration now says
-    void settle();
+    void watch() { watch_requested_ = true; }   // from now on, until a request fails
+    void discovery_moved();            // connects to the address in the reloaded configuration
+    void start_requested();
 
-    void list_began(bool whole) override;
+    void list_began(bool complete) override;
     void server(std::string_view uid, std::string_view endpoint, std::string_view zone, uint16_t cell,
                 std::string_view state, double size, double boot_ms) override;
     void list_ended() override;
@@ -28,23 +28,23 @@
     void on_timer(memory::Connection& c) override;
 
 private:
-    struct Call;
-    void ask();
-    void set_limit();                      // of the call that is out
-    void failed(memory::CloseReason why);
-    void no_list();
-    uint16_t zone_number(std::string_view name);
-    void leaves(memory::Server& server);   // called gone
+    struct Request;
+    void send_request();
+    void set_request_timeout();                      // the timeout of the request in flight
+    void request_failed(memory::CloseReason why);
+    void report_failure();
+    uint16_t zone_index(std::string_view name);
+    void server_gone(memory::Server& server);   // a list reports it gone
 
     Shared& s_;
     Servers& servers_;
-    Call* call_ = nullptr;
+    Request* request_ = nullptr;
     std::string body_;
     std::vector<std::string> zones_;
-    Pcg chance_;
-    double clocks_apart_;            // seconds from this machine's steady clock to Unix time
+    Pcg random_;
+    double unix_time_offset_;            // seconds from the monotonic clock to Unix time
     uint64_t rev_ = 0, lists_ = 0, entries_ = 0;
-    bool has_rev_ = false, has_list_ = false, cached_ = false, whole_ = false, wanted_ = false;
+    bool has_rev_ = false, has_list_ = false, from_configuration_ = false, complete_ = false, watch_requested_ = false;
 };
 
 }  // namespace myrtleroute::run
--- a/src/wire/ask.cpp
+++ b/src/wire/ask.cpp
@@ -57,7 +57,8 @@
 void RequestReader::attributes(std::string_view list) {
     while (!list.empty()) {
         const auto [name, value] = next_pair(list);
-        if (const auto n = name == "EstimateS" ? parse_decimal(value) : std::nullopt; n && *n >= 0) request_.work = {*n};
+        if (const auto n = name == "EstimateS" ? parse_decimal(value) : std::nullopt; n && *n >= 0)
+            request_.work = {*n};
         if (const auto n = name == "Object" ? parse_integer<uint64_t>(value) : std::nullopt) request_.key = *n;
         if (const auto n = name == "Billing" ? parse_decimal(value) : std::nullopt; n && *n >= 0 && *n < 65536)
             request_.tenant = static_cast<uint32_t>(*n);
--- a/src/wire/discovery.hpp
+++ b/src/wire/discovery.hpp
@@ -22,7 +22,8 @@
 // Parses one object `{"rev":..,"all":..,"targets":[..]}`; delivers it to the sink, or only validates it without one.
 class ServerListReader : public JsonHandler {
 public:
-    explicit ServerListReader(ServerListSink* sink = nullptr, bool complete = false) : sink_(sink), complete_(complete) {}
+    explicit ServerListReader(ServerListSink* sink = nullptr, bool complete = false)
+        : sink_(sink), complete_(complete) {}
     bool valid() const { return valid_ && finished_ && has_rev_ && has_all_ && has_targets_; }
     const char* fault() const;   // the key that is missing or invalid
     uint64_t rev() const { return revision_; }
@@ -46,7 +47,7 @@
     double cell_ = 0, size_ = 1, boot_ms_ = 0;
 };
 
-// Validates a body and delivers it to the sink with its revision; false, and nothing delivered, if it is not a valid list.
+// Validates a body and delivers it to the sink with its revision; false, and nothing delivered, if it is invalid.
 bool deliver_list(std::string_view body, ServerListSink& sink, uint64_t& rev);
 
 }  // namespace myrtleroute::wire
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -70,7 +70,7 @@
 void HttpParser::line(std::string_view text) {
     switch (state_) {
         case State::start:
-            if (text.empty() && side_ == Side::request && head_size_ == 2) return;   // one empty line is allowed before a request
+            if (text.empty() && side_ == Side::request && head_size_ == 2) return;   // allowed once before a request
             return start_line(text);
         case State::fields: return text.empty() ? head_ended() : field_line(text);
         case State::chunk_size: return chunk_size(text);
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -68,7 +68,7 @@
             static constexpr std::string_view codes = "\"\\/bfnrt", meant = "\"\\/\b\f\n\r\t";
             if (c == 'u') {
                 state_ = State::hex;
-                code_point_ = 0;
+                unit_ = 0;
                 hex_digits_ = 0;
                 return;
             }
@@ -157,16 +157,16 @@
         state_ = State::invalid;
         return;
     }
-    code_point_ = code_point_ * 16 + static_cast<unsigned>(is_digit(low) ? low - '0' : low - 'a' + 10);
+    unit_ = unit_ * 16 + static_cast<unsigned>(is_digit(low) ? low - '0' : low - 'a' + 10);
     if (++hex_digits_ < 4) return;
     state_ = State::text;
-    const bool high = code_point_ >= 0xd800 && code_point_ < 0xdc00, low_half = code_point_ >= 0xdc00 && code_point_ < 0xe000;
+    const bool high = unit_ >= 0xd800 && unit_ < 0xdc00, low_half = unit_ >= 0xdc00 && unit_ < 0xe000;
     if ((high_surrogate_ != 0) != low_half) {
         state_ = State::invalid;   // unpaired surrogate
     } else if (high) {
-        high_surrogate_ = code_point_;
+        high_surrogate_ = unit_;
     } else {
-        append_code_point(high_surrogate_ ? 0x10000 + ((high_surrogate_ - 0xd800) << 10) + (code_point_ - 0xdc00) : code_point_);
+        append_code_point(high_surrogate_ ? 0x10000 + ((high_surrogate_ - 0xd800) << 10) + (unit_ - 0xdc00) : unit_);
         high_surrogate_ = 0;
     }
 }
--- a/src/wire/json.hpp
+++ b/src/wire/json.hpp
@@ -39,7 +39,7 @@
     std::vector<bool> lists_;   // the open containers: true = list, false = object
     std::string text_;
     bool is_key_ = false;
-    unsigned code_point_ = 0, high_surrogate_ = 0;
+    unsigned unit_ = 0, high_surrogate_ = 0;   // UTF-16 code units of \u escapes
     int hex_digits_ = 0;
 };
 
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -591,7 +591,7 @@
     try {
         myrtleroute::run::read_config(text, unset);
         FAIL("accepted without " << c.key);
-    } catch (const myrtleroute::run::BadConfig& bad) {
+    } catch (const myrtleroute::run::ConfigError& bad) {
         const std::string line = bad.what();
         CHECK(line.find(c.key) != line.npos);
         CHECK(line.find('\n') == line.npos);
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -12,7 +12,7 @@
 TEST_CASE("however many connections wait when it stops listening, each is answered") {
     World w(1, 64, "\"sockets\":64", "\"sockets\":1024");
     w.signal(SIGTERM);
-    REQUIRE(w.logs("is told to stop"));
+    REQUIRE(w.logs("is shutting down"));
     wait(0.2);
     std::vector<Wire> crowd;
     w.at_one_stroke([&] {
@@ -50,7 +50,7 @@
     World w;
     auto client = w.client();
     w.signal(SIGTERM);
-    REQUIRE(w.logs("is told to stop"));
+    REQUIRE(w.logs("is shutting down"));
     const double told = clock_now();
     client.send(request("read"));
     auto server = w.servers[0].accept();
@@ -86,7 +86,7 @@
         w.signal(SIGHUP);
         w.signal(SIGTERM);
     });
-    REQUIRE(w.logs("is told to stop"));
+    REQUIRE(w.logs("is shutting down"));
     const double told = clock_now();
     w.signal(SIGTERM);
     w.signal(SIGHUP);
