--- a/example/toy_servers.cpp
+++ b/example/toy_servers.cpp
@@ -1,9 +1,9 @@
-// Three toy servers and the discovery that lists them, all on loopback, to try the proxy with.
+// Three toy servers and a discovery service that lists them, all on loopback, to try the proxy with.
 //
 //     toy_servers [SERVER=MODE ...]    for example: toy_servers s-2=failing s-3=hung
 //
-// A server answers with its name after 50 ms. Modes: failing answers 500, full turns away what has not run,
-// hung answers nothing, draining is listed as DRAINING, gone is listed though nothing listens there.
+// A server responds with its name after 50 ms. Modes: failing responds 500, full rejects calls without executing them,
+// hung never responds, draining is listed as DRAINING, gone is listed though nothing listens there.
 #include <iostream>
 #include <map>
 #include <memory>
@@ -22,12 +22,12 @@
 
 namespace {
 
-constexpr Span work{0.05}, hold{20};
+constexpr Span response_delay{0.05}, hold{20};
 
-struct Asked : wire::HttpHandler {
+struct RequestTarget : wire::HttpHandler {
     std::string target;
-    int start(std::string_view, std::string_view where, std::string_view) override {
-        target = where;
+    int start(std::string_view, std::string_view path, std::string_view) override {
+        target = path;
         return 0;
     }
     int field(std::string_view, std::string_view) override { return 0; }
@@ -36,15 +36,15 @@
 
 struct Peer : Connection {
     Peer(memory::ConnectionHandler& by, int fd)
-        : Connection(by, fd, 16 * 1024, 128 * 1024), http(wire::HttpParser::Side::request, asked) {}
+        : Connection(by, fd, 16 * 1024, 128 * 1024), http(wire::HttpParser::Side::request, request) {}
     std::string name() const override { return "caller"; }
-    Asked asked;
+    RequestTarget request;
     wire::HttpParser http;
-    std::string reply;   // said when its timer is due
+    std::string reply;   // sent when the connection's timer expires
 };
 
-struct Door : Connection {
-    Door(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
+struct Listener : Connection {
+    Listener(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
     std::string name() const override { return "door"; }
 };
 
@@ -53,7 +53,7 @@
     Service(run::Loop& loop, const std::string& endpoint) : loop_(loop) {
         const int fd = loop.system().listen(*wire::parse_endpoint(endpoint));
         if (fd < 0) throw std::runtime_error("can't listen at " + endpoint);
-        loop_.add(std::make_unique<Door>(*this, fd));
+        loop_.add(std::make_unique<Listener>(*this, fd));
     }
     void on_readable(Connection& c) override {
         if (c.listens) {
@@ -67,7 +67,7 @@
             c.in.drop(peer.http.feed(c.in.front()));
         if (peer.http.fault()) return loop_.close(c, CloseReason::bad_call);
         if (!peer.http.done() || !peer.reply.empty()) return;
-        if (const Span after = answer(peer.asked.target, peer.reply); !peer.reply.empty())
+        if (const Span after = answer(peer.request.target, peer.reply); !peer.reply.empty())
             loop_.set_timer(c, loop_.now() + after);
     }
     void on_error(Connection& c, int) override {
@@ -82,7 +82,7 @@
     }
 
 private:
-    virtual Span answer(const std::string& target, std::string& reply) = 0;   // an empty one is never said
+    virtual Span answer(const std::string& target, std::string& reply) = 0;   // an empty reply is not sent
     run::Loop& loop_;
 };
 
@@ -94,11 +94,11 @@
 private:
     Span answer(const std::string& target, std::string& reply) override {
         if (mode_ == "hung") return {};
-        std::cout << name_ << " is asked for " << target << std::endl;
+        std::cout << name_ << " received a request for " << target << std::endl;
         if (mode_ == "full") reply = wire::format_response(503, "", true, "X-Not-Processed: 1\r\n");
         else if (mode_ == "failing" && target != "/alive") reply = wire::format_response(500, "", true);
         else reply = wire::format_response(200, "from " + name_ + "\n", true);
-        return work;
+        return response_delay;
     }
     std::string name_, mode_;
 };
@@ -110,7 +110,7 @@
 
 private:
     Span answer(const std::string& target, std::string& reply) override {
-        const bool watch = target.find("from=1&") != target.npos;   // it has the list, which never changes
+        const bool watch = target.find("from=1&") != target.npos;   // the caller has the list, which never changes
         reply = wire::format_response(200, watch ? R"({"rev":1,"all":false,"targets":[]})"
                                         : R"({"rev":1,"all":true,"targets":[)" + targets_ + "]}", true);
         return watch ? hold * 0.25 : Span{};
@@ -145,8 +145,8 @@
         }
         services.push_back(std::make_unique<ToyDiscovery>(loop, "127.0.0.1:8500", targets));
         for (;;) loop.run_once([](uint64_t) {}, [] {});
-    } catch (const std::exception& trouble) {
-        std::cerr << "toy_servers: " << trouble.what() << '\n';
+    } catch (const std::exception& error) {
+        std::cerr << "toy_servers: " << error.what() << '\n';
         return 1;
     }
 }
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -35,10 +35,10 @@
     }
     double seconds() {
         const auto value = number<double>();
-        if (!std::isfinite(value)) throw BadInput("a time is no finite number");
+        if (!std::isfinite(value)) throw BadInput("a time is not a finite number");
         return value;
     }
-    ServerId server() {   // four bytes of address and a port, kept as they came
+    ServerId server() {   // four bytes of address and two of port, in the byte order of the protocol
         ServerId id = 0;
         std::memcpy(&id, bytes(6).data(), 6);
         return id;
@@ -53,12 +53,12 @@
 public:
     void begin() {
         bytes_.assign(4, '\0');
-        speaking_.reset();
+        selected_.reset();
     }
-    void speak_for(uint32_t instance) {
-        if (speaking_ == instance) return;
+    void select(uint32_t instance) {   // writes a context record if the instance changes
+        if (selected_ == instance) return;
         record(1070, instance);
-        speaking_ = instance;
+        selected_ = instance;
     }
     template <class... Fields>
     void record(uint16_t code, Fields... fields) {
@@ -79,7 +79,7 @@
 
 private:
     std::string bytes_;
-    std::optional<uint32_t> speaking_;   // the instance that the last context names
+    std::optional<uint32_t> selected_;   // the instance selected by the last context record
 };
 
 struct Address {
@@ -91,11 +91,11 @@
 public:
     Instance(uint32_t number, Reply& reply) : number_(number), reply_(reply) {}
 
-    void send(CallId call, ServerId server, Span try_for) override {
-        record(1110, call, Address(server), try_for.s);
+    void send(CallId call, ServerId server, Span timeout) override {
+        record(1110, call, Address(server), timeout.s);
     }
     void cancel(CallId call, int shot) override { record(1020, call, static_cast<uint16_t>(shot)); }
-    void rate_limit(CallId call, Span come_back) override { record(1030, call, come_back.s); }
+    void rate_limit(CallId call, Span retry_after) override { record(1030, call, retry_after.s); }
     void error(CallId call) override { record(1050, call); }
     void probe(ServerId server) override { record(1100, Address(server)); }
     void close_idle(ServerId server) override { record(1040, Address(server)); }
@@ -109,7 +109,7 @@
             for (int i = 0; i < 4; ++i) line.append(i ? "." : " ").append(std::to_string(at[i]));
             line.append(":").append(std::to_string(at[4] + 256 * at[5]));
         }
-        reply_.speak_for(number_);
+        reply_.select(number_);
         reply_.put(uint16_t{1120});
         reply_.put(static_cast<uint32_t>(line.size() + 2));
         reply_.put(static_cast<uint16_t>(line.size()));
@@ -121,15 +121,15 @@
 private:
     template <class... Fields>
     void record(uint16_t code, Fields... fields) {
-        reply_.speak_for(number_);
+        reply_.select(number_);
         reply_.record(code, fields...);
     }
     uint32_t number_;
     Reply& reply_;
 };
 
-Outcome outcome_of(uint16_t verdict) {
-    switch (verdict) {
+Outcome outcome_from(uint16_t code) {
+    switch (code) {
         case 100: return Outcome::fulfilled;
         case 301: return Outcome::errored;
         case 302: return Outcome::full;
@@ -138,13 +138,13 @@
         case 305: return Outcome::reset;
         case 306: return Outcome::cancelled;
         case 307: return Outcome::never_sent;
-        default: throw BadInput("unknown outcome " + std::to_string(verdict));
+        default: throw BadInput("unknown outcome " + std::to_string(code));
     }
 }
 
-class Door {
+class Dispatcher {
 public:
-    const std::string& answer(Time now, Reader batch) {
+    const std::string& handle_batch(Time now, Reader batch) {
         now_ = now;
         reply_.begin();
         instance_ = nullptr;
@@ -162,16 +162,16 @@
         switch (code) {
             case 1110: return select(in.number<uint32_t>());
             case 1050: return attach(in);
-            case 1020: return sheet(in);
-            case 1010: return roster(in);
-            case 1080: return accept(in);
+            case 1020: return store_list(in);
+            case 1010: return update_list(in);
+            case 1080: return arrived(in);
             case 1100: return balancer().client_left(now_, in.number<uint64_t>());
             case 1030: return health(in);
             case 1000: balancer(); instance_->balancer.reset(); return;
             case 1040: return balancer().timer_fired(now_, in.number<uint64_t>());
             case 1070: return first_byte(in);
             case 1090: return response(in);
-            default: return;   // records of later versions; mail is not used
+            default: return;   // unknown records, as of later versions, are skipped; mail records are not used
         }
     }
     void select(uint32_t number) {
@@ -192,51 +192,51 @@
         instance_ = slot.get();
         instance_->balancer = start_balancer(now_, SettingsReader(pairs).decode(), seed, *instance_);
     }
-    void sheet(Reader in) {
+    void store_list(Reader in) {
         const auto number = in.number<uint8_t>();
         const auto count = in.number<uint32_t>();
-        if (number >= sheets_.size()) throw BadInput("unknown list number " + std::to_string(number));
-        sheets_[number] = std::string(in.bytes(size_t{25} * count));
+        if (number >= lists_.size()) throw BadInput("unknown list number " + std::to_string(number));
+        lists_[number] = std::string(in.bytes(size_t{25} * count));
     }
-    void roster(Reader in) {
+    void update_list(Reader in) {
         const auto kind = in.number<uint8_t>();
         in.number<uint64_t>();
         const auto number = in.number<uint8_t>();
         if (kind == 3) return balancer().list_failed(now_);
         if (kind > 3) throw BadInput("unknown kind of list " + std::to_string(kind));
-        if (number >= sheets_.size() || !sheets_[number])
+        if (number >= lists_.size() || !lists_[number])
             throw BadInput("unknown list number " + std::to_string(number));
-        Reader entries(sheets_[number]->data(), sheets_[number]->size());
+        Reader entries(lists_[number]->data(), lists_[number]->size());
         balancer().list_began(now_, kind != 0, kind == 2);
         while (!entries.empty()) {
             const auto id = entries.server();
             const auto zone = entries.number<uint16_t>();
             entries.number<uint16_t>();
             const auto cell = entries.number<uint16_t>();
-            const auto condition = entries.number<uint8_t>();
-            if (condition > 2) throw BadInput("unknown condition of a host " + std::to_string(condition));
+            const auto state = entries.number<uint8_t>();
+            if (state > 2) throw BadInput("unknown state of a host " + std::to_string(state));
             const auto size = entries.number<float>();
             const auto launched = entries.seconds();
-            if (!std::isfinite(size)) throw BadInput("a capacity hint is no finite number");
-            balancer().server_listed(id, zone, cell, static_cast<State>(condition), size,
+            if (!std::isfinite(size)) throw BadInput("a capacity hint is not a finite number");
+            balancer().server_listed(id, zone, cell, static_cast<State>(state), size,
                              launched == 0 ? long_ago : Time{launched});
         }
         balancer().list_ended();
     }
-    void accept(Reader in) {
+    void arrived(Reader in) {
         const auto id = in.number<uint64_t>();
         const auto key = in.number<uint64_t>();
         const auto bits = in.number<uint8_t>();
         const bool hinted = bits & 1, again = bits & 2;
         const auto product = in.number<uint8_t>();
         const auto tenant = in.number<uint16_t>();
-        const Span patience{in.seconds()};
+        const Span timeout{in.seconds()};
         const Span work{hinted ? in.seconds() : 0};
-        balancer().call_arrived(now_, id, product, tenant, patience, work, key, again);
+        balancer().call_arrived(now_, id, product, tenant, timeout, work, key, again);
     }
     void health(Reader in) {
         const auto id = in.server();
-        balancer().probe_ended(now_, id, outcome_of(in.number<uint16_t>()) == Outcome::fulfilled);
+        balancer().probe_ended(now_, id, outcome_from(in.number<uint16_t>()) == Outcome::fulfilled);
     }
     void first_byte(Reader in) {
         const auto id = in.number<uint64_t>();
@@ -245,7 +245,7 @@
     }
     void response(Reader in) {
         const auto id = in.number<uint64_t>();
-        const auto outcome = outcome_of(in.number<uint16_t>());
+        const auto outcome = outcome_from(in.number<uint16_t>());
         const bool done = in.number<uint8_t>() != 0;
         balancer().attempt_ended(now_, id, in.number<uint16_t>(), outcome, done);
     }
@@ -255,13 +255,13 @@
     std::optional<uint32_t> number_;
     Instance* instance_ = nullptr;
     std::map<uint32_t, std::unique_ptr<Instance>> instances_;
-    std::array<std::optional<std::string>, 16> sheets_;
+    std::array<std::optional<std::string>, 16> lists_;
 };
 
 }  // namespace
 
 void serve(std::istream& in, std::ostream& out) {
-    Door door;
+    Dispatcher dispatcher;
     std::string batch;
     char header[12];
     while (in.read(header, sizeof header)) {
@@ -270,11 +270,11 @@
         std::memcpy(&size, header, 4);
         std::memcpy(&clock, header + 4, 8);
         if (size < sizeof header) throw BadInput("a frame is shorter than its header");
-        if (!std::isfinite(clock)) throw BadInput("the clock is no finite number");
+        if (!std::isfinite(clock)) throw BadInput("the clock is not a finite number");
         batch.resize(size - sizeof header);
         if (!in.read(batch.data(), static_cast<std::streamsize>(batch.size())))
             throw BadInput("a frame is cut off");
-        const auto& reply = door.answer(Time{clock}, Reader(batch.data(), batch.size()));
+        const auto& reply = dispatcher.handle_batch(Time{clock}, Reader(batch.data(), batch.size()));
         out.write(reply.data(), static_cast<std::streamsize>(reply.size()));
         out.flush();
     }
--- a/src/adapter/wire.hpp
+++ b/src/adapter/wire.hpp
@@ -1,4 +1,4 @@
-// The simulator's wire: decodes batches into the decisions' events and encodes their actions into replies.
+// The simulator's protocol: decodes batches into events of the balancer and encodes its actions into replies.
 #pragma once
 #include <cstdint>
 #include <iosfwd>
@@ -6,11 +6,11 @@
 
 namespace myrtleroute {
 
-struct BadInput : std::runtime_error {
+struct BadInput : std::runtime_error {   // malformed input of the simulator
     using std::runtime_error::runtime_error;
 };
 
-// Answers every batch until the input ends between two frames; throws BadInput on anything malformed.
+// Answers each batch until the input ends between two frames; throws BadInput for malformed input.
 void serve(std::istream& in, std::ostream& out);
 
 }  // namespace myrtleroute
--- a/src/demo/main.cpp
+++ b/src/demo/main.cpp
@@ -1,5 +1,5 @@
-// Starts a small fleet on loopback, with stand-in hosts, and has it serve one streamed answer: three control nodes, two
-// proxies, a configuration. Exit status: 0 the answer came whole, 1 it did not, 2 what was asked is at fault.
+// Starts a small fleet on loopback with simulated hosts and has it serve one streamed response: three control nodes, two
+// proxies and a configuration. Exit status: 0 the response was complete, 1 it was not, 2 invalid command line.
 #include <tclap/CmdLine.h>
 
 #include <signal.h>
@@ -22,26 +22,26 @@
 using namespace myrtleroute::soak;
 namespace fs = std::filesystem;
 
-constexpr int well = 0, failed = 1, at_fault = 2;
+constexpr int success = 0, failed = 1, usage_error = 2;
 constexpr size_t control_nodes = 3, proxies = 2, hosts = 2;
 constexpr uint16_t host_port = 9000;
-constexpr double tick_every = 0.02, again_after = 0.2, within = 30;   // seconds
+constexpr double tick_interval = 0.02, retry_delay = 0.2, timeout = 30;   // seconds
 constexpr uint64_t version = 1;
 
-// A folder for settings, logs and disks, which goes with it.
-class Folder {
+// A temporary directory for settings, logs and data, removed by the destructor.
+class TemporaryDirectory {
 public:
-    Folder() {
+    TemporaryDirectory() {
         std::string name = (fs::temp_directory_path() / "myrtleroute-demo-XXXXXX").string();
-        if (!::mkdtemp(name.data())) throw std::runtime_error("no temporary folder can be made");
+        if (!::mkdtemp(name.data())) throw std::runtime_error("can't create a temporary directory");
         path_ = name;
     }
-    ~Folder() {
+    ~TemporaryDirectory() {
         std::error_code ignored;
         fs::remove_all(path_, ignored);
     }
-    Folder(const Folder&) = delete;
-    Folder& operator=(const Folder&) = delete;
+    TemporaryDirectory(const TemporaryDirectory&) = delete;
+    TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
     std::string path() const { return path_.string(); }
 
 private:
@@ -50,11 +50,11 @@
 
 class Demo {
 public:
-    Demo(const std::string& program, bool stays)
+    Demo(const std::string& program, bool keep_running)
         : block_(context_),
           addresses_(block_.number(), control_nodes, false),
           fleet_(options(program), addresses_, [this](const std::string& what) { fail(what); }),
-          stays_(stays) {
+          keep_running_(keep_running) {
         for (size_t number = 0; number < hosts; ++number) add_host(number);
     }
 
@@ -66,7 +66,7 @@
         for (size_t machine = 0; machine < control_nodes; ++machine)
             std::cout << "control node  http://" << addresses_.control(machine).text() << '\n';
         for (size_t machine = 0; machine < proxies; ++machine)
-            std::cout << "proxy         http://" << front(machine).text() << '\n';
+            std::cout << "proxy         http://" << front_address(machine).text() << '\n';
         std::cout << "host          " << addresses_.host(0) << " and " << hosts - 1 << " more" << std::endl;
         began_ = std::chrono::steady_clock::now();
         tick();
@@ -80,7 +80,7 @@
     FleetOptions options(const std::string& program) const {
         FleetOptions options;
         options.program = program;
-        options.directory = folder_.path();
+        options.directory = directory_.path();
         options.size = {control_nodes, proxies};
         return options;
     }
@@ -102,14 +102,14 @@
                                                            }}));
     }
 
-    Endpoint front(size_t machine) const { return {addresses_.machine(machine), Addresses::front_port}; }
+    Endpoint front_address(size_t machine) const { return {addresses_.machine(machine), Addresses::front_port}; }
 
     double now() const { return std::chrono::duration<double>(std::chrono::steady_clock::now() - began_).count(); }
 
     void tick() {
         fleet_.tick(now());
-        if (now() > within && !served_) fail("nothing was served in time");
-        after(timer_, tick_every, [this] { tick(); });
+        if (now() > timeout && !served_) fail("no response was served in time");
+        after(timer_, tick_interval, [this] { tick(); });
     }
 
     void fail(const std::string& why) {
@@ -118,7 +118,7 @@
         context_.stop();
     }
 
-    // To one control node after the other, until the one that leads has it.
+    // Sends the configuration to one control node after the other, until the leader accepts it.
     void configure(size_t tries) {
         Limits limits;
         for (const auto& tenant : tenants()) limits[tenant.name] = tenant.limit;
@@ -128,22 +128,22 @@
         start_call(context_, {to, text, Span{1}, {}, [this, tries](const HttpReply& reply) {
                                   if (reply.status == 200) {
                                       std::cout << "configuration " << version << " is acknowledged" << std::endl;
-                                      return ask_ready();
+                                      return request_ready();
                                   }
-                                  after(retry_, again_after, [this, tries] { configure(tries + 1); });
+                                  after(retry_, retry_delay, [this, tries] { configure(tries + 1); });
                               }});
     }
 
-    void ask_ready() {
+    void request_ready() {
         const Endpoint to{addresses_.machine(0), Addresses::ready_port};
         const auto text = request_text("GET", "/ready", to.text(), {{"Connection", "close"}}, "");
         start_call(context_, {to, text, Span{1}, {}, [this](const HttpReply& reply) {
-                                  if (reply.status == 200) return ask();
-                                  after(retry_, again_after, [this] { ask_ready(); });
+                                  if (reply.status == 200) return send_request();
+                                  after(retry_, retry_delay, [this] { request_ready(); });
                               }});
     }
 
-    void ask() {
+    void send_request() {
         const auto text = request_text("POST", "/stream/greeting", route_host,
                                        {{"Authorization", "Token " + tenants().front().key},
                                         {"X-Request-Id", request_id},
@@ -151,28 +151,29 @@
                                         {"X-Token-Count", "20,40"},
                                         {"Connection", "close"}},
                                        "a prompt");
-        start_call(context_, {front(0), text, Span{6}, {}, [this](const HttpReply& reply) {
-                                  // It may not have heard of the hosts, or been lent units of the tenant's limit, yet.
+        start_call(context_, {front_address(0), text, Span{6}, {}, [this](const HttpReply& reply) {
+                                  // The proxy may not know the hosts yet, or may not have a lease on the tenant's limit.
                                   if (reply.status == 429 || reply.status == 503)
-                                      return after(retry_, again_after, [this] { ask(); });
-                                  show(reply);
+                                      return after(retry_, retry_delay, [this] { send_request(); });
+                                  print_response(reply);
                               }});
     }
 
-    void show(const HttpReply& reply) {
+    void print_response(const HttpReply& reply) {
         served_ = true;
         std::cout << "POST /stream/greeting: " << reply.status << ", by "
                   << field_of(reply.fields, "X-Server-Signature") << '\n'
                   << reply.body << std::flush;
-        if (reply.status != 200 || !is_whole_body(reply.body, request_id, true)) return fail("the answer is not whole");
-        if (!stays_) return context_.stop();
+        if (reply.status != 200 || !is_whole_body(reply.body, request_id, true))
+            return fail("the response is incomplete");
+        if (!keep_running_) return context_.stop();
         std::cout << "The fleet runs until Ctrl-C. Tenants have keys: Authorization: Token " << tenants().front().key
                   << std::endl;
     }
 
     static constexpr const char* request_id = "greeting-1";
 
-    Folder folder_;
+    TemporaryDirectory directory_;
     asio::io_context context_;
     AddressBlock block_;
     Addresses addresses_;
@@ -181,8 +182,8 @@
     asio::steady_timer timer_{context_}, retry_{context_};
     asio::signal_set signals_{context_, SIGINT, SIGTERM};
     std::chrono::steady_clock::time_point began_ = std::chrono::steady_clock::now();
-    bool stays_ = false, served_ = false;
-    int status_ = well;
+    bool keep_running_ = false, served_ = false;
+    int status_ = success;
 };
 
 }   // namespace
@@ -200,9 +201,9 @@
         return asked.getExitStatus();
     } catch (const TCLAP::ArgException& fault) {
         std::cerr << fault.argId() << ": " << fault.error() << '\n';
-        return at_fault;
+        return usage_error;
     } catch (const std::exception& fault) {
         std::cerr << fault.what() << '\n';
-        return at_fault;
+        return usage_error;
     }
 }
