--- a/src/demo/main.cpp
+++ b/src/demo/main.cpp
@@ -1,4 +1,4 @@
-// Starts a small fleet on loopback with simulated hosts and has it serve one streamed response: three control nodes, two
+// Starts a small fleet on loopback with simulated hosts and serves one streamed response: three control nodes, two
 // proxies and a configuration. Exit status: 0 the response was complete, 1 it was not, 2 invalid command line.
 #include <tclap/CmdLine.h>
 
@@ -152,7 +152,7 @@
                                         {"Connection", "close"}},
                                        "a prompt");
         start_call(context_, {front_address(0), text, Span{6}, {}, [this](const HttpReply& reply) {
-                                  // The proxy may not know the hosts yet, or may not have a lease on the tenant's limit.
+                                  // The proxy may not know the hosts yet, or may have no lease for the tenant.
                                   if (reply.status == 429 || reply.status == 503)
                                       return after(retry_, retry_delay, [this] { send_request(); });
                                   print_response(reply);
--- a/tests/attempt_test.cpp
+++ b/tests/attempt_test.cpp
@@ -1,23 +1,23 @@
-// What crosses on the way to servers and back: resets, connections that come up late, ends at the same time.
+// Races between the proxy and its servers: resets, connects that complete delayed, simultaneous closes.
 #include "loopback.hpp"
 
 using namespace loopback;
 
-TEST_CASE("an answer without a length is whole when its connection ends, and is not when that is reset") {
+TEST_CASE("a response without a length is complete when its connection ends, but not when it is reset") {
     struct Case { const char* product; bool resets; int status; };
     const auto c = GENERATE(Case{"read", false, 200}, Case{"book", false, 200}, Case{"read", true, 200}, Case{"book", true, 502});
-    World w;
-    auto client = w.client();
+    ProxyProcess proxy;
+    auto client = proxy.client();
     client.send(request(c.product));
-    auto server = w.servers[0].accept();
+    auto server = proxy.servers[0].accept();
     server.message();
-    w.at_one_stroke([&] {
+    proxy.while_stopped([&] {
         server.send("HTTP/1.1 200 OK\r\n\r\nhalf");
         if (c.resets) server.reset();
         else server.close();
     });
-    if (c.resets && c.status == 200) {   // may run again, and does
-        server = w.servers[0].accept();
+    if (c.resets && c.status == 200) {   // idempotent, so it is retried
+        server = proxy.servers[0].accept();
         server.message();
         server.send(answer("whole"));
     }
@@ -28,31 +28,31 @@
 
 namespace {
 
-// A server whose connections come up only when `let_up` is called: until then its queue is full.
-struct Late {
-    explicit Late(Listener& at) : server(at), crowd(at.deafen()) {}
-    void let_up() {   // the system asks again within a second or so
-        for (auto& one : crowd) one.close();
-        while (server.called(0.05)) server.accept();
+// A server whose connects complete only after `accept_connects`: until then its listen queue is full.
+struct DelayedServer {
+    explicit DelayedServer(Listener& at) : server(at), connections(at.fill_queue()) {}
+    void accept_connects() {   // the system repeats a connect within about a second
+        for (auto& one : connections) one.close();
+        while (server.connection_pending(0.05)) server.accept();
     }
     Listener& server;
-    std::vector<Wire> crowd;
+    std::vector<Socket> connections;
 };
 
-const std::string slow_connects = "\"ConnectTimeoutS\":4";
+const std::string long_connect_timeout = "\"ConnectTimeoutS\":4";
 
 }  // namespace
 
-TEST_CASE("a connection that comes up late tells its server the time that is left then") {
-    World w(1, 64, "\"ConnectTimeoutS\":0.25", slow_connects);
-    Late late(w.servers[0]);
-    auto client = w.client();
+TEST_CASE("a connection that is established delayed sends the time left at that moment") {
+    ProxyProcess proxy(1, 64, "\"ConnectTimeoutS\":0.25", long_connect_timeout);
+    DelayedServer delayed(proxy.servers[0]);
+    auto client = proxy.client();
     const double sent = clock_now();
     client.send(request("book", "", "4000m"));
     wait(0.5);
     const double before = clock_now();
-    late.let_up();
-    auto server = w.servers[0].accept();
+    delayed.accept_connects();
+    auto server = proxy.servers[0].accept();
     const auto call = server.message();
     const auto told = call.find("\r\nX-Timeout: ");
     REQUIRE(told != call.npos);
@@ -61,36 +61,37 @@
     CHECK(status(client.message()) == 200);
 }
 
-TEST_CASE("nothing goes to a server that began to drain while the connection to it was coming up") {
-    World w(2, 64, "\"ConnectTimeoutS\":0.25", slow_connects);
-    auto discovery = w.discovery.accept();
+TEST_CASE("no call is sent to a server that began to drain while the connection to it was being established") {
+    ProxyProcess proxy(2, 64, "\"ConnectTimeoutS\":0.25", long_connect_timeout);
+    auto discovery = proxy.discovery.accept();
     discovery.message();
-    discovery.send(answer(list(6, true, entry(0, w.servers[0].endpoint))));
+    discovery.send(answer(list(6, true, entry(0, proxy.servers[0].endpoint))));
     discovery.message();
-    Late late(w.servers[0]);
-    auto client = w.client();
+    DelayedServer delayed(proxy.servers[0]);
+    auto client = proxy.client();
     client.send(request("book"));
     wait(0.1);
-    discovery.send(answer(list(7, false, entry(0, w.servers[0].endpoint, "DRAINING") + "," + entry(1, w.servers[1].endpoint))));
+    discovery.send(answer(list(7, false, entry(0, proxy.servers[0].endpoint, "DRAINING") + "," +
+                                             entry(1, proxy.servers[1].endpoint))));
     discovery.message();
-    late.let_up();
-    auto other = w.servers[1].accept();   // it never ran there, so another may have it
+    delayed.accept_connects();
+    auto other = proxy.servers[1].accept();   // not executed by the first server, so it may be sent to another
     other.message();
     other.send(answer("x"));
     CHECK(status(client.message()) == 200);
-    while (w.servers[0].called(0.1)) CHECK_FALSE(w.servers[0].accept().more(0.1));
+    while (proxy.servers[0].connection_pending(0.1)) CHECK_FALSE(proxy.servers[0].accept().receive(0.1));
 }
 
-TEST_CASE("a client that leaves while a connection is coming up has nothing sent") {
-    World w(1, 64, "\"ConnectTimeoutS\":0.25", slow_connects);
-    Late late(w.servers[0]);
-    auto client = w.client();
+TEST_CASE("no call is sent for a client that disconnects while the connection is being established") {
+    ProxyProcess proxy(1, 64, "\"ConnectTimeoutS\":0.25", long_connect_timeout);
+    DelayedServer delayed(proxy.servers[0]);
+    auto client = proxy.client();
     client.send(request("book"));
     wait(0.1);
     client.close();
-    CHECK(w.logs("ended: cancelled"));
-    late.let_up();
-    while (w.servers[0].called(1.5)) CHECK_FALSE(w.servers[0].accept().more(0.1));
-    w.signal(SIGUSR1);
-    CHECK(w.logs("shots_never_sent=1"));
+    CHECK(proxy.wait_for_log("ended: cancelled"));
+    delayed.accept_connects();
+    while (proxy.servers[0].connection_pending(1.5)) CHECK_FALSE(proxy.servers[0].accept().receive(0.1));
+    proxy.signal(SIGUSR1);
+    CHECK(proxy.wait_for_log("shots_never_sent=1"));
 }
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -1,4 +1,4 @@
-// Helpers of the cases that play clients, servers and discovery by hand around the program itself on loopback.
+// Helpers of the tests that run the program on loopback and act as its clients, servers and discovery.
 #pragma once
 #include <poll.h>
 #include <signal.h>
@@ -18,32 +18,32 @@
 
 namespace loopback {
 
-inline constexpr double soon = 10;   // far more than anything here takes, so that only a fault waits as long
+inline constexpr double time_limit = 10;   // seconds; far more than any step takes, so that only a fault reaches it
 
 inline double clock_now() {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
-inline constexpr double rested = 0.02;   // an answered connection to a server may be used again
+inline constexpr double reuse_delay = 0.02;   // seconds until an answered connection to a server may be used again
 inline void wait(double seconds) { ::usleep(static_cast<useconds_t>(seconds * 1e6)); }
 
-// An address of loopback that no other run of the tests has, and a port of its own for each listener.
-inline std::string fresh_endpoint() {
+// A loopback address that no other run of the tests uses, with a separate port for each listener.
+inline std::string unused_endpoint() {
     static int next = 20000;
     const int pid = ::getpid();
     return "127." + std::to_string(100 + (pid >> 16) % 100) + "." + std::to_string(pid >> 8 & 255) + "." +
            std::to_string(pid & 255) + ":" + std::to_string(next++);
 }
 
-class Wire {
+class Socket {
 public:
-    explicit Wire(int fd = -1) : fd_(fd) {}
-    Wire(Wire&& o) : fd_(std::exchange(o.fd_, -1)), held_(std::move(o.held_)) {}
-    Wire& operator=(Wire&& o) {
+    explicit Socket(int fd = -1) : fd_(fd) {}
+    Socket(Socket&& o) : fd_(std::exchange(o.fd_, -1)), received_(std::move(o.received_)) {}
+    Socket& operator=(Socket&& o) {
         std::swap(fd_, o.fd_);
-        std::swap(held_, o.held_);
+        std::swap(received_, o.received_);
         return *this;
     }
-    ~Wire() { close(); }
+    ~Socket() { close(); }
     void close() {
         if (fd_ >= 0) ::close(std::exchange(fd_, -1));
     }
@@ -58,7 +58,7 @@
         pollfd p{fd_, POLLIN, 0};
         return ::poll(&p, 1, static_cast<int>(within * 1000)) == 1;
     }
-    bool send_some(std::string_view text) {   // false: nobody takes it
+    bool send_some(std::string_view text) {   // false: the peer does not read
         pollfd p{fd_, POLLOUT, 0};
         return ::poll(&p, 1, 300) == 1 && ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT) > 0;
     }
@@ -69,48 +69,48 @@
             text.remove_prefix(static_cast<size_t>(n));
         }
     }
-    bool more(double within = soon) {   // false: nothing came, or the end did
+    bool receive(double within = time_limit) {   // false: nothing arrived, or the stream ended
         char bytes[4096];
         const auto n = ready(within) ? ::recv(fd_, bytes, sizeof bytes, 0) : 0;
-        if (n > 0) held_.append(bytes, static_cast<size_t>(n));
+        if (n > 0) received_.append(bytes, static_cast<size_t>(n));
         return n > 0;
     }
-    // Whether a reset has come, also after the other end sent its end.
-    bool breaks(double within) {
+    // Whether a reset has arrived, also after the end of stream.
+    bool is_reset(double within) {
         pollfd p{fd_, 0, 0};
         return ::poll(&p, 1, static_cast<int>(within * 1000)) == 1 && (p.revents & (POLLERR | POLLHUP));
     }
-    bool ends(double within = soon) {
-        while (more(within)) {}
+    bool is_closed(double within = time_limit) {
+        while (receive(within)) {}
         return ready(0);
     }
-    // One whole message with its length given; empty if the connection ended or fell silent before.
+    // One complete message with Content-Length; empty if the connection ended or timed out before.
     std::string message() {
         for (;;) {
-            const auto head = held_.find("\r\n\r\n");
-            if (head != held_.npos) {
+            const auto head = received_.find("\r\n\r\n");
+            if (head != received_.npos) {
                 size_t size = head + 4;
-                if (const auto at = held_.find("Content-Length: "); at < head) size += std::stoul(held_.substr(at + 16));
-                if (held_.size() >= size) {
-                    const auto whole = held_.substr(0, size);
-                    held_.erase(0, size);
+                if (const auto at = received_.find("Content-Length: "); at < head) size += std::stoul(received_.substr(at + 16));
+                if (received_.size() >= size) {
+                    const auto whole = received_.substr(0, size);
+                    received_.erase(0, size);
                     return whole;
                 }
             }
-            if (!more()) return "";
+            if (!receive()) return "";
         }
     }
 
 private:
     int fd_;
-    std::string held_;
+    std::string received_;
 };
 
 class Listener {
 public:
-    explicit Listener(int backlog = 64) : endpoint(fresh_endpoint()), fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    explicit Listener(int backlog = 64) : endpoint(unused_endpoint()), fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         const auto at = *myrtleroute::wire::parse_endpoint(endpoint);
-        const int on = 1;   // an earlier run may have left connections behind
+        const int on = 1;   // an earlier run may have left connections in TIME_WAIT
         ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
         REQUIRE(::bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
         REQUIRE(::listen(fd_, backlog) == 0);
@@ -120,35 +120,35 @@
     void close() {
         if (fd_ >= 0) ::close(std::exchange(fd_, -1));
     }
-    bool called(double within) const {
+    bool connection_pending(double within) const {
         pollfd p{fd_, POLLIN, 0};
         return ::poll(&p, 1, static_cast<int>(within * 1000)) == 1;
     }
-    Wire accept() {
-        REQUIRE(called(soon));
-        return Wire(::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
+    Socket accept() {
+        REQUIRE(connection_pending(time_limit));
+        return Socket(::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
     }
-    // From now on nobody who connects is heard; the connections that see to it end with what is given back.
-    std::vector<Wire> deafen();
+    // From now on no connect to this listener completes; the returned connections fill its queue and must be kept.
+    std::vector<Socket> fill_queue();
     std::string endpoint;
 
 private:
     int fd_;
 };
 
-inline Wire connect(const std::string& endpoint, int flags = 0) {
+inline Socket connect(const std::string& endpoint, int flags = 0) {
     const auto at = *myrtleroute::wire::parse_endpoint(endpoint);
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | flags, 0);
-    if (::connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 || flags) return Wire(fd);
+    if (::connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 || flags) return Socket(fd);
     ::close(fd);
-    return Wire();
+    return Socket();
 }
 
-inline std::vector<Wire> Listener::deafen() {
+inline std::vector<Socket> Listener::fill_queue() {
     REQUIRE(::listen(fd_, 0) == 0);
-    std::vector<Wire> crowd;
-    for (int i = 0; i < 8; ++i) crowd.push_back(connect(endpoint, SOCK_NONBLOCK));
-    return crowd;
+    std::vector<Socket> connections;
+    for (int i = 0; i < 8; ++i) connections.push_back(connect(endpoint, SOCK_NONBLOCK));
+    return connections;
 }
 
 inline std::string answer(const std::string& body, const std::string& status = "200 OK", const std::string& fields = "") {
@@ -172,17 +172,17 @@
     return R"({"rev":)" + std::to_string(rev) + R"(,"all":)" + (all ? "true" : "false") + R"(,"targets":[)" + entries + "]}";
 }
 
-// Seconds for which a call to discovery waits; 0 where it does not, or is no watch from that version on.
+// Seconds for which a request to discovery is held; 0 if it is not, or if it is not a watch from that revision on.
 inline double hold_of(const std::string& call, const std::string& from) {
     const auto start = "GET /discovery/hosts?from=" + from + "&hold_ms=";
     return call.find(start) == 0 ? std::stod(call.substr(start.size())) / 1000 : 0;
 }
 
-inline std::string product(const std::string& name, const std::string& repeat) {
-    return R"({"Name":")" + name + R"(","BilledValue":1,"LatencySloS":4,"ClientTimeoutS":5,"Idempotency":")" + repeat +
-           R"(","Streaming":false})";
+inline std::string product(const std::string& name, const std::string& idempotency) {
+    return R"({"Name":")" + name + R"(","BilledValue":1,"LatencySloS":4,"ClientTimeoutS":5,"Idempotency":")" +
+           idempotency + R"(","Streaming":false})";
 }
-// `read` is idempotent, `book` is not.
+// Configuration with two products: `read` is idempotent, `book` is not.
 inline std::string config(const std::string& listen, const std::string& discovery, const std::string& known) {
     return R"({"name":"n1","listen":")" + listen + R"(","discovery":")" + discovery +
            R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":64},"known":)" + known +
@@ -193,12 +193,12 @@
            R"("TipMultiple":4,"GraceToAnswerS":0.02}}})";
 }
 
-// The program, told of `servers` toy servers.
-class World {
+// The running program, configured with `servers` servers that the test plays.
+class ProxyProcess {
 public:
-    // `from` in the configuration is replaced by `to`.
-    explicit World(int servers = 1, int backlog = 64, const std::string& from = {}, const std::string& to = {})
-        : listen(fresh_endpoint()) {
+    // The text `from` in the configuration is replaced by `to`.
+    explicit ProxyProcess(int servers = 1, int backlog = 64, const std::string& from = {}, const std::string& to = {})
+        : listen(unused_endpoint()) {
         std::string known;
         for (int i = 0; i < servers; ++i) {
             this->servers.emplace_back(backlog);
@@ -206,37 +206,37 @@
             known += entry(i, this->servers[i].endpoint);
         }
         start(with(config(listen, discovery.endpoint, list(5, true, known)), from, to));
-        for (double until = clock_now() + soon; !connect(listen).open() && clock_now() < until;) wait(0.01);
+        for (double until = clock_now() + time_limit; !connect(listen).open() && clock_now() < until;) wait(0.01);
     }
-    ~World() {
+    ~ProxyProcess() {
         if (pid_ > 0) ::kill(pid_, SIGKILL);
         if (pid_ > 0) ::waitpid(pid_, nullptr, 0);
         ::unlink(config_path_.c_str());
         ::unlink(log_path_.c_str());
     }
-    Wire client() { return connect(listen); }
-    void configure(const std::string& text) {   // replaces the file and tells it so
-        const auto fresh = config_path_ + "-new";
-        std::ofstream(fresh) << text;
-        ::rename(fresh.c_str(), config_path_.c_str());
+    Socket client() { return connect(listen); }
+    void configure(const std::string& text) {   // replaces the configuration file and sends SIGHUP
+        const auto new_path = config_path_ + "-new";
+        std::ofstream(new_path) << text;
+        ::rename(new_path.c_str(), config_path_.c_str());
         signal(SIGHUP);
     }
     void signal(int number) { ::kill(pid_, number); }
-    // While `what` happens the program stands still, so that it meets all of it in one round.
-    template <class What>
-    void at_one_stroke(What&& what) {
-        hold();
-        what();
+    // Stops the program during `action`, so that it sees all its effects in one iteration of its loop.
+    template <class Action>
+    void while_stopped(Action&& action) {
+        stop();
+        action();
         signal(SIGCONT);
     }
-    void hold() {   // until SIGCONT
+    void stop() {   // stops the program until SIGCONT
         signal(SIGSTOP);
         ::waitpid(pid_, nullptr, WUNTRACED);
     }
-    // Its exit status, once it has ended by itself.
+    // The exit status, once the program has ended by itself; -1 if it has not.
     int exit_status() {
         int status = -1;
-        for (double until = clock_now() + soon; clock_now() < until; wait(0.01))
+        for (double until = clock_now() + time_limit; clock_now() < until; wait(0.01))
             if (::waitpid(pid_, &status, WNOHANG) == pid_) {
                 pid_ = -1;
                 return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
@@ -247,8 +247,8 @@
         std::ifstream file(log_path_);
         return {std::istreambuf_iterator<char>(file), {}};
     }
-    bool logs(const std::string& what) const {
-        for (double until = clock_now() + soon; clock_now() < until; wait(0.01))
+    bool wait_for_log(const std::string& what) const {
+        for (double until = clock_now() + time_limit; clock_now() < until; wait(0.01))
             if (log().find(what) != std::string::npos) return true;
         return false;
     }
@@ -274,15 +274,15 @@
         }
         ::close(log_file);
     }
-    explicit World(const std::string& broken_config) { start(broken_config); }
+    explicit ProxyProcess(const std::string& broken_config) { start(broken_config); }
 
 private:
     pid_t pid_ = -1;
     std::string config_path_, log_path_;
 };
 
-struct Misconfigured : World {
-    explicit Misconfigured(const std::string& text) : World(text) {}
+struct MisconfiguredProxy : ProxyProcess {
+    explicit MisconfiguredProxy(const std::string& text) : ProxyProcess(text) {}
 };
 
 }  // namespace loopback
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -14,32 +14,32 @@
 using namespace myrtleroute;
 using namespace myrtleroute::memory;
 
-TEST_CASE("a ring gives back what was put in, round its end and while it grows") {
+TEST_CASE("a ring buffer returns bytes in order, across its end and while it grows") {
     const size_t limit = GENERATE(1, 5, 4096, 10000);
     ByteRing ring(limit);
-    Pcg chance(limit);
+    Pcg random(limit);
     std::string in, out;
     char next = 0;
     for (int i = 0; i < 3000; ++i) {
-        std::string some(chance.next() % (limit + 2), '\0');
-        for (char& c : some) c = next++;
-        if (chance.next() % 2) {
-            if (ring.push(some)) in += some;
-            else CHECK(some.size() > limit - ring.size());
+        std::string bytes(random.next() % (limit + 2), '\0');
+        for (char& c : bytes) c = next++;
+        if (random.next() % 2) {
+            if (ring.push(bytes)) in += bytes;
+            else CHECK(bytes.size() > limit - ring.size());
         } else if (!ring.full()) {
             const auto parts = ring.writable_parts();
             REQUIRE(parts[0].iov_len > 0);
             size_t n = 0;
             for (const auto& part : parts)
-                for (size_t k = 0; k < part.iov_len && n < some.size(); ++k, ++n)
-                    static_cast<char*>(part.iov_base)[k] = some[n];
+                for (size_t k = 0; k < part.iov_len && n < bytes.size(); ++k, ++n)
+                    static_cast<char*>(part.iov_base)[k] = bytes[n];
             ring.commit(n);
-            in += some.substr(0, n);
+            in += bytes.substr(0, n);
         }
         const auto held = ring.readable_parts();
         REQUIRE(held[0].iov_len + held[1].iov_len == ring.size());
         CHECK(ring.size() <= limit);
-        const size_t n = std::min<size_t>(ring.front().size(), chance.next() % (limit + 1));
+        const size_t n = std::min<size_t>(ring.front().size(), random.next() % (limit + 1));
         out += ring.front().substr(0, n);
         ring.drop(n);
     }
@@ -51,40 +51,40 @@
     CHECK(ring.front().data() == nullptr);   // an empty ring holds no memory
 }
 
-TEST_CASE("timers come in order, also when moved and taken out") {
+TEST_CASE("timers expire in order, also after being changed and cleared") {
     Timers timers;
     std::deque<Timer> all(200);
-    Pcg chance(3);
+    Pcg random(3);
     for (int i = 0; i < 2000; ++i) {
-        auto& t = all[chance.next() % all.size()];
-        if (chance.next() % 3) timers.set(t, Time{chance.uniform()});
+        auto& t = all[random.next() % all.size()];
+        if (random.next() % 3) timers.set(t, Time{random.uniform()});
         else timers.clear(t);
     }
     const auto set = std::count_if(all.begin(), all.end(), [](const Timer& t) { return t.set(); });
     Time last = long_ago;
-    int came = 0;
-    for (; !timers.empty(); ++came) {
+    int expired = 0;
+    for (; !timers.empty(); ++expired) {
         auto& first = timers.first();
         CHECK(first.at() >= last);
         last = first.at();
         timers.clear(first);
         CHECK_FALSE(first.set());
     }
-    CHECK(came == set);
+    CHECK(expired == set);
 }
 
-TEST_CASE("a server has the same id at every balancer, whatever it heard of before") {
-    Servers one, other;
-    for (const char* uid : {"s-1", "s-2", "s-3"}) one.find_or_add(uid);
-    for (const char* uid : {"s-3", "s-9", "s-1"}) other.find_or_add(uid);
-    CHECK(one.find_or_add("s-1").id == other.find_or_add("s-1").id);
-    CHECK(one.find_or_add("s-3").id == other.find_or_add("s-3").id);
-    CHECK(one.find_or_add("s-1").id != one.find_or_add("s-2").id);
-    CHECK(one.find(one.find_or_add("s-2").id) == &one.find_or_add("s-2"));
-    CHECK(one.find(other.find_or_add("s-9").id) == nullptr);
+TEST_CASE("a server has the same id at every balancer, whatever was listed before") {
+    Servers first_balancer, second_balancer;
+    for (const char* uid : {"s-1", "s-2", "s-3"}) first_balancer.find_or_add(uid);
+    for (const char* uid : {"s-3", "s-9", "s-1"}) second_balancer.find_or_add(uid);
+    CHECK(first_balancer.find_or_add("s-1").id == second_balancer.find_or_add("s-1").id);
+    CHECK(first_balancer.find_or_add("s-3").id == second_balancer.find_or_add("s-3").id);
+    CHECK(first_balancer.find_or_add("s-1").id != first_balancer.find_or_add("s-2").id);
+    CHECK(first_balancer.find(first_balancer.find_or_add("s-2").id) == &first_balancer.find_or_add("s-2"));
+    CHECK(first_balancer.find(second_balancer.find_or_add("s-9").id) == nullptr);
 }
 
-TEST_CASE("a server that is gone is forgotten once no connection leads to it") {
+TEST_CASE("a server that is gone is erased once it has no connections") {
     struct Case { bool gone; int lines; bool known; };
     const auto c = GENERATE(Case{false, 0, true}, Case{true, 1, true}, Case{true, 0, false});
     Servers servers;
@@ -99,22 +99,22 @@
     CHECK(servers.find_or_add("s-2").id == id);
 }
 
-TEST_CASE("a call is held until it has its answer and its last shot has ended") {
+TEST_CASE("a call is kept until it has its response and its last attempt has ended") {
     struct Case { bool client; int out; bool pending; };
     const auto c = GENERATE(Case{true, 0, true}, Case{true, 1, true}, Case{false, 1, true}, Case{false, 0, false});
     Calls calls;
-    Connection* somebody = reinterpret_cast<Connection*>(&calls);
+    Connection* some_client = reinterpret_cast<Connection*>(&calls);
     ApiRequest request;
     request.id = "9b1f";
     auto& call = calls.add(request);
     const auto id = call.id;
-    call.client = c.client ? somebody : nullptr;
+    call.client = c.client ? some_client : nullptr;
     call.open_attempts = c.out;
     calls.erase_if_finished(call);
     CHECK((calls.find(id) != nullptr) == c.pending);
     CHECK(calls.size() == (c.pending ? 1 : 0));
     CHECK(calls.open("9b1f") == c.pending);
-    CHECK(calls.add({}).id != id);   // never used again
+    CHECK(calls.add({}).id != id);   // ids are not reused
 }
 
 TEST_CASE("counters are printed by name") {
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -1,15 +1,15 @@
-// The program itself on loopback, between toy clients, servers and discovery that the cases play by hand.
+// Tests of the running program on loopback. The test cases act as its clients, servers and discovery.
 #include "loopback.hpp"
 
 using namespace loopback;
 
-TEST_CASE("a call goes to a server unchanged, and a server's answer back") {
-    World w;
-    auto client = w.client();
+TEST_CASE("a call is forwarded to a server unchanged, and the response to the client") {
+    ProxyProcess proxy;
+    auto client = proxy.client();
     client.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     CHECK(status(client.message()) == 200);
-    client.send(request("book", "two seats", "99999999m"));   // no longer than its class's time
-    auto server = w.servers[0].accept();
+    client.send(request("book", "two seats", "99999999m"));   // capped at the client timeout of its product
+    auto server = proxy.servers[0].accept();
     const auto first = server.message();
     CHECK(first.find("POST /api?day=1 HTTP/1.1\r\n") == 0);
     CHECK(first.find("\r\nX-Request-ID: 9b1f03aa-") != first.npos);
@@ -24,108 +24,108 @@
     CHECK(status(back) == 200);
     CHECK(back.substr(back.size() - 10) == "\r\n\r\nbooked");
     CHECK(back.find("Content-Type: text/plain\r\n") != back.npos);
-    wait(rested);
+    wait(reuse_delay);
     client.send(request("read"));
     CHECK(server.message().find("GET /api?day=1") == 0);   // on the same connection
     server.send(answer("x"));
     CHECK(status(client.message()) == 200);
-    w.signal(SIGUSR1);
-    CHECK(w.logs("calls_taken=2 calls_fulfilled=2 "));
-    CHECK(w.logs("load_reports=1"));
+    proxy.signal(SIGUSR1);
+    CHECK(proxy.wait_for_log("calls_taken=2 calls_fulfilled=2 "));
+    CHECK(proxy.wait_for_log("load_reports=1"));
 }
 
-TEST_CASE("a call is taken with its last byte, and a connection carries one at a time") {
-    World w;
-    auto client = w.client();
+TEST_CASE("a call is forwarded once its last byte has arrived, and a connection carries one at a time") {
+    ProxyProcess proxy;
+    auto client = proxy.client();
     const auto text = request("book", "abc");
     for (size_t i = 0; i + 1 < text.size(); ++i) client.send(text.substr(i, 1));
-    CHECK_FALSE(w.servers[0].called(0.1));
+    CHECK_FALSE(proxy.servers[0].connection_pending(0.1));
     client.send(text.substr(text.size() - 1));
-    auto server = w.servers[0].accept();
+    auto server = proxy.servers[0].accept();
     CHECK(server.message().find("POST") == 0);
-    client.send(request("read"));   // before it had its answer
+    client.send(request("read"));   // before the response to the first
     CHECK_FALSE(server.ready(0.1));
     server.send(answer("first"));
     const auto back = client.message();
     CHECK(back.find("first") != back.npos);
     CHECK(back.find("Connection: close\r\n") != back.npos);
-    CHECK(client.ends());
+    CHECK(client.is_closed());
     CHECK_FALSE(server.ready(0.1));
 }
 
-TEST_CASE("what comes while an answer is still being written ends the connection with it") {
-    World w;
-    auto client = w.client();
+TEST_CASE("a request sent while a response is being written ends the connection after that response") {
+    ProxyProcess proxy;
+    auto client = proxy.client();
     const std::string body(64 * 1024, 'b');
     client.send(request("read"));
-    auto server = w.servers[0].accept();
+    auto server = proxy.servers[0].accept();
     int answers = 0;
-    for (; server.ready(0.5) && answers < 400; ++answers) {   // until the system's own buffers hold no more
+    for (; server.ready(0.5) && answers < 400; ++answers) {   // until the socket buffers of the system are full
         server.message();
         server.send(answer(body));
-        wait(rested);
+        wait(reuse_delay);
         client.send(request("read"));
     }
     REQUIRE(answers < 400);
     for (int i = 0; i < answers; ++i) REQUIRE(status(client.message()) == 200);
     const double had_all = clock_now();
-    CHECK(client.ends());
+    CHECK(client.is_closed());
     CHECK(clock_now() - had_all < 1);
 }
 
-TEST_CASE("an id that is open is one call's alone") {
-    World w;
-    auto first = w.client(), second = w.client();
+TEST_CASE("the id of a call in progress is rejected for another call") {
+    ProxyProcess proxy;
+    auto first = proxy.client(), second = proxy.client();
     const auto text = request("book");
     first.send(text);
-    auto server = w.servers[0].accept();
+    auto server = proxy.servers[0].accept();
     server.message();
     second.send(text);
     CHECK(status(second.message()) == 409);
-    CHECK(second.ends());
+    CHECK(second.is_closed());
     CHECK_FALSE(server.ready(0.1));
     server.send(answer("x"));
     CHECK(status(first.message()) == 200);
 }
 
-TEST_CASE("who connects has an answer or a close within 3 s, whatever it sends or keeps back") {
+TEST_CASE("a client gets a response or a close within 3 s, whatever it sends or withholds") {
     struct Case { const char* text; bool asked; int status; };
     const auto c = GENERATE(Case{"", false, 0}, Case{"", true, 0}, Case{"GET /api HTTP/1.1\r\nHost: ", false, 408},
                             Case{"POST /api HTTP/1.1\r\nHost: ", true, 408});
-    World w;
-    auto client = w.client();
+    ProxyProcess proxy;
+    auto client = proxy.client();
     if (c.asked) {
         client.send(request("read"));
-        auto server = w.servers[0].accept();
+        auto server = proxy.servers[0].accept();
         server.message();
         server.send(answer("x"));
         CHECK(status(client.message()) == 200);
     }
     const double since = clock_now();
     client.send(c.text);
-    while (!client.ready(0.2) && clock_now() < since + soon)
-        if (*c.text) client.send("x");   // a trickle counts for nothing
+    while (!client.ready(0.2) && clock_now() < since + time_limit)
+        if (*c.text) client.send("x");   // a slow trickle does not extend the deadline
     CHECK(status(client.message()) == c.status);
-    CHECK(client.ends());
+    CHECK(client.is_closed());
     CHECK(clock_now() - since < 3);
     CHECK(clock_now() - since > 1.9);
 }
 
-TEST_CASE("a body without measure is turned away unread") {
-    World w;
-    auto client = w.client();
+TEST_CASE("an oversized body is rejected without being read") {
+    ProxyProcess proxy;
+    auto client = proxy.client();
     client.send("POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n");
     const std::string part(64 * 1024, 'x');
     size_t taken = 0;
     while (taken < 60000000 && client.send_some(part)) taken += part.size();
-    CHECK(taken < 40000000);   // what the system's own buffers hold
+    CHECK(taken < 40000000);   // at most what the socket buffers of the system hold
     CHECK(status(client.message()) == 413);
-    w.signal(SIGUSR1);
-    CHECK(w.logs("calls_malformed=1"));
+    proxy.signal(SIGUSR1);
+    CHECK(proxy.wait_for_log("calls_malformed=1"));
 }
 
-TEST_CASE("what becomes of a shot that is not fulfilled") {
-    // `again`: whether a call gets another shot; `otherwise`: its answer where it gets none.
+TEST_CASE("responses and retries after a failed attempt") {
+    // `read_again`, `book_again`: whether the call gets another attempt; if not, the client gets a 502.
     struct Case { const char* name; std::string reply; bool closes, read_again, book_again; };
     const auto c = GENERATE_COPY(
         Case{"turned away", answer("", "503 Full", "X-Not-Processed: 1\r\n"), false, true, true},
@@ -139,157 +139,157 @@
         Case{"too long", "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", false, true, false});
     for (const std::string product : {"read", "book"}) {
         INFO(c.name << ' ' << product);
-        World w;
-        auto client = w.client();
+        ProxyProcess proxy;
+        auto client = proxy.client();
         client.send(request(product));
-        auto server = w.servers[0].accept();
+        auto server = proxy.servers[0].accept();
         server.message();
         server.send(c.reply);
         if (c.closes) server.close();
         const bool again = product == "read" ? c.read_again : c.book_again;
         if (!again) {
-            CHECK(status(client.message()) == 502);   // promises nothing, and is no server's 429 or 503
+            CHECK(status(client.message()) == 502);   // unlike 429 and 503 no promise that nothing was executed
             continue;
         }
-        if (!server.open() || !server.more(0.2)) server = w.servers[0].accept();
+        if (!server.open() || !server.receive(0.2)) server = proxy.servers[0].accept();
         CHECK(server.message().find("X-Request-ID: 9b1f03aa") != std::string::npos);
         server.send(answer("good"));
         CHECK(status(client.message()) == 200);
     }
 }
 
-TEST_CASE("a call that no server can be reached for has provably never run") {
+TEST_CASE("a call for which no server can be reached is reported as not executed") {
     struct Case { bool listens; const char* reason; };
     const auto c = GENERATE(Case{false, "ended: nobody_listens"}, Case{true, "ended: connect_timed_out"});
-    World w(1, 0);
-    std::vector<Wire> crowd;   // fills the queue of a server that accepts nothing, so that no connection comes up
-    if (!c.listens) w.servers[0].close();
-    for (int i = 0; c.listens && i < 8; ++i) crowd.push_back(connect(w.servers[0].endpoint, SOCK_NONBLOCK));
-    auto client = w.client();
+    ProxyProcess proxy(1, 0);
+    std::vector<Socket> connections;   // fills the listen queue, so that no further connect completes
+    if (!c.listens) proxy.servers[0].close();
+    for (int i = 0; c.listens && i < 8; ++i) connections.push_back(connect(proxy.servers[0].endpoint, SOCK_NONBLOCK));
+    auto client = proxy.client();
     client.send(request("book"));
     const auto back = client.message();
     CHECK(status(back) == 429);
     CHECK(back.find("Retry-After: 1.5\r\n") != back.npos);
-    CHECK(w.logs(c.reason));
+    CHECK(proxy.wait_for_log(c.reason));
 }
 
-TEST_CASE("calls are answered at once where no server can be reached") {
-    World w;
-    w.servers[0].close();
-    auto client = w.client();
+TEST_CASE("calls are answered immediately if no server can be reached") {
+    ProxyProcess proxy;
+    proxy.servers[0].close();
+    auto client = proxy.client();
     const double sent = clock_now();
     for (int i = 0; i < 4; ++i) {
         client.send(request(i % 2 ? "read" : "book"));
         CHECK(status(client.message()) == 429);
     }
-    CHECK(clock_now() - sent < 0.2);   // less than until the decisions wake by themselves
+    CHECK(clock_now() - sent < 0.2);   // less than the next timer of the balancer
 }
 
-TEST_CASE("silence is answered in the client's time, and nothing stays out") {
+TEST_CASE("an unresponsive server is answered for within the client's timeout, and no attempt stays open") {
     const std::string product = GENERATE("read", "book");
-    World w;
-    auto client = w.client();
+    ProxyProcess proxy;
+    auto client = proxy.client();
     const double sent = clock_now();
     client.send(request(product, "", "1500000u"));
-    auto server = w.servers[0].accept();
+    auto server = proxy.servers[0].accept();
     server.message();
     CHECK(status(client.message()) == (product == "read" ? 429 : 502));
     CHECK(clock_now() - sent < 1.55);
-    CHECK(server.ends());
+    CHECK(server.is_closed());
 }
 
-TEST_CASE("a client that leaves takes its shot with it") {
-    World w;
-    auto client = w.client();
+TEST_CASE("the attempt of a client that disconnects is cancelled") {
+    ProxyProcess proxy;
+    auto client = proxy.client();
     client.send(request("book"));
-    auto server = w.servers[0].accept();
+    auto server = proxy.servers[0].accept();
     server.message();
     if (GENERATE(true, false)) client.close();
     else client.half_close();
-    CHECK(server.ends());
-    w.signal(SIGTERM);
-    CHECK(w.exit_status() == 0);
-    CHECK(w.logs("calls_left_by_client=1"));
-    CHECK(w.logs("shots_cancelled=1"));
-    CHECK(w.logs("calls_errored=0"));
+    CHECK(server.is_closed());
+    proxy.signal(SIGTERM);
+    CHECK(proxy.exit_status() == 0);
+    CHECK(proxy.wait_for_log("calls_left_by_client=1"));
+    CHECK(proxy.wait_for_log("shots_cancelled=1"));
+    CHECK(proxy.wait_for_log("calls_errored=0"));
 }
 
-TEST_CASE("an idle connection that the server has closed, or talked on, carries no call") {
-    World w;
-    auto client = w.client();
+TEST_CASE("an idle connection that the server has closed or sent on is not reused") {
+    ProxyProcess proxy;
+    auto client = proxy.client();
     client.send(request("book"));
-    auto server = w.servers[0].accept();
+    auto server = proxy.servers[0].accept();
     server.message();
     server.send(answer("x") + (GENERATE(true, false) ? "more than was asked" : ""));
     CHECK(status(client.message()) == 200);
     server.close();
-    client.send(request("book"));   // must not run twice, so it would not survive the old connection
-    auto next = w.servers[0].accept();
+    client.send(request("book"));   // is not retried, so it would fail on the old connection
+    auto next = proxy.servers[0].accept();
     next.message();
     next.send(answer("y"));
     CHECK(status(client.message()) == 200);
 }
 
-TEST_CASE("a second answer right behind the first never passes for the next call's") {
-    // For a moment after its answer a connection carries no other call, so the next one takes a new connection. Where the
-    // machine holds this process up for longer than that, the case is begun anew.
+TEST_CASE("a second response right behind the first is not taken for the next call's response") {
+    // For a short time after its response a connection is not reused, so the next call takes a new connection. If the
+    // machine delays this process for longer than that, the case is repeated.
     constexpr int most_tries = 20;
     for (int tries = 1;; ++tries) {
         REQUIRE(tries <= most_tries);
-        World w;
-        auto client = w.client();
+        ProxyProcess proxy;
+        auto client = proxy.client();
         client.send(request("book"));
-        auto server = w.servers[0].accept();
+        auto server = proxy.servers[0].accept();
         server.message();
         server.send(answer("first"));
         CHECK(client.message().find("first") != std::string::npos);
         client.send(request("book"));
-        if (!w.servers[0].called(0.5)) continue;
-        auto next = w.servers[0].accept();
+        if (!proxy.servers[0].connection_pending(0.5)) continue;
+        auto next = proxy.servers[0].accept();
         server.send(answer("first"));
         next.message();
         next.send(answer("second"));
         CHECK(client.message().find("second") != std::string::npos);
-        CHECK(server.ends());
-        CHECK(w.logs("server s-0 ended: bad_answer"));
+        CHECK(server.is_closed());
+        CHECK(proxy.wait_for_log("server s-0 ended: bad_answer"));
         return;
     }
 }
 
-TEST_CASE("what stands idle to a server that has fallen silent carries no call either") {
-    World w;
-    std::vector<Wire> clients(2), lines(2);
-    for (auto& client : clients) client = w.client();
-    for (int i = 0; i < 30; ++i) {   // so many that two at once are let in
+TEST_CASE("idle connections to a server that stopped responding are not reused") {
+    ProxyProcess proxy;
+    std::vector<Socket> clients(2), connections(2);
+    for (auto& client : clients) client = proxy.client();
+    for (int i = 0; i < 30; ++i) {   // until the balancer admits two calls to the server at a time
         wait(0.02);
         clients[0].send(request("read"));
-        if (i == 0) lines[0] = w.servers[0].accept();
-        lines[0].message();
-        lines[0].send(answer("x"));
+        if (i == 0) connections[0] = proxy.servers[0].accept();
+        connections[0].message();
+        connections[0].send(answer("x"));
         clients[0].message();
     }
-    wait(rested);
+    wait(reuse_delay);
     for (auto& client : clients) client.send(request("read"));
-    lines[1] = w.servers[0].accept();
+    connections[1] = proxy.servers[0].accept();
     for (size_t i = 0; i < 2; ++i) {
-        lines[i].message();
-        lines[i].send(answer("x"));
+        connections[i].message();
+        connections[i].send(answer("x"));
     }
     for (auto& client : clients) CHECK(status(client.message()) == 200);
-    wait(rested);
+    wait(reuse_delay);
     clients[0].send(request("read", "", "500m"));
     CHECK(status(clients[0].message()) == 429);
-    CHECK(lines[0].ends());
-    CHECK(lines[1].ends());
-    CHECK(w.logs("server s-0 ended: silent"));
+    CHECK(connections[0].is_closed());
+    CHECK(connections[1].is_closed());
+    CHECK(proxy.wait_for_log("server s-0 ended: silent"));
 }
 
-TEST_CASE("the largest bodies pass, both ways, to and from peers that are slow") {
-    World w;
-    auto client = w.client();
+TEST_CASE("the largest bodies pass in both directions to and from slow peers") {
+    ProxyProcess proxy;
+    auto client = proxy.client();
     const std::string body(64 * 1024, 'b');
     client.send(request("book", body));
-    auto server = w.servers[0].accept();
+    auto server = proxy.servers[0].accept();
     wait(0.1);
     const auto came = server.message();
     CHECK(came.substr(came.size() - body.size()) == body);
@@ -301,10 +301,10 @@
     CHECK(back.size() > body.size());
     client.send(request("book", body + "b"));
     CHECK(status(client.message()) == 413);
-    CHECK(client.ends());
+    CHECK(client.is_closed());
 }
 
-TEST_CASE("a bad request is answered and its connection closed, and others are served on") {
+TEST_CASE("a malformed request is answered and its connection closed, and other clients are still served") {
     struct Case { std::string text; int status; };
     const auto c = GENERATE_COPY(Case{"\x16\x03\x01\n", 400}, Case{"DELETE /api HTTP/1.1\r\n\r\n", 405},
                                  Case{"GET /" + std::string(50000, 'x'), 431},
@@ -320,33 +320,33 @@
                                  Case{with(request("read"), "Class: read", "Class: none"), 400},
                                  Case{with(request("read"), "\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"), 400},
                                  Case{request("read") + request("read"), 400}, Case{request("book") + "x", 400});
-    World w;
-    auto other = w.client(), bad = w.client();
+    ProxyProcess proxy;
+    auto other = proxy.client(), bad = proxy.client();
     bad.send(c.text);
     CHECK(status(bad.message()) == c.status);
-    CHECK(bad.ends());
-    CHECK_FALSE(w.servers[0].called(0));
+    CHECK(bad.is_closed());
+    CHECK_FALSE(proxy.servers[0].connection_pending(0));
     other.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     CHECK(status(other.message()) == 200);
-    CHECK(w.logs("ended: bad_call"));
+    CHECK(proxy.wait_for_log("ended: bad_call"));
 }
 
-TEST_CASE("the list is followed") {
-    World w(4);
-    const auto at = [&](int i) { return w.servers[static_cast<size_t>(i)].endpoint; };
-    auto discovery = w.discovery.accept();
+TEST_CASE("updates of the server list are applied") {
+    ProxyProcess proxy(4);
+    const auto at = [&](int i) { return proxy.servers[static_cast<size_t>(i)].endpoint; };
+    auto discovery = proxy.discovery.accept();
     const auto asked_from = [&](const std::string& rev) {
         const double hold = hold_of(discovery.message(), rev);
         return hold >= 7 && hold <= 10;
     };
-    // Where calls go, by the address that takes them; a connection once made may be used again.
-    std::vector<Wire> lines(4);
+    // Checks that calls go only to this server; a connection that is open may be reused.
+    std::vector<Socket> connections(4);
     const auto goes_to = [&](int only) {
-        auto client = w.client();
+        auto client = proxy.client();
         for (int n = 0; n < 6; ++n) {
             client.send(request("read"));
-            auto& line = lines[static_cast<size_t>(only)];
-            if (!line.open() || !line.more(0.3)) line = w.servers[static_cast<size_t>(only)].accept();
+            auto& line = connections[static_cast<size_t>(only)];
+            if (!line.open() || !line.receive(0.3)) line = proxy.servers[static_cast<size_t>(only)].accept();
             if (line.message().empty()) return false;
             line.send(answer("x"));
             if (status(client.message()) != 200) return false;
@@ -360,41 +360,41 @@
     CHECK(asked_from("6"));
     CHECK(clock_now() - told < 0.2);
     CHECK(goes_to(1));
-    discovery.send(answer(list(7, false, entry(1, at(2)))));   // it has moved
+    discovery.send(answer(list(7, false, entry(1, at(2)))));   // its address has changed
     CHECK(asked_from("7"));
-    CHECK(lines[1].ends());
+    CHECK(connections[1].is_closed());
     CHECK(goes_to(2));
-    discovery.send(answer(list(8, true, entry(3, at(3)))));    // the others are gone
+    discovery.send(answer(list(8, true, entry(3, at(3)))));    // a complete list: the others are gone
     CHECK(asked_from("8"));
     CHECK(goes_to(3));
-    w.signal(SIGUSR1);
-    CHECK(w.logs(" servers_known=2 "));   // until no connection leads there
+    proxy.signal(SIGUSR1);
+    CHECK(proxy.wait_for_log(" servers_known=2 "));   // servers that are gone are kept while they have connections
     discovery.send(answer(list(9, false, entry(3, at(3)))));
     CHECK(asked_from("9"));
-    w.signal(SIGUSR1);
-    CHECK(w.logs(" servers_known=1 "));
+    proxy.signal(SIGUSR1);
+    CHECK(proxy.wait_for_log(" servers_known=1 "));
     for (const auto& trouble : {answer("", "503 Busy"), answer("<html>"), answer(list(10, true, "{}")), std::string("?\r\n")}) {
-        discovery.send(trouble);   // fails this call only
-        discovery = w.discovery.accept();
+        discovery.send(trouble);   // fails this request only
+        discovery = proxy.discovery.accept();
         CHECK(asked_from("9"));
     }
     CHECK(goes_to(3));
     discovery.send(answer(list(10, false, ""), "200 OK", "Connection: close\r\n"));
-    discovery = w.discovery.accept();
+    discovery = proxy.discovery.accept();
     CHECK(asked_from("10"));
     discovery.send(answer(list(11, false, "")));
     CHECK(asked_from("11"));
     const double closed = clock_now();
-    discovery.close();             // between two calls: no failure
-    discovery = w.discovery.accept();
+    discovery.close();             // between two requests: not a failure
+    discovery = proxy.discovery.accept();
     CHECK(clock_now() - closed < 0.2);
     CHECK(asked_from("11"));
     CHECK(goes_to(3));
 }
 
-TEST_CASE("discovery that does not hold calls back is not asked without end") {
-    World w;
-    auto discovery = w.discovery.accept();
+TEST_CASE("discovery that does not hold requests is not polled without a pause") {
+    ProxyProcess proxy;
+    auto discovery = proxy.discovery.accept();
     int asked = 0;
     for (const double until = clock_now() + 1; clock_now() < until; ++asked) {
         if (discovery.message().empty()) break;
@@ -404,23 +404,23 @@
     CHECK(asked <= 12);
 }
 
-TEST_CASE("told to read its configuration again, it turns to another discovery, whose lists are numbered afresh") {
-    World w(2);
+TEST_CASE("a reloaded configuration switches to another discovery with its own revisions") {
+    ProxyProcess proxy(2);
     Listener next;
-    const auto known = list(7, true, entry(0, w.servers[0].endpoint));   // older than what it knows by now
-    auto old = w.discovery.accept();
+    const auto known = list(7, true, entry(0, proxy.servers[0].endpoint));   // older than the current list
+    auto old = proxy.discovery.accept();
     CHECK(old.message().find("?from=5&") != std::string::npos);
-    auto client = w.client();
+    auto client = proxy.client();
     client.send(request("book"));
-    Wire busy;
-    for (auto& server : w.servers)
-        if (server.called(0.2)) busy = server.accept();
+    Socket busy;
+    for (auto& server : proxy.servers)
+        if (server.connection_pending(0.2)) busy = server.accept();
     busy.message();
-    w.configure(config(w.listen, next.endpoint, known));
+    proxy.configure(config(proxy.listen, next.endpoint, known));
     auto discovery = next.accept();
     CHECK(discovery.message().find("GET /discovery/hosts HTTP/1.1") == 0);
-    CHECK(old.ends());
-    discovery.send(answer(list(1, true, entry(1, w.servers[1].endpoint))));
+    CHECK(old.is_closed());
+    discovery.send(answer(list(1, true, entry(1, proxy.servers[1].endpoint))));
     CHECK(discovery.message().find("?from=1&") != std::string::npos);
     busy.send(answer("taken before"));
     CHECK(status(client.message()) == 200);
@@ -428,141 +428,141 @@
     struct Case { const char *key, *from, *to; };
     for (const auto& c : {Case{"discovery", "\"discovery\":", "\"discover\":"}, Case{"seed", "8c1f", "xyz"},
                           Case{"limits.sockets", "\"sockets\":64", "\"sockets\":3"}}) {
-        auto text = config(w.listen, w.discovery.endpoint, known);
+        auto text = config(proxy.listen, proxy.discovery.endpoint, known);
         text.replace(text.find(c.from), std::string(c.from).size(), c.to);
-        w.configure(text);
-        CHECK(w.logs(std::string("error configuration: ") + c.key + " "));
+        proxy.configure(text);
+        CHECK(proxy.wait_for_log(std::string("error configuration: ") + c.key + " "));
     }
     CHECK_FALSE(discovery.ready(0.1));
-    CHECK_FALSE(w.discovery.called(0));
+    CHECK_FALSE(proxy.discovery.connection_pending(0));
     client.send(request("book"));
-    auto server = w.servers[1].accept();
+    auto server = proxy.servers[1].accept();
     server.message();
     server.send(answer("x"));
     CHECK(status(client.message()) == 200);
 }
 
-TEST_CASE("told to stop, it serves on while clients come, answers all and ends") {
-    World w(4);
-    auto idle = w.client(), busy = w.client();
+TEST_CASE("on SIGTERM the proxy serves new clients for a while, answers all calls and exits") {
+    ProxyProcess proxy(4);
+    auto idle = proxy.client(), busy = proxy.client();
     idle.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     CHECK(status(idle.message()) == 200);
-    const auto taken_by = [&](Wire* before = nullptr) {
-        for (const double until = clock_now() + soon; clock_now() < until;) {
+    const auto taken_by = [&](Socket* before = nullptr) {
+        for (const double until = clock_now() + time_limit; clock_now() < until;) {
             if (before && before->ready(0)) return std::move(*before);
-            for (auto& server : w.servers)
-                if (server.called(0.01)) return server.accept();
+            for (auto& server : proxy.servers)
+                if (server.connection_pending(0.01)) return server.accept();
         }
-        return Wire();
+        return Socket();
     };
     busy.send(request("book"));
     auto slow = taken_by();
     slow.message();
-    w.signal(SIGTERM);
+    proxy.signal(SIGTERM);
     wait(0.25);
-    auto late = w.client();
+    auto late = proxy.client();
     late.send(request("book"));
     auto quick = taken_by();
     quick.message();
     quick.send(answer("late"));
     CHECK(status(late.message()) == 200);
     wait(0.3);
-    late.send(request("book"));   // after the last new connection, on one used just before
-    quick = taken_by(&quick);     // there, or at another server
+    late.send(request("book"));   // after the listener was closed, on a recently used connection
+    quick = taken_by(&quick);     // on the same connection or at another server
     quick.message();
     quick.send(answer("later"));
     CHECK(late.message().find("Connection: close\r\n") != std::string::npos);
-    CHECK(late.ends());
-    CHECK(idle.ends());
-    CHECK_FALSE(w.client().open());
+    CHECK(late.is_closed());
+    CHECK(idle.is_closed());
+    CHECK_FALSE(proxy.client().open());
     wait(0.5);
     slow.send(answer("slow"));
     const auto back = busy.message();
     CHECK(status(back) == 200);
     CHECK(back.find("Connection: close\r\n") != back.npos);
     busy.close();
-    CHECK(w.exit_status() == 0);
+    CHECK(proxy.exit_status() == 0);
 }
 
-TEST_CASE("told to stop, it gives up what no server answers before it is killed") {
-    World w;
-    auto client = w.client();
+TEST_CASE("on SIGTERM calls that no server answers are failed before the proxy is killed") {
+    ProxyProcess proxy;
+    auto client = proxy.client();
     client.send(request("book"));
-    auto server = w.servers[0].accept();
+    auto server = proxy.servers[0].accept();
     server.message();
-    w.signal(SIGTERM);
+    proxy.signal(SIGTERM);
     const double told = clock_now();
     CHECK(status(client.message()) == 502);
-    CHECK(w.exit_status() == 0);
-    CHECK(clock_now() - told < 3.7);   // the longest client timeout counts 3 s at most, and 0.7 s more
+    CHECK(proxy.exit_status() == 0);
+    CHECK(clock_now() - told < 3.7);   // 0.7 s after the longest client timeout, which counts as 3 s at most
     CHECK(clock_now() - told > 3);
 }
 
-TEST_CASE("with few descriptors left, the connections that stand idle go first") {
-    World w;
-    auto client = w.client();
+TEST_CASE("with few descriptors left, idle connections are closed first") {
+    ProxyProcess proxy;
+    auto client = proxy.client();
     client.send(request("book"));
-    auto server = w.servers[0].accept();
+    auto server = proxy.servers[0].accept();
     server.message();
-    std::vector<Wire> crowd;
-    for (int i = 0; i < 150; ++i) {   // more than twice what it may hold
-        crowd.push_back(w.client());
-        crowd.back().send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-        CHECK(status(crowd.back().message()) == 200);
+    std::vector<Socket> connections;
+    for (int i = 0; i < 150; ++i) {   // more than twice the descriptor limit
+        connections.push_back(proxy.client());
+        connections.back().send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+        CHECK(status(connections.back().message()) == 200);
     }
-    CHECK(crowd.front().ends());
-    CHECK(w.logs("ended: shed"));
+    CHECK(connections.front().is_closed());
+    CHECK(proxy.wait_for_log("ended: shed"));
     server.send(answer("held on to"));
     CHECK(status(client.message()) == 200);
-    wait(rested);
+    wait(reuse_delay);
     client.send(request("book"));
     server.message();
     server.send(answer("still served"));
     CHECK(status(client.message()) == 200);
 }
 
-TEST_CASE("where many connections stand idle, an answered one is closed at once") {
-    World w;
-    std::vector<Wire> kept;
-    Wire server;
-    for (int i = 0; i < 13; ++i) {   // 64 descriptors: ten may stand idle
-        auto client = w.client();
+TEST_CASE("with many idle connections, an answered one is closed immediately") {
+    ProxyProcess proxy;
+    std::vector<Socket> kept;
+    Socket server;
+    for (int i = 0; i < 13; ++i) {   // with 64 descriptors ten may be idle
+        auto client = proxy.client();
         client.send(request("read"));
-        if (!server.open()) server = w.servers[0].accept();
+        if (!server.open()) server = proxy.servers[0].accept();
         server.message();
         server.send(answer("x"));
         const auto back = client.message();
         CHECK(status(back) == 200);
         CHECK((back.find("Connection: close\r\n") != back.npos) == (i >= 10));
-        CHECK((i < 10 || client.ends()));
+        CHECK((i < 10 || client.is_closed()));
         kept.push_back(std::move(client));
-        wait(rested);
+        wait(reuse_delay);
     }
 }
 
-TEST_CASE("a call that waits to be read keeps its connection, however few descriptors are left") {
-    World w;
-    auto client = w.client();
+TEST_CASE("a connection with an unread call is not closed, however few descriptors are left") {
+    ProxyProcess proxy;
+    auto client = proxy.client();
     client.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     CHECK(status(client.message()) == 200);
     wait(0.6);
-    w.hold();
-    client.send(request("book"));   // on the connection that has stood idle longest
-    std::vector<Wire> crowd;
-    for (int i = 0; i < 100; ++i) crowd.push_back(w.client());
-    w.signal(SIGCONT);
-    auto server = w.servers[0].accept();
+    proxy.stop();
+    client.send(request("book"));   // on the connection that has been idle longest
+    std::vector<Socket> connections;
+    for (int i = 0; i < 100; ++i) connections.push_back(proxy.client());
+    proxy.signal(SIGCONT);
+    auto server = proxy.servers[0].accept();
     server.message();
     server.send(answer("x"));
     CHECK(status(client.message()) == 200);
-    wait(rested);
-    crowd.front().send(request("book"));   // made just now for a call that was on its way
+    wait(reuse_delay);
+    connections.front().send(request("book"));   // a connection opened just now, with its call in flight
     server.message();
     server.send(answer("y"));
-    CHECK(status(crowd.front().message()) == 200);
+    CHECK(status(connections.front().message()) == 200);
 }
 
-TEST_CASE("bad configuration: one line that names the key") {
+TEST_CASE("an invalid configuration fails with one line that names the key") {
     struct Case { const char *key, *from, *to; };
     const auto c = GENERATE(
         Case{"BALANCER_CONFIG", "{\"name\"", "[\"name\""}, Case{"listen", "\"listen\":\"127", "\"listen\":\"x127"},
@@ -577,7 +577,7 @@
         Case{"setting Weights", "\"Balancers\":1", "\"Weights\":\"heavy\",\"Balancers\":1"},
         Case{"ObjectiveMix.BorneMisses", "\"Balancers\":1", "\"ObjectiveMix\":{\"BorneMisses\":1.5},\"Balancers\":1"},
         Case{"ObjectiveMix.Tail", "\"Balancers\":1", "\"ObjectiveMix\":{\"Tail\":-1},\"Balancers\":1"},
-        Case{"Weights is live", "\"Balancers\":1", "\"Weights\":\"live\",\"Balancers\":1"},      // of both shapes
+        Case{"Weights is live", "\"Balancers\":1", "\"Weights\":\"live\",\"Balancers\":1"},   // another kind
         Case{"Feedback.Via is answers", "\"Balancers\":1", "\"Feedback\":{\"Via\":\"answers\"},\"Balancers\":1"},
         Case{"Family is proxy", "\"Balancers\":1", "\"Family\":\"proxy\",\"Balancers\":1"},
         Case{"Limits.MayTell is true", "\"Probing\":true", "\"MayTell\":true,\"Probing\":true"},
@@ -596,36 +596,36 @@
         CHECK(line.find(c.key) != line.npos);
         CHECK(line.find('\n') == line.npos);
     }
-    Misconfigured w(text);
-    CHECK(w.exit_status() == 1);
-    const auto log = w.log();
+    MisconfiguredProxy proxy(text);
+    CHECK(proxy.exit_status() == 1);
+    const auto log = proxy.log();
     CHECK(std::count(log.begin(), log.end(), '\n') == 1);
     CHECK(log.find(c.key) != log.npos);
 }
 
-TEST_CASE("each shape of deployment starts, keeps a watch on the list and serves") {
+TEST_CASE("each kind of deployment starts, watches the server list and serves") {
     struct Case { const char* settings; const char* from; };
     const auto c = GENERATE(
         Case{"\"on_request\",\"Family\":\"mesh\",\"Weights\":\"rough\",\"Unheard\":[1,{\"of\":2}]", "\"on_request\""},
         Case{"\"pushed\",\"Family\":\"proxy\",\"Weights\":\"live\",\"Feedback\":{\"Via\":\"answers\"},"
              "\"ObjectiveMix\":{\"Tail\":0.4,\"BorneMisses\":0.02}", "\"on_request\""});
-    World w(1, 64, c.from, c.settings);
-    auto discovery = w.discovery.accept();
+    ProxyProcess proxy(1, 64, c.from, c.settings);
+    auto discovery = proxy.discovery.accept();
     const double hold = hold_of(discovery.message(), "5");
     CHECK((hold >= 7 && hold <= 10));
-    discovery.close();                                 // what brings the list fails, and is asked again
-    discovery = w.discovery.accept();
+    discovery.close();                                 // the watch fails and is repeated
+    discovery = proxy.discovery.accept();
     CHECK(discovery.message().find("GET /discovery/hosts?from=5") == 0);
-    discovery.send(answer(list(6, false, entry(1, w.servers[0].endpoint))));
-    auto client = w.client();
+    discovery.send(answer(list(6, false, entry(1, proxy.servers[0].endpoint))));
+    auto client = proxy.client();
     client.send(request("read"));
-    auto server = w.servers[0].accept();
+    auto server = proxy.servers[0].accept();
     CHECK_FALSE(server.message().empty());
     server.send(answer("served"));
     CHECK(status(client.message()) == 200);
 }
 
-TEST_CASE("configuration: nested settings are flattened, the environment wins, the rest has defaults") {
+TEST_CASE("configuration: nested settings are flattened, the environment overrides, defaults apply") {
     const auto text = config("127.0.0.1:5000", "127.0.0.1:8500", list(5, true, entry(0, "127.0.0.1:1")));
     const auto c = myrtleroute::run::read_config(text, [](const char* name) -> const char* {
         return std::string(name) == "BALANCER_LISTEN" ? "127.0.0.2:6000" : nullptr;
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -1,36 +1,36 @@
-// What crosses on the way to discovery: watches that fall silent, connections that never come up, lists that break off.
+// Failures between the proxy and discovery: watches that stop responding and connects that never complete.
 #include <set>
 
 #include "loopback.hpp"
 
 using namespace loopback;
 
-TEST_CASE("a watch that has fallen silent is opened anew before what it misses counts as told") {
-    World w(1, 64, "\"AskWithinS\":10", "\"AskWithinS\":1");
-    auto silent = w.discovery.accept();
+TEST_CASE("a watch that stopped responding is replaced before a missed change counts as announced") {
+    ProxyProcess proxy(1, 64, "\"AskWithinS\":10", "\"AskWithinS\":1");
+    auto silent = proxy.discovery.accept();
     const double hold = hold_of(silent.message(), "5");
     CHECK((hold >= 0.7 && hold <= 1));
     const double asked = clock_now();
-    auto next = w.discovery.accept();
+    auto next = proxy.discovery.accept();
     CHECK(hold_of(next.message(), "5") > 0);
-    CHECK(clock_now() - asked < hold + 2);   // as long as that may take, answer and all
-    CHECK(silent.ends());
-    CHECK(w.logs("discovery ended: answer_timed_out"));
+    CHECK(clock_now() - asked < hold + 2);   // within which the replacement must be answered, too
+    CHECK(silent.is_closed());
+    CHECK(proxy.wait_for_log("discovery ended: answer_timed_out"));
 }
 
-TEST_CASE("a connection to discovery that does not come up is given up, whatever the call would wait") {
-    World w;
-    auto watch = w.discovery.accept();
+TEST_CASE("a connect to discovery times out, however long the request would be held") {
+    ProxyProcess proxy;
+    auto watch = proxy.discovery.accept();
     watch.message();
-    const auto crowd = w.discovery.deafen();
+    const auto connections = proxy.discovery.fill_queue();
     watch.send(answer(list(6, false, ""), "200 OK", "Connection: close\r\n"));
-    CHECK(watch.ends());
-    CHECK(w.logs("discovery ended: connect_timed_out"));
+    CHECK(watch.is_closed());
+    CHECK(proxy.wait_for_log("discovery ended: connect_timed_out"));
 }
 
-TEST_CASE("watches that began together do not end together") {
-    World w;
-    auto discovery = w.discovery.accept();
+TEST_CASE("watches that began together end at different times") {
+    ProxyProcess proxy;
+    auto discovery = proxy.discovery.accept();
     std::set<double> holds;
     for (int rev = 5; rev < 13; ++rev) {
         holds.insert(hold_of(discovery.message(), std::to_string(rev)));
--- a/tests/wire_machines_test.cpp
+++ b/tests/wire_machines_test.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-// Feeds all of it in pieces of `step` bytes; what is past the end of the message comes back.
-std::string feed(HttpParser& machine, std::string bytes, size_t step) {
-    while (!bytes.empty() && !machine.done() && !machine.fault()) {
-        const size_t n = machine.feed(std::string_view(bytes).substr(0, step));
+// Feeds the bytes in pieces of `step` bytes; returns those after the end of the message.
+std::string feed(HttpParser& parser, std::string bytes, size_t step) {
+    while (!bytes.empty() && !parser.done() && !parser.fault()) {
+        const size_t n = parser.feed(std::string_view(bytes).substr(0, step));
         bytes.erase(0, n);
         if (n == 0) break;
     }
@@ -34,11 +34,11 @@
 
 const std::string host = "Host: api.internal\r\n", id = "X-Request-ID: 9b1f\r\n",
                   product = "X-Priority-Class: checkout\r\n", fields = host + id + product,
-                  posted = host + id + "X-Priority-Class: track\r\n";   // of a class that is not idempotent
+                  posted = host + id + "X-Priority-Class: track\r\n";   // of a product that is not idempotent
 
 }  // namespace
 
-TEST_CASE("a request is read straight into its API call, in pieces of any size") {
+TEST_CASE("a request is parsed into its API request, fed in pieces of any size") {
     struct Case { std::string text, head, body; int product; double patience; };
     const auto c = GENERATE_COPY(
         Case{"GET /api?a=b%20c HTTP/1.1\r\n" + fields + "X-Timeout: 480m\r\n\r\n",
@@ -54,13 +54,13 @@
              "", 0, 4});
     for (const size_t step : {size_t{1}, size_t{2}, size_t{7}, c.text.size()}) {
         RequestReader reader(settings());
-        HttpParser machine(Side::request, reader);
-        CHECK_FALSE(machine.started());
-        CHECK(feed(machine, c.text.substr(0, c.text.size() - 1), step).empty());
-        CHECK_FALSE(machine.done());   // not before its last byte
-        CHECK(feed(machine, c.text.substr(c.text.size() - 1) + "GET /next", step) == "GET /next");
-        REQUIRE(machine.done());
-        CHECK(machine.fault() == 0);
+        HttpParser parser(Side::request, reader);
+        CHECK_FALSE(parser.started());
+        CHECK(feed(parser, c.text.substr(0, c.text.size() - 1), step).empty());
+        CHECK_FALSE(parser.done());   // not before its last byte
+        CHECK(feed(parser, c.text.substr(c.text.size() - 1) + "GET /next", step) == "GET /next");
+        REQUIRE(parser.done());
+        CHECK(parser.fault() == 0);
         CHECK(reader.request().head == c.head);
         CHECK(reader.request().body == c.body);
         CHECK(reader.request().product == c.product);
@@ -68,7 +68,7 @@
     }
 }
 
-TEST_CASE("figures told beside a call are read, and unsound ones count as not told") {
+TEST_CASE("attributes of a call are parsed, and invalid ones are ignored") {
     struct Case { const char* attributes; double work; uint32_t tenant; uint64_t key = 0; };
     const auto c = GENERATE(Case{"EstimateS=0.25", 0.25, 0}, Case{"Object=1234567890123456789", 0, 0, 1234567890123456789},
                             Case{"Object=-1", 0, 0}, Case{"Object=x9,EstimateS=1", 1, 0},
@@ -77,10 +77,10 @@
                             Case{"EstimateS,=,Billing=70000", 0, 0}, Case{"Other=3,Billing=2", 0, 2}, Case{"EstimateS=1e300", 4, 0});
     const std::string text = "GET /api HTTP/1.1\r\n" + fields + "X-Attrs: " + c.attributes + "\r\n\r\n";
     RequestReader reader(settings());
-    HttpParser machine(Side::request, reader);
-    feed(machine, text, text.size());
-    REQUIRE(machine.done());
-    CHECK(machine.fault() == 0);
+    HttpParser parser(Side::request, reader);
+    feed(parser, text, text.size());
+    REQUIRE(parser.done());
+    CHECK(parser.fault() == 0);
     CHECK(reader.request().work.s == Approx(c.work));
     CHECK(reader.request().tenant == c.tenant);
     CHECK(reader.request().key == c.key);
@@ -117,20 +117,20 @@
         Case{"GET /api HTTP/1.1\r\n" + host + product + "\r\n", 400});
     for (const size_t step : {size_t{1}, c.text.size()}) {
         RequestReader reader(settings());
-        HttpParser machine(Side::request, reader);
-        feed(machine, c.text, step);
-        CHECK(machine.fault() == c.status);
-        CHECK_FALSE(machine.done());
+        HttpParser parser(Side::request, reader);
+        feed(parser, c.text, step);
+        CHECK(parser.fault() == c.status);
+        CHECK_FALSE(parser.done());
     }
-    std::string many = get;   // each line is short, but there is no end of them
+    std::string many = get;   // short lines, but too many
     while (many.size() < 40000) many += "A: b\r\n";
     RequestReader reader(settings());
-    HttpParser machine(Side::request, reader);
-    feed(machine, many, 4096);
-    CHECK(machine.fault() == 431);
+    HttpParser parser(Side::request, reader);
+    feed(parser, many, 4096);
+    CHECK(parser.fault() == 431);
 }
 
-TEST_CASE("what is made of a server's answer") {
+TEST_CASE("outcomes of a server's response") {
     struct Case { std::string text; bool closes; bool done; Outcome outcome; std::string body; bool keeps; };
     const std::string ok = "HTTP/1.1 200 OK\r\n";
     const auto full = "X-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
@@ -141,7 +141,7 @@
              "abc", true},
         Case{"HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n", false, true, Outcome::fulfilled, "", true},
         Case{"HTTP/1.0 200 OK\r\nContent-Length: 3\r\n\r\nabc", false, true, Outcome::fulfilled, "abc", false},
-        Case{"HTTP/1.0 200 OK\r\n\r\nabc", true, true, Outcome::fulfilled, "abc", false},   // it ends with its connection
+        Case{"HTTP/1.0 200 OK\r\n\r\nabc", true, true, Outcome::fulfilled, "abc", false},   // ends with its connection
         Case{ok + "\r\nabc", true, true, Outcome::fulfilled, "abc", false},
         Case{ok + "\r\n", true, true, Outcome::fulfilled, "", false},
         Case{"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\n\r\n", true, true, Outcome::full, "", false},
@@ -165,57 +165,57 @@
         Case{ok + "\r\n" + std::string(65537, 'x'), false, false, {}, {}, {}});
     for (const size_t step : {size_t{1}, c.text.size()}) {
         ResponseReader reader;
-        HttpParser machine(Side::response, reader);
-        feed(machine, c.text, step);
-        if (c.closes) machine.connection_closed();
-        REQUIRE(machine.done() == c.done);
+        HttpParser parser(Side::response, reader);
+        feed(parser, c.text, step);
+        if (c.closes) parser.connection_closed();
+        REQUIRE(parser.done() == c.done);
         if (!c.done) {
-            CHECK(machine.fault() != 0);
+            CHECK(parser.fault() != 0);
             continue;
         }
         CHECK(reader.outcome() == c.outcome);
         CHECK(reader.text == c.body);
-        CHECK(machine.keeps_alive() == c.keeps);
+        CHECK(parser.keeps_alive() == c.keeps);
     }
 }
 
-TEST_CASE("an answer without a length is not whole before its connection has ended") {
+TEST_CASE("a response without a length is incomplete until its connection has ended") {
     ResponseReader reader;
-    HttpParser machine(Side::response, reader);
-    feed(machine, "HTTP/1.1 200 OK\r\n\r\nabc", 1);
-    CHECK_FALSE(machine.done());
-    CHECK(machine.fault() == 0);
-    feed(machine, "d", 1);
-    machine.connection_closed();
-    CHECK(machine.done());
+    HttpParser parser(Side::response, reader);
+    feed(parser, "HTTP/1.1 200 OK\r\n\r\nabc", 1);
+    CHECK_FALSE(parser.done());
+    CHECK(parser.fault() == 0);
+    feed(parser, "d", 1);
+    parser.connection_closed();
+    CHECK(parser.done());
     CHECK(reader.text == "abcd");
 }
 
-TEST_CASE("a machine goes on with the next message of its connection") {
+TEST_CASE("a parser continues with the next message of its connection") {
     RequestReader reader(settings());
-    HttpParser machine(Side::request, reader);
+    HttpParser parser(Side::request, reader);
     std::string bytes = "POST /1 HTTP/1.1\r\n" + posted + "Content-Length: 2\r\n\r\nabGET /2 HTTP/1.1\r\n" + fields +
                         "Connection: close\r\n\r\n";
-    bytes = feed(machine, bytes, bytes.size());
-    CHECK((machine.keeps_alive() && reader.request().body == "ab"));
-    machine.reset();
+    bytes = feed(parser, bytes, bytes.size());
+    CHECK((parser.keeps_alive() && reader.request().body == "ab"));
+    parser.reset();
     reader.reset();
-    CHECK(feed(machine, bytes, 3).empty());
-    CHECK((machine.done() && !machine.keeps_alive() && reader.request().body.empty()));
+    CHECK(feed(parser, bytes, 3).empty());
+    CHECK((parser.done() && !parser.keeps_alive() && reader.request().body.empty()));
     CHECK(reader.request().head.substr(0, 6) == "GET /2");
 }
 
-TEST_CASE("JSON, in pieces of any size") {
+TEST_CASE("JSON is parsed in pieces of any size") {
     struct Trace : JsonHandler {
-        std::string said;
-        void on_open(bool list) override { said += list ? "[" : "{"; }
-        void on_close(bool list) override { said += list ? "]" : "}"; }
-        void on_key(std::string_view name) override { said.append(name).append(":"); }
+        std::string events;
+        void on_open(bool list) override { events += list ? "[" : "{"; }
+        void on_close(bool list) override { events += list ? "]" : "}"; }
+        void on_key(std::string_view name) override { events.append(name).append(":"); }
         void on_value(Kind kind, std::string_view text) override {
-            said.append(1, "tnbz"[static_cast<int>(kind)]).append("(").append(text).append(")");
+            events.append(1, "tnbz"[static_cast<int>(kind)]).append("(").append(text).append(")");
         }
     };
-    struct Case { std::string text, said; };   // said: empty where it is no JSON
+    struct Case { std::string text, events; };   // events: empty if `text` is not valid JSON
     const auto c = GENERATE(
         Case{" {\"a\" : [1, -2.5e+3,\"x\"], \"b\":{}, \"c\":[] }\n", "{a:[n(1)n(-2.5e+3)t(x)]b:{}c:[]}"},
         Case{"[true,false,null]", "[b(true)b(false)z(null)]"}, Case{"7", "n(7)"},
@@ -227,34 +227,34 @@
         Case{"\"a\nb\"", ""}, Case{"{1:2}", ""}, Case{std::string(40, '['), ""}, Case{std::string(40, '1'), ""});
     for (const size_t step : {size_t{1}, size_t{3}, c.text.size() + 1}) {
         Trace trace;
-        JsonParser machine(trace);
+        JsonParser parser(trace);
         bool sound = true;
         for (size_t at = 0; at < c.text.size() && sound; at += step)
-            sound = machine.feed(std::string_view(c.text).substr(at, step));
-        CHECK((sound && machine.finish()) == !c.said.empty());
-        if (!c.said.empty()) CHECK(trace.said == c.said);
+            sound = parser.feed(std::string_view(c.text).substr(at, step));
+        CHECK((sound && parser.finish()) == !c.events.empty());
+        if (!c.events.empty()) CHECK(trace.events == c.events);
     }
 }
 
-TEST_CASE("a list is told whole or not at all") {
-    struct Told : ServerListSink {
-        std::ostringstream said;
-        void list_began(bool whole) override { said << (whole ? "whole" : "changes"); }
+TEST_CASE("a server list is delivered completely or not at all") {
+    struct RecordingSink : ServerListSink {
+        std::ostringstream events;
+        void list_began(bool whole) override { events << (whole ? "whole" : "changes"); }
         void server(std::string_view uid, std::string_view endpoint, std::string_view zone, uint16_t cell,
                     std::string_view state, double size, double boot_ms) override {
-            said << ' ' << uid << ',' << endpoint << ',' << zone << ',' << cell << ',' << state << ',' << size << ','
+            events << ' ' << uid << ',' << endpoint << ',' << zone << ',' << cell << ',' << state << ',' << size << ','
                  << boot_ms;
         }
-        void list_ended() override { said << " end"; }
+        void list_ended() override { events << " end"; }
     };
     const std::string one = R"({"uid":"s-1","endpoint":"10.0.0.1:80","az":"a","model":"m","pod_group":3,)"
                             R"("state":"SERVING","capacity_hint":1.5,"boot_ms":25})";
-    const std::string told = " s-1,10.0.0.1:80,a,3,SERVING,1.5,25";
-    struct Case { std::string text, said, fault; };
+    const std::string entry = " s-1,10.0.0.1:80,a,3,SERVING,1.5,25";
+    struct Case { std::string text, events, fault; };
     const auto list = [](const std::string& entries) { return R"({"rev":7,"all":true,"targets":[)" + entries + "]}"; };
     const auto c = GENERATE_COPY(
-        Case{list(one), "whole" + told + " end", ""}, Case{list(""), "whole end", ""},
-        Case{R"({"targets":[)" + one + R"(],"all":false,"new":{"x":[{}]},"rev":7})", "changes" + told + " end", ""},
+        Case{list(one), "whole" + entry + " end", ""}, Case{list(""), "whole end", ""},
+        Case{R"({"targets":[)" + one + R"(],"all":false,"new":{"x":[{}]},"rev":7})", "changes" + entry + " end", ""},
         Case{list(R"({"uid":"b","state":"DELETED"})"), "whole b,,,0,DELETED,1,0 end", ""},
         Case{list(R"({"uid":"b","state":"DRAINING","endpoint":"1.2.3.4:5","more":[1,{"uid":2}],"az":null})"),
              "whole b,1.2.3.4:5,,0,DRAINING,1,0 end", ""},
@@ -272,26 +272,26 @@
         Case{R"({"rev":-7,"all":true,"targets":[]})", "", "rev"}, Case{R"({"all":true,"targets":[]})", "", "rev"},
         Case{R"({"rev":7,"all":1,"targets":[]})", "", "all"}, Case{R"({"rev":7,"targets":[]})", "", "all"},
         Case{"[]", "", "targets"}, Case{"", "", "rev"}, Case{"<html>", "", "rev"});
-    Told sink;
+    RecordingSink sink;
     uint64_t rev = 1;
-    CHECK(deliver_list(c.text, sink, rev) == !c.said.empty());
-    CHECK(sink.said.str() == c.said);
-    CHECK(rev == (c.said.empty() ? 1 : 7));
+    CHECK(deliver_list(c.text, sink, rev) == !c.events.empty());
+    CHECK(sink.events.str() == c.events);
+    CHECK(rev == (c.events.empty() ? 1 : 7));
     if (c.fault.empty()) return;
     ServerListReader check;
-    JsonParser machine(check);
-    machine.feed(c.text);
+    JsonParser parser(check);
+    parser.feed(c.text);
     CHECK(check.fault() == c.fault);
 }
 
-TEST_CASE("a load report is read whole or not at all") {
-    struct Case { std::string text, said; bool sound; };
+TEST_CASE("a load report is passed on completely or not at all") {
+    struct Case { std::string text, events; bool sound; };
     const auto c = GENERATE(Case{"TEXT inflight=7, queue=2, util=0.61", "inflight:7 queue:2 util:0.61 ", true},
                             Case{"TEXT queue = 2", "queue:2 ", true}, Case{"TEXT ", "", true},
                             Case{"inflight=7", "", false}, Case{"TEXT inflight=7, queue", "", false},
                             Case{"TEXT inflight=7, queue=x", "", false}, Case{"TEXT inflight=-7", "", false},
                             Case{"TEXT =7", "", false}, Case{"TEXT inflight=inf", "", false}, Case{"", "", false});
-    std::ostringstream said;
-    CHECK(read_load(c.text, [&](auto name, double value) { said << name << ':' << value << ' '; }) == c.sound);
-    CHECK(said.str() == c.said);
+    std::ostringstream events;
+    CHECK(read_load(c.text, [&](auto name, double value) { events << name << ':' << value << ' '; }) == c.sound);
+    CHECK(events.str() == c.events);
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -26,21 +26,21 @@
 std::string attach(const std::string& settings = pairs()) {
     return record(1050, fields(uint64_t{1}, uint32_t(settings.size())) + settings);
 }
-std::string sheet(uint8_t number = 0) {
+std::string stored_list(uint8_t number = 0) {
     std::string hosts;
     for (char i = 1; i <= 4; ++i)
         hosts += std::string("\x0a\x01\x01", 3) + i +
                  fields(uint16_t{80}, uint16_t{0}, uint16_t{0}, uint16_t{0}, uint8_t{1}, 1.0f, 0.0);
     return record(1020, fields(number, uint32_t{4}) + hosts);
 }
-std::string roster(uint8_t kind = 2, uint8_t number = 0) {
+std::string list_update(uint8_t kind = 2, uint8_t number = 0) {
     return record(1010, fields(kind, uint64_t{1}, number));
 }
 std::string accept(uint8_t product = 0) {
     return record(1080, fields(uint64_t{77}, uint64_t{0}, uint8_t{0}, product, uint16_t{0}, 2.0, 0.0));
 }
-std::string response(uint16_t verdict) {
-    return record(1090, fields(uint64_t{77}, verdict, uint8_t{1}, uint16_t{0}) + std::string(6, '\1') +
+std::string response(uint16_t code) {
+    return record(1090, fields(uint64_t{77}, code, uint8_t{1}, uint16_t{0}) + std::string(6, '\1') +
                             fields(0.1, uint8_t{0}));
 }
 std::string run(const std::string& input) {
@@ -49,11 +49,11 @@
     serve(in, out);
     return out.str();
 }
-const std::string start = select() + sheet() + attach() + roster();
+const std::string start = select() + stored_list() + attach() + list_update();
 
 }  // namespace
 
-TEST_CASE("legal input is answered, a frame for a frame") {
+TEST_CASE("each valid input frame is answered with one frame") {
     struct Case { const char* name; std::string input; size_t frames; bool sends; };
     const auto c = GENERATE(values<Case>({
         {"nothing", "", 0, false},
@@ -65,8 +65,8 @@
         {"an unwanted timer", frame(start + record(1040, fields(uint64_t{5}))), 1, false},
         {"a client of no known call", frame(start + record(1100, fields(uint64_t{5}))), 1, false},
         {"longer settings",
-         frame(select() + sheet() + attach(pairs("Some.Later.Key=7")) + roster() + accept()), 1, true},
-        {"a restart", frame(start + record(1000, "") + select() + attach() + roster() + accept()), 1, true},
+         frame(select() + stored_list() + attach(pairs("Some.Later.Key=7")) + list_update() + accept()), 1, true},
+        {"a restart", frame(start + record(1000, "") + select() + attach() + list_update() + accept()), 1, true},
     }));
     INFO(c.name);
     const auto out = run(c.input);
@@ -82,8 +82,8 @@
     CHECK((out.find(fields(uint16_t{1110}, uint32_t{22}, uint64_t{77})) != out.npos) == c.sends);
 }
 
-TEST_CASE("bad input ends with one plain line") {
-    struct Case { const char* says; std::string input; };
+TEST_CASE("malformed input fails with a one-line error") {
+    struct Case { const char* message; std::string input; };
     const auto c = GENERATE(values<Case>({
         {"cut off", frame("").substr(0, 5)},
         {"cut off", frame(start).substr(0, 40)},
@@ -98,9 +98,9 @@
         {"unknown instance", frame(accept())},
         {"unknown instance", frame(start + record(1000, "") + accept())},
         {"before any instance", frame(attach())},
-        {"unknown list number", frame(select() + attach() + roster())},
-        {"unknown list number", frame(sheet(16))},
-        {"unknown kind of list", frame(start + roster(4))},
+        {"unknown list number", frame(select() + attach() + list_update())},
+        {"unknown list number", frame(stored_list(16))},
+        {"unknown kind of list", frame(start + list_update(4))},
         {"unknown outcome", frame(start + response(99))},
         {"unknown product", frame(start + accept(3))},
         {"Products.count is missing", frame(select() + attach(""))},
@@ -109,6 +109,6 @@
         {"Products.0.LatencySloS must be above 0",
          frame(select() + attach(pairs("Products.0.LatencySloS=0")))},
     }));
-    INFO(c.says);
-    CHECK_THROWS_WITH(run(c.input), Catch::Contains(c.says) && !Catch::Contains("\n"));
+    INFO(c.message);
+    CHECK_THROWS_WITH(run(c.input), Catch::Contains(c.message) && !Catch::Contains("\n"));
 }
