--- a/src/lab/virtual_system.hpp
+++ b/src/lab/virtual_system.hpp
@@ -1,4 +1,4 @@
-// A proxy's home in the lab: descriptors over the virtual network, the virtual clock, signals and files as the
+// The System of a proxy in the lab: descriptors over the virtual network, the virtual clock, signals and files as the
 // world gives them. It never blocks: a wait with nothing to tell notes until when the proxy would sleep, and
 // the world takes its next round then, or when something is heard.
 #pragma once
--- a/src/rig/rig_system.hpp
+++ b/src/rig/rig_system.hpp
@@ -1,4 +1,4 @@
-// The home of the rig's own processes: that of the program, with what a rig needs besides: many descriptors (epoll
+// The System of the rig's own processes: PosixSystem, with what a rig needs besides: many descriptors (epoll
 // behind the same call), listening at every loopback address, links that are unheard or reset, datagrams.
 //
 // What fails comes back below 0 with errno set, as in run/system.hpp.
--- a/tests/attempt_test.cpp
+++ b/tests/attempt_test.cpp
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-TEST_CASE("a connection that is established delayed sends the time left at that moment") {
+TEST_CASE("a connection that is established late sends the time left at that moment") {
     ProxyProcess proxy(1, 64, "\"ConnectTimeoutS\":0.25", long_connect_timeout);
     DelayedServer delayed(proxy.servers[0]);
     auto client = proxy.client();
