--- a/src/lab/application.cpp
+++ b/src/lab/application.cpp
@@ -64,7 +64,7 @@
 
 void Application::next_call() {
     if (stopped_) return;
-    call_on(idle_.empty() ? 0 : chance_.yes(0.2) ? idle_.front() : idle_.back());
+    call_on(idle_.empty() ? 0 : chance_.bernoulli(0.2) ? idle_.front() : idle_.back());
     site_.queue.in({arrivals_.exponential(1 / (site_.scenario.calls_a_second * burst_))}, [this] { next_call(); });
 }
 
@@ -75,7 +75,7 @@
 }
 
 void Application::make(uint64_t number, uint64_t idle) {
-    Chance draw(site_.scenario.seed, number);
+    RandomStream draw(site_.scenario.seed, number);
     int product = 0;
     for (double at = draw.uniform(); (at -= products[product].share) >= 0 && product + 1 < std::ssize(products);) ++product;
     const auto& kind = products[product];
@@ -99,21 +99,21 @@
            " HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: " + std::to_string(number) + "\r\nX-Priority-Class: " +
            kind.name + "\r\nX-Timeout: " + std::to_string(static_cast<long long>(kind.timeout * 1e6)) + "u\r\n";
     if (!get) {
-        const double size = draw.yes(0.03) ? draw.between(10'000, 60'000) : draw.between(0, 400);
+        const double size = draw.bernoulli(0.03) ? draw.between(10'000, 60'000) : draw.between(0, 400);
         const std::string body(static_cast<size_t>(size), 'b');
         text += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     } else {
         text += "\r\n";
     }
-    if (on(FaultKind::halves) && draw.yes(how(FaultKind::halves) * 0.3)) {
+    if (on(FaultKind::halves) && draw.bernoulli(how(FaultKind::halves) * 0.3)) {
         conn->half = true;
         text.resize(text.size() / 2 + 1);
-        if (draw.yes(0.5))
+        if (draw.bernoulli(0.5))
             site_.queue.in({draw.between(0, 0.5)}, [this, s = conn->socket->number] { leave(s); });
     }
     const auto socket = conn->socket->number;
-    if (on(FaultKind::leavers) && draw.yes(how(FaultKind::leavers) * 0.5)) {
-        if (draw.yes(0.5)) leaves_as_answered_[number] = socket;
+    if (on(FaultKind::leavers) && draw.bernoulli(how(FaultKind::leavers) * 0.5)) {
+        if (draw.bernoulli(0.5)) leaves_as_answered_[number] = socket;
         else site_.queue.in({draw.between(0, kind.timeout * 0.5)}, [this, socket, number] {
             const auto it = conns_.find(socket);
             if (it != conns_.end() && it->second->busy && it->second->call == number) leave(socket);
@@ -176,7 +176,7 @@
     idle_.push_back(socket);
     if (stopped_) return leave(socket);
     // Some call again just as the proxy closes what has stood idle.
-    if (chance_.yes(0.03))
+    if (chance_.bernoulli(0.03))
         site_.queue.in({idle_at_proxy.s + chance_.between(-0.0008, 0.0004)}, [this, socket] {
             if (std::find(idle_.begin(), idle_.end(), socket) != idle_.end()) call_on(socket);
         });
--- a/src/lab/application.hpp
+++ b/src/lab/application.hpp
@@ -37,7 +37,7 @@
     Site& site_;
     int proxy_;
     Machine machine_;
-    Chance chance_, arrivals_;
+    RandomStream chance_, arrivals_;
     uint64_t made_ = 0;
     double burst_ = 1;
     bool stopped_ = false;
--- a/src/lab/control/callers.cpp
+++ b/src/lab/control/callers.cpp
@@ -37,7 +37,7 @@
 
 // Operators.
 
-Operator::Operator(Queue& queue, Chance chance, const Platform& platform, Checker& checker,
+Operator::Operator(Queue& queue, RandomStream chance, const Platform& platform, Checker& checker,
                    std::vector<Operation>& history)
     : queue_(queue), chance_(chance), platform_(platform), checker_(checker), history_(history) {}
 
@@ -57,17 +57,17 @@
     tries_ = 0;
     valid_ = true;
     order_ = {};
-    if (chance_.yes(reading_share)) {
+    if (chance_.bernoulli(reading_share)) {
         order_.reads = true;
         body_.clear();
         return;
     }
     order_.base = base_;
     order_.version = base_ + 1 + static_cast<uint64_t>(chance_.below(2));   // often the other operator's number too
-    order_.patches = base_ > 0 && chance_.yes(patch_share);
+    order_.patches = base_ > 0 && chance_.bernoulli(patch_share);
     body_ = order_.patches ? draw_patch()
                            : document(order_.version, chance_.number() % 100000, platform_.tenants(order_.version));
-    valid_ = !chance_.yes(invalid_share);
+    valid_ = !chance_.bernoulli(invalid_share);
     if (!valid_) body_.resize(body_.size() / 2);
     order_.body = checker_.number_of_order(body_, order_.patches);
 }
@@ -83,13 +83,13 @@
     auto tenant = tenants[static_cast<size_t>(chance_.below(static_cast<int>(tenants.size())))];
     tenant["note"] = chance_.number();   // so that no two patches make the same of a document
     patch["upsert"]["tenants"] = {std::move(tenant)};
-    if (chance_.yes(0.7))
+    if (chance_.bernoulli(0.7))
         patch["upsert"]["routes"] = {{{"name", route_name()},
                                       {"hostname", "h"},
                                       {"pathPrefix", "/p" + std::to_string(chance_.number() % 100000) + "/"},
                                       {"timeoutMs", 1000},
                                       {"service", "s"}}};
-    if (chance_.yes(0.2)) patch["delete"]["routes"] = {route_name()};
+    if (chance_.bernoulli(0.2)) patch["delete"]["routes"] = {route_name()};
     return patch.dump();
 }
 
@@ -121,7 +121,7 @@
     if (!order_.reads) request.if_match = std::to_string(order_.base);
     request.body = body_;
     platform_.ask(*machine, request, [this, number, at, redirects](const std::optional<HttpResponse>& answer) {
-        if (answer && platform_.loses_answers() && chance_.yes(0.7)) return;   // a time-out follows
+        if (answer && platform_.loses_answers() && chance_.bernoulli(0.7)) return;   // a time-out follows
         if (number == call_) ended(at, answer, redirects);
     });
     queue_.in(answer_within, [this, number, at, redirects] {
@@ -168,7 +168,7 @@
 
 // Hosts.
 
-Announcer::Announcer(Queue& queue, Chance chance, const Platform& platform, Checker& checker, size_t number)
+Announcer::Announcer(Queue& queue, RandomStream chance, const Platform& platform, Checker& checker, size_t number)
     : queue_(queue), chance_(chance), platform_(platform), checker_(checker), number_(number) {}
 
 void Announcer::begin() { incarnate(); }
@@ -275,7 +275,7 @@
     subscriber_->add_seeds(seeds);
     configuration_lease_ = leases::ConfigurationLease(revocation_bound_);
     leases_ = std::make_unique<leases::Holder>(leases::HolderId{name, seed}, leases::LeaseTerms{}, queue_.now());
-    hosts_chance_ = Chance(seed, process_);
+    hosts_chance_ = RandomStream(seed, process_);
     rollouts_ = rollout::Watcher({name, "zone-" + std::to_string(process_ % zones), seed}, seed);
     network_.started(process_);
     tick(life_);
@@ -292,7 +292,7 @@
         end.route = "r";
         end.host = "host-" + std::to_string(hosts_chance_.below(at_candidate ? 3 : 2));
         end.group = at_candidate ? rollout::Group::candidate : rollout::Group::serving;
-        end.failed = hosts_chance_.yes(failing);
+        end.failed = hosts_chance_.bernoulli(failing);
         end.duration = Span{0.1};
         rollouts_.record("s", end);
     }
--- a/src/lab/control/callers.hpp
+++ b/src/lab/control/callers.hpp
@@ -35,7 +35,8 @@
 
 class Operator {
 public:
-    Operator(Queue& queue, Chance chance, const Platform& platform, Checker& checker, std::vector<Operation>& history);
+    Operator(Queue& queue, RandomStream chance, const Platform& platform, Checker& checker,
+             std::vector<Operation>& history);
     void begin() { think(); }
     void stop() { stopped_ = true; }
     bool is_idle() const { return !busy_; }
@@ -53,7 +54,7 @@
     Machine* choose();
 
     Queue& queue_;
-    Chance chance_;
+    RandomStream chance_;
     const Platform& platform_;
     Checker& checker_;
     std::vector<Operation>& history_;
@@ -68,7 +69,7 @@
 // One machine on which a host runs: one incarnation after the other.
 class Announcer {
 public:
-    Announcer(Queue& queue, Chance chance, const Platform& platform, Checker& checker, size_t number);
+    Announcer(Queue& queue, RandomStream chance, const Platform& platform, Checker& checker, size_t number);
     void begin();
 
 private:
@@ -80,7 +81,7 @@
     std::string body() const;
 
     Queue& queue_;
-    Chance chance_;
+    RandomStream chance_;
     const Platform& platform_;
     Checker& checker_;
     size_t number_;
@@ -146,7 +147,7 @@
     uint64_t next_ticket_ = 1;
     std::shared_ptr<const Tenants> tenants_;   // of the configuration that it was told; null before
     rollout::Watcher rollouts_{{}, 0};
-    Chance hosts_chance_{0, 0};   // what becomes of requests at hosts
+    RandomStream hosts_chance_{0, 0};   // what becomes of requests at hosts
     Time frozen_until_ = long_ago, back_at_ = long_ago;
     std::deque<std::function<void()>> held_back_;
 };
--- a/src/lab/control/disk.cpp
+++ b/src/lab/control/disk.cpp
@@ -52,15 +52,15 @@
     for (const auto& operation : std::exchange(asked_, {})) apply(operation);
 }
 
-void VirtualDisk::interrupt(Chance& chance) {
+void VirtualDisk::interrupt(RandomStream& chance) {
     auto asked = std::exchange(asked_, {});
     const auto happened = static_cast<size_t>(chance.below(static_cast<int>(asked.size()) + 1));
     for (size_t i = 0; i < happened; ++i) apply(asked[i]);
 }
 
-void VirtualDisk::lose_power(Chance& chance) {
+void VirtualDisk::lose_power(RandomStream& chance) {
     interrupt(chance);
-    const bool all_lost = chance.yes(0.3);
+    const bool all_lost = chance.bernoulli(0.3);
     for (auto& content : contents_) {
         for (const auto& write : std::exchange(content.unsynced, {})) {
             const int fate = all_lost ? 0 : chance.below(3);
@@ -79,7 +79,7 @@
     asked_.clear();
 }
 
-void VirtualDisk::rot(Chance& chance) {
+void VirtualDisk::rot(RandomStream& chance) {
     auto& content = contents_[chance.below(static_cast<int>(files))];
     if (content.safe.empty()) return;
     const auto begin = static_cast<size_t>(chance.number() % content.safe.size());
--- a/src/lab/control/disk.hpp
+++ b/src/lab/control/disk.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "storage/record_ring.hpp"
 
 namespace myrtleroute::lab::control {
@@ -20,11 +20,11 @@
     bool refuses = false;   // every write and sync
 
     // What a ring has asked for since the last call of one of these.
-    void complete();                  // has happened
-    void interrupt(Chance& chance);   // has happened up to some point: the process has ended
-    void lose_power(Chance& chance);
+    void complete();                        // has happened
+    void interrupt(RandomStream& chance);   // has happened up to some point: the process has ended
+    void lose_power(RandomStream& chance);
     void wipe();
-    void rot(Chance& chance);   // bits of what is safe change
+    void rot(RandomStream& chance);   // bits of what is safe change
 
     // What would be found if power were lost now and nothing came through that is not safe.
     storage::Recovered safe() const;
--- a/src/lab/control/machine.hpp
+++ b/src/lab/control/machine.hpp
@@ -83,7 +83,7 @@
     Network& network_;
     ProcessId process_;
     configuration::NodeSettings settings_;
-    Chance chance_;
+    RandomStream chance_;
     Surroundings surroundings_;
     VirtualDisk disk_;
     std::unique_ptr<myrtleroute::control::Node> node_;
--- a/src/lab/control/network.hpp
+++ b/src/lab/control/network.hpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "lab/queue.hpp"
 #include "messages/messages.hpp"
 
@@ -23,7 +23,8 @@
         std::function<void(ProcessId, ConnectionId, const messages::Message&)> came;
         std::function<void(ProcessId, ConnectionId)> closed;   // also: did not come up
     };
-    Network(Queue& queue, Chance chance, Events events) : queue_(queue), chance_(chance), events_(std::move(events)) {}
+    Network(Queue& queue, RandomStream chance, Events events)
+        : queue_(queue), chance_(chance), events_(std::move(events)) {}
 
     void started(ProcessId process);                // it can be connected to from now on
     void ended(ProcessId process, bool silently);   // silently: without power nobody is told
@@ -36,7 +37,7 @@
     ConnectionId dial(ProcessId from, ProcessId to);
     void send(ConnectionId connection, ProcessId by, messages::Message message);
     void close(ConnectionId connection, ProcessId by);
-    Span latency() { return {0.0005 + chance_.exponential(0.0008) + (chance_.yes(0.01) ? 0.03 : 0)}; }
+    Span latency() { return {0.0005 + chance_.exponential(0.0008) + (chance_.bernoulli(0.01) ? 0.03 : 0)}; }
 
 private:
     struct End {
@@ -61,7 +62,7 @@
     int end_of(const Connection& connection, ProcessId process) const;
 
     Queue& queue_;
-    Chance chance_;
+    RandomStream chance_;
     Events events_;
     std::map<ProcessId, Process> processes_;
     std::map<std::pair<ProcessId, ProcessId>, Time> cuts_;
--- a/src/lab/control/plan.cpp
+++ b/src/lab/control/plan.cpp
@@ -4,7 +4,7 @@
 #include <iomanip>
 #include <sstream>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 
 namespace myrtleroute::lab::control {
 namespace {
@@ -19,7 +19,7 @@
     "closing"};
 static_assert(std::size(names) == static_cast<size_t>(FaultKind::kinds));
 
-double draw_span(FaultKind kind, Chance& chance) {
+double draw_span(FaultKind kind, RandomStream& chance) {
     switch (kind) {
         case FaultKind::freeze:
         case FaultKind::cut:
@@ -29,7 +29,8 @@
         case FaultKind::cut_outward:
         case FaultKind::proxy_freeze:
         case FaultKind::proxy_cut_inward:
-        case FaultKind::proxy_cut_outward: return chance.yes(0.3) ? chance.between(8, 21) : chance.between(0.3, 6);
+        case FaultKind::proxy_cut_outward:
+            return chance.bernoulli(0.3) ? chance.between(8, 21) : chance.between(0.3, 6);
         case FaultKind::disk_hang:
         case FaultKind::disk_full:
         case FaultKind::disk_slow:
@@ -40,19 +41,19 @@
     }
 }
 
-Fault draw_fault(double length, Chance& chance) {
+Fault draw_fault(double length, RandomStream& chance) {
     Fault fault;
     fault.kind = static_cast<FaultKind>(chance.below(static_cast<int>(FaultKind::closing)));
     fault.target = static_cast<Target>(chance.below(3));
     fault.at = chance.between(4, length);
     fault.span = draw_span(fault.kind, chance);
     fault.lot = static_cast<uint32_t>(chance.number());
-    fault.after_acknowledgement = chance.yes(0.35);
+    fault.after_acknowledgement = chance.bernoulli(0.35);
     return fault;
 }
 
 std::vector<Surge> draw_surges(uint64_t seed, double length) {
-    Chance chance(seed, surge_stream);
+    RandomStream chance(seed, surge_stream);
     std::vector<Surge> surges(2 + static_cast<size_t>(chance.below(3)));
     for (auto& surge : surges) {
         surge.tenant = static_cast<size_t>(chance.below(static_cast<int>(tenant_count)));
@@ -65,12 +66,12 @@
 
 std::optional<Closing> draw_closing(uint64_t seed) {
     constexpr double closes = 0.5, just_after = 0.6;
-    Chance chance(seed, closing_stream);
-    if (!chance.yes(closes)) return {};
+    RandomStream chance(seed, closing_stream);
+    if (!chance.bernoulli(closes)) return {};
     Closing closing;
-    closing.oldest_disks = chance.yes(0.4);
-    closing.acknowledger = chance.yes(0.5);
-    closing.delay = chance.yes(just_after) ? chance.between(0, 0.005) : chance.between(0.005, 0.4);
+    closing.oldest_disks = chance.bernoulli(0.4);
+    closing.acknowledger = chance.bernoulli(0.5);
+    closing.delay = chance.bernoulli(just_after) ? chance.between(0, 0.005) : chance.between(0.005, 0.4);
     closing.down = chance.between(0.1, 2);
     closing.lot = static_cast<uint32_t>(chance.number());
     return closing;
@@ -88,13 +89,13 @@
 bool strikes_proxies(FaultKind kind) { return kind >= FaultKind::proxy_restart && kind <= FaultKind::proxy_herd; }
 
 Plan draw_plan(uint64_t seed) {
-    Chance chance(seed, plan_stream);
+    RandomStream chance(seed, plan_stream);
     Plan plan;
     plan.seed = seed;
     const int shape = chance.below(8);   // three or four machines, five now and then
     plan.joiners = shape == 7 ? 2 : static_cast<size_t>(shape % 2);
     plan.tolerated = shape == 7 ? 2 : 1;
-    plan.orderly = chance.yes(0.7);
+    plan.orderly = chance.bernoulli(0.7);
     const int count = 2 + chance.below(9);
     for (int i = 0; i < count; ++i) {
         const auto fault = draw_fault(plan.length, chance);
--- a/src/lab/control/rollout_caller.cpp
+++ b/src/lab/control/rollout_caller.cpp
@@ -17,7 +17,7 @@
 void RolloutOperator::think() {
     queue_.in({chance_.exponential(1)}, [this] {
         if (stopped_) return;
-        if (!busy_) begin_call(in_progress_ || chance_.yes(reading_share));
+        if (!busy_) begin_call(in_progress_ || chance_.bernoulli(reading_share));
         think();
     });
 }
@@ -32,7 +32,7 @@
     reads_ = reads;
     tries_ = 0;
     if (!reads) {
-        target_version_ = (chance_.yes(bad_share) ? "bad-" : "good-") + std::to_string(++orders_);
+        target_version_ = (chance_.bernoulli(bad_share) ? "bad-" : "good-") + std::to_string(++orders_);
         checker_.rollouts().sent(target_version_);
     }
     call(choose(), 0);
@@ -52,7 +52,7 @@
     if (!reads_)
         request.body = nlohmann::json{{"service", "s"}, {"targetVersion", target_version_}, {"durationS", 6}}.dump();
     platform_.ask(*machine, request, [this, number, redirects](const std::optional<HttpResponse>& answer) {
-        if (answer && platform_.loses_answers() && chance_.yes(0.7)) return;   // a time-out follows
+        if (answer && platform_.loses_answers() && chance_.bernoulli(0.7)) return;   // a time-out follows
         if (number == call_) ended(answer, redirects);
     });
     queue_.in(answer_within, [this, number, redirects] {
--- a/src/lab/control/rollout_caller.hpp
+++ b/src/lab/control/rollout_caller.hpp
@@ -10,7 +10,7 @@
 
 class RolloutOperator {
 public:
-    RolloutOperator(Queue& queue, Chance chance, const Platform& platform, Checker& checker)
+    RolloutOperator(Queue& queue, RandomStream chance, const Platform& platform, Checker& checker)
         : queue_(queue), chance_(chance), platform_(platform), checker_(checker) {}
     void begin() { think(); }
     void stop() { stopped_ = true; }   // after the call that is under way
@@ -27,7 +27,7 @@
     Machine* choose();
 
     Queue& queue_;
-    Chance chance_;
+    RandomStream chance_;
     const Platform& platform_;
     Checker& checker_;
     bool stopped_ = false, busy_ = false, reads_ = false, has_read_ = false;
--- a/src/lab/control/tenants.cpp
+++ b/src/lab/control/tenants.cpp
@@ -22,14 +22,14 @@
 constexpr double mean_cost = 7000, least_cost = 50, most_cost = 50000;
 constexpr double cost_spread = 1;   // standard deviation of the logarithm
 
-double draw_cost(Chance& chance) {
+double draw_cost(RandomStream& chance) {
     const double normal =
         std::sqrt(-2 * std::log(1 - chance.uniform())) * std::cos(2 * std::numbers::pi * chance.uniform());
     const double logarithm = std::log(mean_cost) - cost_spread * cost_spread / 2 + cost_spread * normal;
     return std::clamp(std::exp(logarithm), least_cost, most_cost);
 }
 
-std::vector<double> draw_preference(Chance& chance, size_t proxies) {
+std::vector<double> draw_preference(RandomStream& chance, size_t proxies) {
     std::vector<double> cumulative;
     double sum = 0;
     for (size_t i = 0; i < proxies; ++i) {
@@ -40,14 +40,14 @@
     return cumulative;
 }
 
-Span draw_client_latency(Chance& chance) {
+Span draw_client_latency(RandomStream& chance) {
     constexpr double slow_share = 0.02;
-    return Span{0.002 + chance.exponential(0.01) + (chance.yes(slow_share) ? 0.2 : 0)};
+    return Span{0.002 + chance.exponential(0.01) + (chance.bernoulli(slow_share) ? 0.2 : 0)};
 }
 
-Span draw_host_latency(Chance& chance) {
+Span draw_host_latency(RandomStream& chance) {
     constexpr double queued_share = 0.1;   // waits at the proxy for a host that is free
-    return Span{0.002 + chance.exponential(0.005) + (chance.yes(queued_share) ? chance.between(0.05, 0.5) : 0)};
+    return Span{0.002 + chance.exponential(0.005) + (chance.bernoulli(queued_share) ? chance.between(0.05, 0.5) : 0)};
 }
 
 }   // namespace
@@ -57,14 +57,14 @@
 std::string tenants_text(uint64_t seed, uint64_t version, TenantChanges changes) {
     auto tenants = nlohmann::json::array();
     for (size_t i = 0; i < tenant_count; ++i) {
-        Chance usual(seed, limits_stream + i);
+        RandomStream usual(seed, limits_stream + i);
         const double burst = usual.between(least_burst, most_burst);
-        Chance chance(seed, limits_stream + tenant_count + i + (version / versions_alike) * tenant_count);
+        RandomStream chance(seed, limits_stream + tenant_count + i + (version / versions_alike) * tenant_count);
         const double change = changes.limits ? std::pow(most_change, chance.between(-1, 1)) : 1;
         const double rate = std::round(usual_rates[i] * change);
         auto keys = nlohmann::json::array();
-        Chance revoked(seed, keys_stream + i + (version / versions_keyless) * tenant_count);
-        if (!changes.keys || !revoked.yes(keyless_share)) keys.push_back("key-" + std::to_string(i));
+        RandomStream revoked(seed, keys_stream + i + (version / versions_keyless) * tenant_count);
+        if (!changes.keys || !revoked.bernoulli(keyless_share)) keys.push_back("key-" + std::to_string(i));
         tenants.push_back({{"name", tenant_name(i)},
                            {"apiKeys", std::move(keys)},
                            {"unit", "token_rate"},
@@ -88,7 +88,7 @@
 TenantTraffic::TenantTraffic(Queue& queue, uint64_t seed, std::vector<Surge> surges, size_t proxies, Send send)
     : queue_(queue), began_(queue.now()), surges_(std::move(surges)), send_(std::move(send)) {
     for (size_t i = 0; i < tenant_count; ++i) {
-        Chance chance(seed, traffic_stream + i);
+        RandomStream chance(seed, traffic_stream + i);
         auto preference = draw_preference(chance, proxies);
         clients_.push_back({chance, std::move(preference)});
     }
--- a/src/lab/control/tenants.hpp
+++ b/src/lab/control/tenants.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "configuration/configuration.hpp"
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "lab/control/plan.hpp"
 #include "lab/queue.hpp"
 #include "leases/limit.hpp"
@@ -54,7 +54,7 @@
 
 private:
     struct Client {
-        Chance chance;
+        RandomStream chance;
         std::vector<double> preference;   // cumulative shares of the proxies
     };
     void wait(size_t tenant);
--- a/src/lab/control/world.cpp
+++ b/src/lab/control/world.cpp
@@ -45,7 +45,7 @@
         if (process >= first_proxy) return proxies_[process - first_proxy]->closed(connection);
         machines_[process]->closed(connection);
     };
-    network_ = std::make_unique<Network>(queue_, Chance(plan.seed, network_stream), std::move(events));
+    network_ = std::make_unique<Network>(queue_, RandomStream(plan.seed, network_stream), std::move(events));
     platform_.machines = [this] {
         return listed();
     };
@@ -137,13 +137,13 @@
     for (const auto& machine : machines_) queue_.in({chance_.between(0, 0.3)}, [&machine] { machine->start(); });
     begin_proxies();
     for (size_t i = 0; i < operators; ++i)
-        operators_.push_back(
-            std::make_unique<Operator>(queue_, Chance(plan_.seed, caller_stream + i), platform_, checker_, history_));
+        operators_.push_back(std::make_unique<Operator>(queue_, RandomStream(plan_.seed, caller_stream + i), platform_,
+                                                        checker_, history_));
     rollout_operator_ =
-        std::make_unique<RolloutOperator>(queue_, Chance(plan_.seed, caller_stream + 15), platform_, checker_);
+        std::make_unique<RolloutOperator>(queue_, RandomStream(plan_.seed, caller_stream + 15), platform_, checker_);
     for (size_t i = 0; i < announcers; ++i)
-        announcers_.push_back(
-            std::make_unique<Announcer>(queue_, Chance(plan_.seed, caller_stream + 16 + i), platform_, checker_, i));
+        announcers_.push_back(std::make_unique<Announcer>(queue_, RandomStream(plan_.seed, caller_stream + 16 + i),
+                                                          platform_, checker_, i));
     queue_.in({1}, [this] {
         for (const auto& caller : operators_) caller->begin();
         rollout_operator_->begin();
--- a/src/lab/control/world.hpp
+++ b/src/lab/control/world.hpp
@@ -86,7 +86,7 @@
     Plan plan_;
     std::function<void(const std::string&)> trace_;
     Queue queue_;
-    Chance chance_;
+    RandomStream chance_;
     Outcome outcome_;
     std::unique_ptr<Network> network_;
     Checker checker_;
--- a/src/lab/net.cpp
+++ b/src/lab/net.cpp
@@ -12,7 +12,7 @@
 
 Span Net::latency(const Machine& a, const Machine& b) {
     double s = 0.0002 + chance_.exponential(0.0001) + a.delay + b.delay;
-    if (rough > 0 && chance_.yes(rough * 0.05)) s += chance_.between(0.005, 0.04);   // lost and sent again
+    if (rough > 0 && chance_.bernoulli(rough * 0.05)) s += chance_.between(0.005, 0.04);   // lost and sent again
     return {s};
 }
 
@@ -128,7 +128,7 @@
 ssize_t Net::read(Socket& s, char* into, size_t n) {
     if (!s.in.empty()) {
         size_t count = std::min(n, s.in.size());
-        if (rough > 0 && count > 1 && chance_.yes(rough * 0.2)) count = 1 + chance_.below(static_cast<int>(count - 1));
+        if (rough > 0 && count > 1 && chance_.bernoulli(rough * 0.2)) count = 1 + chance_.below(static_cast<int>(count - 1));
         std::memcpy(into, s.in.data(), count);
         s.in.erase(0, count);
         s.taken += count;
@@ -177,7 +177,7 @@
         return -1;
     }
     size_t n = std::min(bytes.size(), room(s));
-    if (n > 1 && rough > 0 && s.here->proxy && chance_.yes(rough * 0.2))
+    if (n > 1 && rough > 0 && s.here->proxy && chance_.bernoulli(rough * 0.2))
         n = 1 + chance_.below(static_cast<int>(n - 1));
     if (n == 0) {
         s.starved = true;
@@ -194,7 +194,7 @@
     if (s.here->proxy && tap_) tap_->wrote(s, left);
     while (!left.empty()) {
         size_t part = left.size();
-        if (part > 1 && rough > 0 && chance_.yes(rough * 0.3)) part = 1 + chance_.below(static_cast<int>(part - 1));
+        if (part > 1 && rough > 0 && chance_.bernoulli(rough * 0.3)) part = 1 + chance_.below(static_cast<int>(part - 1));
         put(*s.other, {Kind::data, std::string(left.substr(0, part))}, arrives);
         left.remove_prefix(part);
     }
--- a/src/lab/net.hpp
+++ b/src/lab/net.hpp
@@ -15,7 +15,7 @@
 #include <string_view>
 #include <vector>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "lab/queue.hpp"
 
 namespace myrtleroute::lab {
@@ -110,7 +110,7 @@
     void let_go(Socket& s);
 
     Queue& queue_;
-    Chance chance_;
+    RandomStream chance_;
     Tap* tap_ = nullptr;
     std::map<uint64_t, Handle> listeners_;
     std::set<Socket*> paired_;   // the two ends of a stream hold each other
--- a/src/lab/chance.hpp
+++ b/src/lab/random_stream.hpp
@@ -16,11 +16,11 @@
     return x ^ (x >> 31);
 }
 
-class Chance {
+class RandomStream {
 public:
-    Chance(uint64_t seed, uint64_t stream) : pcg_(mix(seed ^ mix(stream))) {}
+    RandomStream(uint64_t seed, uint64_t stream) : pcg_(mix(seed ^ mix(stream))) {}
     double uniform() { return pcg_.uniform(); }
-    bool yes(double probability) { return uniform() < probability; }
+    bool bernoulli(double probability) { return uniform() < probability; }
     int below(int n) { return static_cast<int>(uniform() * n); }
     double between(double a, double b) { return a + (b - a) * uniform(); }
     double exponential(double mean) { return -mean * std::log(1 - uniform()); }
--- a/src/lab/registry.cpp
+++ b/src/lab/registry.cpp
@@ -173,7 +173,7 @@
     call.machine.next();
     if (on(FaultKind::silent_list)) return;
     if (on(FaultKind::no_list)) {
-        if (chance_.yes(0.4)) return end(socket.number, true);
+        if (chance_.bernoulli(0.4)) return end(socket.number, true);
         return say(call, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     }
     const auto from = wire::whole<uint64_t>(call.number("from="));
@@ -202,7 +202,7 @@
     if (on(FaultKind::nonsense)) {
         static constexpr const char* nonsense[] = {"{\"rev\":1,\"all\":true}", "[]", "{\"rev\":\"x\",\"all\":1,\"targets\":[]}",
                                                    "<html>busy</html>"};
-        if (chance_.yes(0.5)) body = nonsense[chance_.below(4)];
+        if (chance_.bernoulli(0.5)) body = nonsense[chance_.below(4)];
         else body.resize(body.size() / 2);
         return say(call, wire::answer(200, body, true));
     }
--- a/src/lab/registry.hpp
+++ b/src/lab/registry.hpp
@@ -69,7 +69,7 @@
     int number_;
     uint64_t first_;
     Machine machine_;
-    Chance chance_;
+    RandomStream chance_;
     Handle listener_;
     bool open_ = false;
     double late_ = 0;
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <sstream>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "lab/toml_table.hpp"
 
 namespace myrtleroute::lab {
@@ -48,14 +48,14 @@
 }
 
 Scenario draw(uint64_t seed) {
-    Chance chance(seed, 0x5343454e);
+    RandomStream chance(seed, 0x5343454e);
     Scenario s;
     s.seed = seed;
     // From idle to a little more than the servers can do.
-    s.calls_a_second = chance.yes(0.2) ? chance.between(0.5, 8) : chance.between(8, 130) * chance.between(0.3, 2);
-    s.rough = chance.yes(0.6) ? chance.between(0.05, 1) : 0;
+    s.calls_a_second = chance.bernoulli(0.2) ? chance.between(0.5, 8) : chance.between(8, 130) * chance.between(0.3, 2);
+    s.rough = chance.bernoulli(0.6) ? chance.between(0.05, 1) : 0;
     // Mostly three to fourteen faults, a third of them upon one before; on one day in twenty-five every kind.
-    const bool all = chance.yes(0.04);
+    const bool all = chance.bernoulli(0.04);
     const int count = all ? kinds : 3 + chance.below(12);
     for (int i = 0; i < count; ++i) {
         Fault f;
@@ -65,7 +65,7 @@
         f.at = {chance.between(1, s.lasts.s - 4)};
         f.lasts = {std::min(chance.between(0.3, 10), s.lasts.s - f.at.s)};
         f.how = chance.uniform();
-        if (!s.faults.empty() && chance.yes(0.35)) {
+        if (!s.faults.empty() && chance.bernoulli(0.35)) {
             const auto& other = s.faults[static_cast<size_t>(chance.below(static_cast<int>(s.faults.size())))];
             f.at = {other.at.s + chance.between(0, other.lasts.s)};
             f.lasts = {std::min(f.lasts.s, s.lasts.s - f.at.s)};
@@ -75,17 +75,17 @@
     }
     // One day in twelve is a crowd's: many proxies with few calls each, and servers that come back cold, which
     // each of them would find idle.
-    Chance crowd(seed, 0x43524f57);
-    if (crowd.yes(1.0 / 12)) {
+    RandomStream crowd(seed, 0x43524f57);
+    if (crowd.bernoulli(1.0 / 12)) {
         s.proxies = 24 + crowd.below(25);
         s.calls_a_second = crowd.between(3, 16);
         for (const auto kind : {FaultKind::dies, FaultKind::replaced})
             s.faults.push_back({kind, {crowd.between(2, 15)}, {crowd.between(0.5, 4)}, crowd.below(s.servers), crowd.uniform()});
     }
     // One day in six only draining binds, and on most of these the list is wrong for a time.
-    Chance lists(seed, 0x4c495354);
-    s.drain_alone = lists.yes(1.0 / 6);
-    for (int i = 0; s.drain_alone && i < 2 && lists.yes(0.8); ++i)
+    RandomStream lists(seed, 0x4c495354);
+    s.drain_alone = lists.bernoulli(1.0 / 6);
+    for (int i = 0; s.drain_alone && i < 2 && lists.bernoulli(0.8); ++i)
         s.faults.push_back({FaultKind::wrong_list, {lists.between(1, 22)}, {lists.between(0.5, 8)}, 0, lists.uniform()});
     std::stable_sort(s.faults.begin(), s.faults.end(), [](auto& a, auto& b) { return a.at < b.at; });
     return s;
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -98,7 +98,7 @@
                     if (life != lives_ || !up_) return;
                     dies();
                     list(Entry::State::deleted);
-                    comes_back({chance_.between(0.5, 3)}, chance_.yes(0.5));
+                    comes_back({chance_.between(0.5, 3)}, chance_.bernoulli(0.5));
                 });
             }
             break;
@@ -170,7 +170,7 @@
     const auto bytes = site_.net.read_all(socket);
     std::string_view left = bytes;
     if (conn.busy || conn.spoilt) left = {};
-    if (!left.empty() && on(FaultKind::resets) && chance_.yes(how(FaultKind::resets) * 0.1)) return end(socket.number, true);
+    if (!left.empty() && on(FaultKind::resets) && chance_.bernoulli(how(FaultKind::resets) * 0.1)) return end(socket.number, true);
     while (!left.empty() && !conn.machine.done() && !conn.machine.fault()) left.remove_prefix(conn.machine.feed(left));
     if (conn.machine.done()) {
         conn.machine.next();
@@ -191,21 +191,21 @@
     auto* s = site_.oracle.shot(number, *conn.socket);
     if (!call || !s) return site_.oracle.breaks(Rule::sound, {number}, "a server is asked for what nobody shot");
     conn.busy = true;
-    Chance draw(site_.scenario.seed, number * 8 + call->shots.size());
+    RandomStream draw(site_.scenario.seed, number * 8 + call->shots.size());
     const Span work{call->kind().work * (0.3 + draw.exponential(0.7)) * costly_};
     weigh(number, work);
     if (!up_) return;
     const Job job{number, static_cast<size_t>(s - call->shots.data()), conn.socket->number, work, s->give_up};
     const bool full = waiting_.size() >= most_waiting || on(FaultKind::full) || site_.queue.now() < tipped_until_;
-    if (full || (on(FaultKind::drains) && draw.yes(0.3))) {
+    if (full || (on(FaultKind::drains) && draw.bernoulli(0.3))) {
         site_.oracle.fate(number, *s, Fate::never);
         return reply(conn, 503, "", "X-Not-Processed: 1\r\n");
     }
     if (on(FaultKind::failing)) {
-        bool ran = draw.yes(0.5);
+        bool ran = draw.bernoulli(0.5);
         if (ran) ran = site_.oracle.executed(number, slot_);
         site_.oracle.fate(number, *s, ran ? Fate::executed : Fate::unproved);
-        return reply(conn, draw.yes(0.3) ? 503 : 500, "");   // a 503 that does not say it has not run
+        return reply(conn, draw.bernoulli(0.3) ? 503 : 500, "");   // a 503 that does not say it has not run
     }
     site_.oracle.fate(number, *s, Fate::waits);
     waiting_.push_back(job);
@@ -239,7 +239,7 @@
         Job job = waiting_.front();
         waiting_.pop_front();
         // Where nobody waits any more, some run all the same.
-        if (!connected(job) && chance_.yes(0.7)) {
+        if (!connected(job) && chance_.bernoulli(0.7)) {
             site_.oracle.fate(job.call, shot(job), Fate::unproved);
             continue;
         }
@@ -252,7 +252,7 @@
         ++running_;
         on_cores_.push_back(job);
         const double slow = on(FaultKind::slow) ? 1 + 11 * how(FaultKind::slow) : 1;
-        if (on(FaultKind::resets) && chance_.yes(how(FaultKind::resets) * 0.15)) {
+        if (on(FaultKind::resets) && chance_.bernoulli(how(FaultKind::resets) * 0.15)) {
             const auto socket = job.socket;
             site_.queue.in(job.work * 0.5, [this, socket] { end(socket, true); });
         }
@@ -267,7 +267,7 @@
     std::erase_if(on_cores_, [&](auto& j) { return j.call == job.call && j.socket == job.socket; });
     const bool fresh = site_.oracle.executed(job.call, slot_);
     site_.oracle.fate(job.call, shot(job), Fate::executed);
-    if (on(FaultKind::dies_after_effect) && chance_.yes(0.2)) {
+    if (on(FaultKind::dies_after_effect) && chance_.bernoulli(0.2)) {
         if (site_.oracle.call(job.call)->kind().repeat == Idempotency::non_idempotent)
             site_.oracle.summary.met(Hard::dies_after_last_byte);
         dies();
@@ -280,14 +280,14 @@
 void Server::answer(const Job& job, bool duplicate) {
     auto& conn = *conns_[job.socket];
     auto& s = shot(job);
-    Chance draw(site_.scenario.seed, job.call * 8 + 7);
+    RandomStream draw(site_.scenario.seed, job.call * 8 + 7);
     std::string body = "done " + std::to_string(job.call) + " by " + uid_ + (duplicate ? " before" : "");
-    if (draw.yes(0.02)) body.append(static_cast<size_t>(draw.between(1000, 60000)), '.');
+    if (draw.bernoulli(0.02)) body.append(static_cast<size_t>(draw.between(1000, 60000)), '.');
     std::string fields;
-    if (on(FaultKind::reports) && draw.yes(how(FaultKind::reports))) fields = "X-Server-Load: TEXT inflight=, queue=x\r\n";
+    if (on(FaultKind::reports) && draw.bernoulli(how(FaultKind::reports))) fields = "X-Server-Load: TEXT inflight=, queue=x\r\n";
     else fields = "X-Server-Load: TEXT inflight=" + std::to_string(running_) + ", queue=" + std::to_string(waiting_.size()) + "\r\n";
     auto text = wire::answer(200, body, true, fields);
-    if (on(FaultKind::spoilt) && draw.yes(how(FaultKind::spoilt) * 0.5)) {
+    if (on(FaultKind::spoilt) && draw.bernoulli(how(FaultKind::spoilt) * 0.5)) {
         conn.spoilt = true;
         switch (draw.below(5)) {
             case 0: text = "\x01\x02 this is no answer\r\n\r\n"; break;
@@ -299,18 +299,18 @@
         say(conn, text);
         return;
     }
-    if (on(FaultKind::resets) && draw.yes(how(FaultKind::resets) * 0.2)) {
+    if (on(FaultKind::resets) && draw.bernoulli(how(FaultKind::resets) * 0.2)) {
         // Half an answer may have no length: where its connection is reset, nothing tells that it is not whole.
-        if (draw.yes(0.3)) text = "HTTP/1.1 200 OK\r\n\r\n" + body;
-        text.resize(draw.yes(0.5) ? 0 : text.size() - body.size() / 2);
+        if (draw.bernoulli(0.3)) text = "HTTP/1.1 200 OK\r\n\r\n" + body;
+        text.resize(draw.bernoulli(0.5) ? 0 : text.size() - body.size() / 2);
         say(conn, text);
         return end(job.socket, true);
     }
-    if (on(FaultKind::talkative) && draw.yes(how(FaultKind::talkative))) {
-        const auto more = draw.yes(0.5) ? text : "noise\r\n";
-        if (draw.yes(0.3)) {
+    if (on(FaultKind::talkative) && draw.bernoulli(how(FaultKind::talkative))) {
+        const auto more = draw.bernoulli(0.5) ? text : "noise\r\n";
+        if (draw.bernoulli(0.3)) {
             text = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + text;
-        } else if (draw.yes(0.3) || site_.net.rough > 0 || machine_.delay > 0) {
+        } else if (draw.bernoulli(0.3) || site_.net.rough > 0 || machine_.delay > 0) {
             text += more;
         } else {   // a moment later, but sooner than a connection may be used again
             site_.queue.in({draw.between(0.0005, 0.003)}, [this, more, socket = job.socket, life = lives_] {
@@ -320,7 +320,7 @@
         }
     }
     Time comes{};
-    if (on(FaultKind::edge) && draw.yes(0.3 + how(FaultKind::edge) * 0.7) && s.give_up > site_.queue.now())
+    if (on(FaultKind::edge) && draw.bernoulli(0.3 + how(FaultKind::edge) * 0.7) && s.give_up > site_.queue.now())
         comes = s.give_up + Span{draw.between(-0.0003, 0.0012)};
     site_.note(Event::shot_answered, job.call, static_cast<uint64_t>(slot_));
     conn.busy = false;
--- a/src/lab/server.hpp
+++ b/src/lab/server.hpp
@@ -53,7 +53,7 @@
     int slot_;
     std::function<void()> list_changed_;
     Machine machine_;
-    Chance chance_;
+    RandomStream chance_;
     Handle listener_;
     std::string uid_;
     Time launched_{};
--- a/src/lab/site.hpp
+++ b/src/lab/site.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include <array>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "lab/net.hpp"
 #include "lab/scenario.hpp"
 #include "lab/trace.hpp"
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -60,7 +60,7 @@
       site_{scenario_, queue_, net_, trace_, oracle_}, chance_(scenario.seed, 0x574f524c), over_at_(Time{100} + scenario.lasts) {
     net_.tapped_by(oracle_);
     net_.rough = scenario.rough;
-    if (net_.rough > 0 && chance_.yes(0.5)) net_.window = static_cast<size_t>(chance_.between(2'000, 64'000));
+    if (net_.rough > 0 && chance_.bernoulli(0.5)) net_.window = static_cast<size_t>(chance_.between(2'000, 64'000));
     for (int i = 0; i < 2; ++i)
         discoveries_.push_back(std::make_unique<Discovery>(site_, registry_, i, static_cast<uint64_t>(1 + i * 5000)));
     discoveries_[0]->opens();
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -46,7 +46,7 @@
     Net net_;
     Oracle oracle_;
     Site site_;
-    Chance chance_;
+    RandomStream chance_;
     Registry registry_;
     std::vector<std::unique_ptr<Discovery>> discoveries_;
     size_t discovery_ = 0;             // that takes calls
--- a/src/rig/arrivals.cpp
+++ b/src/rig/arrivals.cpp
@@ -8,7 +8,7 @@
 
 std::vector<double> rates(const Experiment& e) {
     std::vector<double> all(static_cast<size_t>(e.proxies), 1);
-    lab::Chance chance(e.seed, 0x52415445);
+    lab::RandomStream chance(e.seed, 0x52415445);
     if (e.law == "pareto")
         for (auto& r : all) r = std::pow(1 - chance.uniform(), -1 / e.alpha);
     if (e.law == "zipf") {
--- a/src/rig/arrivals.hpp
+++ b/src/rig/arrivals.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include <vector>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "rig/experiment.hpp"
 
 namespace myrtleroute::rig {
@@ -32,7 +32,7 @@
     int proxy_;
     std::vector<const Burst*> bursts_;
     double shares_ = 0;
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     Arrival next_;
 };
 
--- a/src/rig/conductor.cpp
+++ b/src/rig/conductor.cpp
@@ -14,7 +14,7 @@
 #include <iostream>
 #include <toml++/toml.h>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "rig/lines.hpp"
 #include "rig/lists.hpp"
 
@@ -209,7 +209,7 @@
     settings.merge_patch(e_.settings);
     settings.merge_patch(arm_.settings);
     if (proxy.settings.is_object()) settings.merge_patch(proxy.settings);
-    lab::Chance chance(e_.seed, 0x50524f58u + static_cast<uint64_t>(i) * 1000 + static_cast<uint64_t>(proxy.starts));
+    lab::RandomStream chance(e_.seed, 0x50524f58u + static_cast<uint64_t>(i) * 1000 + static_cast<uint64_t>(proxy.starts));
     std::ostringstream seed;
     seed << std::hex << std::setw(16) << std::setfill('0') << chance.number();
     const Link link{Kind::discovery, static_cast<uint16_t>(i), 0};
--- a/src/rig/figures.cpp
+++ b/src/rig/figures.cpp
@@ -5,7 +5,7 @@
 #include <iomanip>
 #include <set>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "rig/arrivals.hpp"
 
 namespace myrtleroute::rig {
@@ -25,7 +25,7 @@
     Draw(const Experiment& e, const std::vector<int>& servers) : servers_(servers) {
         for (const int s : servers) sums_.push_back((sums_.empty() ? 0 : sums_.back()) + size_of(e, s));
     }
-    size_t place(lab::Chance& chance) const {
+    size_t place(lab::RandomStream& chance) const {
         const double at = chance.uniform() * sums_.back();
         return static_cast<size_t>(std::upper_bound(sums_.begin(), sums_.end(), at) - sums_.begin());
     }
@@ -75,7 +75,7 @@
     return even(reached);
 }
 
-Even drawn(const Experiment& e, const std::vector<int>& servers, uint64_t n, lab::Chance& chance) {
+Even drawn(const Experiment& e, const std::vector<int>& servers, uint64_t n, lab::RandomStream& chance) {
     if (servers.empty()) return {};
     const Draw draw(e, servers);
     std::vector<Even> all;
@@ -197,7 +197,7 @@
 }
 
 // See even_again in figures.hpp; 0 where nothing befell the fleet.
-double even_again(const Day& d, const std::vector<Chosen>& chosen, double lasts, lab::Chance& chance) {
+double even_again(const Day& d, const std::vector<Chosen>& chosen, double lasts, lab::RandomStream& chance) {
     double over = -1;
     for (const auto& b : d.befell) over = std::max(over, std::min(b.to > 0 ? b.to - d.start : lasts, lasts));
     if (over < 0) return 0;
@@ -249,7 +249,7 @@
         if (at >= 0 && at < static_cast<double>(seconds)) ++f.heat[s.server][static_cast<size_t>(at)];
     }
     std::sort(chosen.begin(), chosen.end(), [](auto& a, auto& b) { return a.at < b.at; });
-    lab::Chance chance(d.e.seed, 0x46494755);
+    lab::RandomStream chance(d.e.seed, 0x46494755);
     const double lasts = std::min(d.e.lasts.s, d.end - d.start);
     std::vector<Even> all_ours, all_random;
     for (double from = 0; from + d.e.window.s <= lasts + 1e-9; from += d.e.window.s) {
--- a/src/rig/relay.cpp
+++ b/src/rig/relay.cpp
@@ -295,13 +295,13 @@
         bytes_ += d->bytes.size();
         // A pair of proxies has two links, one each way, so `there` is the way of the datagram.
         const auto t = treatment_of(*link, 0);
-        if (t.holds() || t.hard || chance_.yes(t.loss)) {
+        if (t.holds() || t.hard || chance_.bernoulli(t.loss)) {
             ++lost_;
             continue;
         }
         const Link answers{Kind::peer, link->to, link->from};
         Late late{address(ip_of(answers), datagram_port_), address(door_ip(link->to), peers_[link->to]), std::string(d->bytes)};
-        for (int copies = 1 + chance_.yes(t.duplicate); copies > 0; --copies) {
+        for (int copies = 1 + chance_.bernoulli(t.duplicate); copies > 0; --copies) {
             const Span wait{t.delay + (t.jitter > 0 ? t.jitter * chance_.uniform() : 0)};   // overtakes, as datagrams may
             if (wait <= Span{}) {
                 home_.send(datagrams_->fd, {late.from, late.to, late.bytes});
--- a/src/rig/relay.hpp
+++ b/src/rig/relay.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <unordered_map>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "rig/part.hpp"
 #include "rig/stream.hpp"
 
@@ -55,7 +55,7 @@
     bool mine(const Link& link) const;
 
     int number_, of_;
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     std::map<int, Rule> rules_;
     uint64_t rules_seen_ = 1;
     std::map<std::pair<int, int>, Backend> backends_;   // by kind and party
--- a/src/rig/servers.cpp
+++ b/src/rig/servers.cpp
@@ -173,7 +173,7 @@
 
 // The same at every server and in every run.
 double Servers::work_of(uint64_t call, const Product& p) const {
-    lab::Chance chance(e_.seed, call);
+    lab::RandomStream chance(e_.seed, call);
     return e_.work_varies ? p.work * (0.5 + chance.exponential(0.5)) : p.work;
 }
 
@@ -219,16 +219,16 @@
     shot.work = static_cast<float>(work);
     const auto* full = trouble(s, FaultKind::full);
     const bool turned_away = s.lines.size() > static_cast<size_t>(e_.connections) ||
-                             s.waiting.size() >= static_cast<size_t>(e_.queue) || (full && chance_.yes(full->how));
+                             s.waiting.size() >= static_cast<size_t>(e_.queue) || (full && chance_.bernoulli(full->how));
     if (!weigh(s, work) || turned_away) {
         shot.fate = Fate::refused;
         return say(line, 503, "", "X-Not-Processed: 1\r\n");
     }
     const auto* fails = trouble(s, FaultKind::fail);
     const auto* breaks = trouble(s, FaultKind::break_off);
-    const bool failed = fails && chance_.yes(fails->how);
-    if (failed || (breaks && chance_.yes(breaks->how))) {
-        const bool ran = chance_.yes(0.5);
+    const bool failed = fails && chance_.bernoulli(fails->how);
+    if (failed || (breaks && chance_.bernoulli(breaks->how))) {
+        const bool ran = chance_.bernoulli(0.5);
         shot.fate = ran ? Fate::failed_run : Fate::failed_unrun;
         shot.executed = ran ? at(now) : 0;
         if (failed) return say(line, 500, "");
--- a/src/rig/servers.hpp
+++ b/src/rig/servers.hpp
@@ -6,7 +6,7 @@
 #include <list>
 #include <map>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "rig/part.hpp"
 
 namespace myrtleroute::rig {
@@ -59,7 +59,7 @@
     const Trouble* trouble(const Server& s, FaultKind kind) const;
 
     int number_, of_;
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     std::vector<Server> servers_;
     std::vector<ShotRecord> shots_;
     std::vector<ConnectionRecord> connections_;
--- a/src/rig/stream.hpp
+++ b/src/rig/stream.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "time.hpp"
 
 namespace myrtleroute::rig {
@@ -45,21 +45,21 @@
 
     // `room()` bytes at most. The sender's end comes after what it sent.
     size_t room() const { return most_held - held_; }
-    void take(Time now, std::string_view bytes, const Treatment& t, lab::Chance& chance) {
+    void take(Time now, std::string_view bytes, const Treatment& t, lab::RandomStream& chance) {
         if (over_) return;
         Piece piece{arrival(now, bytes.size(), t, chance), std::string(bytes), Event::none};
-        if (t.mangle > 0 && chance.yes(t.mangle)) {
+        if (t.mangle > 0 && chance.bernoulli(t.mangle)) {
             // From the middle of what is under way, so that the receiver sees a message with a hole, then the reset.
             piece.bytes.erase(piece.bytes.size() / 3, piece.bytes.size() / 3);
             piece.then = Event::breaks;
-        } else if (t.half_close > 0 && chance.yes(t.half_close)) {
+        } else if (t.half_close > 0 && chance.bernoulli(t.half_close)) {
             piece.then = Event::ends;
         }
         over_ = piece.then != Event::none;
         held_ += piece.bytes.size();
         pieces_.push_back(std::move(piece));
     }
-    void end(Time now, const Treatment& t, lab::Chance& chance, Event how) {
+    void end(Time now, const Treatment& t, lab::RandomStream& chance, Event how) {
         if (over_) return;
         over_ = true;
         pieces_.push_back({arrival(now, 0, t, chance), "", how});
@@ -83,10 +83,10 @@
         std::string bytes;
         Event then;
     };
-    Time arrival(Time now, size_t size, const Treatment& t, lab::Chance& chance) {
+    Time arrival(Time now, size_t size, const Treatment& t, lab::RandomStream& chance) {
         Time at = now + Span{t.delay + (t.jitter > 0 ? t.jitter * chance.uniform() : 0)};
         if (t.loss > 0)
-            for (Span wait = resend_after; wait.s < 7 && chance.yes(t.loss); wait = wait * 2) at = at + wait;
+            for (Span wait = resend_after; wait.s < 7 && chance.bernoulli(t.loss); wait = wait * 2) at = at + wait;
         if (t.rate > 0) {
             sent_ = std::max(sent_, now) + Span{static_cast<double>(size) / t.rate};
             at = std::max(at, sent_ + Span{t.delay});
--- a/src/soak/clients.cpp
+++ b/src/soak/clients.cpp
@@ -27,7 +27,7 @@
 
 }   // namespace
 
-std::string new_request_id(lab::Chance& chance) {
+std::string new_request_id(lab::RandomStream& chance) {
     char text[17];
     std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(chance.number()));
     return text;
--- a/src/soak/clients.hpp
+++ b/src/soak/clients.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "soak/checker.hpp"
 #include "soak/http_call.hpp"
 #include "soak/platform.hpp"
@@ -44,7 +44,7 @@
                                {"/long/", "streaming", "model", true, true, 0}};   // of `KeptClients` only
 constexpr const char* route_host = "soak.example";
 
-std::string new_request_id(lab::Chance& chance);
+std::string new_request_id(lab::RandomStream& chance);
 
 class Clients {
 public:
@@ -65,7 +65,7 @@
     asio::io_context& context_;
     Checker& checker_;
     Platform& platform_;
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     std::function<double()> now_;
     std::vector<Caller> callers_;
 };
--- a/src/soak/hosts.hpp
+++ b/src/soak/hosts.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/endpoint.hpp"
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 
 namespace myrtleroute::soak {
 
@@ -48,7 +48,7 @@
     asio::io_context& context_;
     HostOptions options_;
     HostEvents events_;
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     asio::ip::tcp::acceptor acceptor_;
     asio::steady_timer timer_;
     size_t control_ = 0;   // that took the last heartbeat
--- a/src/soak/kept_clients.cpp
+++ b/src/soak/kept_clients.cpp
@@ -128,7 +128,7 @@
 
     Checker& checker_;
     Platform& platform_;
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     std::function<double()> now_;
     tcp::socket socket_;
     asio::steady_timer timer_;
--- a/src/soak/kept_clients.hpp
+++ b/src/soak/kept_clients.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "soak/checker.hpp"
 #include "soak/platform.hpp"
 
--- a/src/soak/operator.cpp
+++ b/src/soak/operator.cpp
@@ -104,7 +104,7 @@
 void Operator::draw_order() {
     const bool all_parts = pace_ == Pace::storm;
     bodies_[version_] = configuration_text(version_, limits_, all_parts);
-    const bool patches = acknowledged_ > 0 && !all_parts && chance_.yes(patch_share);
+    const bool patches = acknowledged_ > 0 && !all_parts && chance_.bernoulli(patch_share);
     method_ = patches ? "PATCH" : "PUT";
     order_ = patches ? patch_text(version_, limits_) : bodies_[version_];
 }
--- a/src/soak/operator.hpp
+++ b/src/soak/operator.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "soak/checker.hpp"
 #include "soak/http_call.hpp"
 
@@ -54,7 +54,7 @@
     asio::io_context& context_;
     Checker& checker_;
     std::vector<Endpoint> controls_;
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     std::function<double()> now_;
     OperatorEvents events_;
     Pace pace_;
--- a/src/soak/plan.cpp
+++ b/src/soak/plan.cpp
@@ -4,7 +4,7 @@
 #include <iomanip>
 #include <sstream>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 
 namespace myrtleroute::soak {
 namespace {
@@ -77,7 +77,7 @@
     double draw_episode(double at) {
         const int count = 2 + chance_.below(2);
         double end = at;
-        double quiet = chance_.yes(0.5) ? chance_.between(0.3, 2) : chance_.between(4, 7);
+        double quiet = chance_.bernoulli(0.5) ? chance_.between(0.3, 2) : chance_.between(4, 7);
         for (int i = 0; i < count; ++i) {
             auto fault = draw_fault(at + (i ? chance_.between(0, longest_start_gap) : 0));
             if (fault.end() > length_) fault.span = length_ - fault.at;
@@ -95,7 +95,8 @@
         fault.at = at;
         const auto spans = spans_of(fault.kind);
         fault.span = chance_.between(spans.least, spans.most);
-        if (is_cut(fault.kind) && chance_.yes(0.5)) fault.side = chance_.yes(0.5) ? CutSide::inward : CutSide::outward;
+        if (is_cut(fault.kind) && chance_.bernoulli(0.5))
+            fault.side = chance_.bernoulli(0.5) ? CutSide::inward : CutSide::outward;
         if (!is_of_links(fault.kind)) fault.machines = draw_machines(fault.kind);
         return fault;
     }
@@ -124,7 +125,7 @@
         });
     }
 
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     FleetSize size_;
     double length_;
     std::vector<Fault> faults_;
@@ -145,7 +146,7 @@
 Plan draw_plan(uint64_t seed, FleetSize size, double length) { return {seed, Drawer(seed, size, length).draw()}; }
 
 Plan draw_planned_work(uint64_t seed, FleetSize size, double length) {
-    lab::Chance chance(seed, plan_stream);
+    lab::RandomStream chance(seed, plan_stream);
     Plan plan{seed, {}};
     const auto add_series = [&](FaultKind kind, size_t among, int most_together, double least_gap, double most_gap) {
         auto machine = static_cast<size_t>(chance.below(static_cast<int>(among)));
--- a/src/soak/platform.hpp
+++ b/src/soak/platform.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "base/endpoint.hpp"
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 
 namespace myrtleroute::soak {
 
@@ -32,7 +32,7 @@
     void ask_ready();
 
     asio::io_context& context_;
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     std::vector<Proxy> proxies_;
     asio::steady_timer timer_;
 };
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -96,7 +96,7 @@
             context_, internal,
             RelayRules{[this](const Link& link, Way way) { return holds(link, way); },
                        [this] {
-                           return is_active(FaultKind::subscriptions_reset) && chance_.yes(subscription_loss);
+                           return is_active(FaultKind::subscriptions_reset) && chance_.bernoulli(subscription_loss);
                        }}));
         RelayOptions control;
         control.at = addresses_.control(machine);
@@ -104,7 +104,7 @@
         relays_.push_back(std::make_unique<Relay>(context_, control,
                                                   RelayRules{{}, [this] {
                                                                  return is_active(FaultKind::control_answers_lost) &&
-                                                                        chance_.yes(answer_loss);
+                                                                        chance_.bernoulli(answer_loss);
                                                              }}));
     }
 }
@@ -126,7 +126,7 @@
                 HostEvents{
                     [this](const std::string& id, const std::string& tenant) { checker_.ran(id, tenant, now()); },
                     [this] {
-                        return is_active(FaultKind::host_answers_lost) && chance_.yes(host_loss);
+                        return is_active(FaultKind::host_answers_lost) && chance_.bernoulli(host_loss);
                     }}));
         }
 }
--- a/src/soak/soak.hpp
+++ b/src/soak/soak.hpp
@@ -70,7 +70,7 @@
     AddressBlock block_;
     Addresses addresses_;
     Checker checker_;
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     Plan plan_;
     std::chrono::steady_clock::time_point start_;
     Fleet fleet_;
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -51,7 +51,7 @@
 }  // namespace
 
 TEST_CASE("a stream under faults: order kept, nothing made up, held while cut, an end after all bytes") {
-    lab::Chance chance(1, 1);
+    lab::RandomStream chance(1, 1);
     Stream s;
     SECTION("none: at once") {
         s.take({1}, "ab", {}, chance);
--- a/tests/system/quota_checker_test.cpp
+++ b/tests/system/quota_checker_test.cpp
@@ -30,13 +30,13 @@
 }
 
 // Latencies of all sizes, up to longer than the window; times on a grid, so that ends of windows meet arrivals.
-std::vector<Arrival> draw_arrivals(Chance& chance) {
+std::vector<Arrival> draw_arrivals(RandomStream& chance) {
     constexpr double grid = 0.125;
     std::vector<Arrival> arrivals;
     const int count = 1 + chance.below(60);
     for (int i = 0; i < count; ++i) {
         const double sent = grid * chance.below(200);
-        const double latency = grid * chance.below(chance.yes(0.2) ? 80 : 8);
+        const double latency = grid * chance.below(chance.bernoulli(0.2) ? 80 : 8);
         arrivals.push_back({Time{sent}, Time{sent + latency}, static_cast<double>(1 + chance.below(1000))});
     }
     std::sort(arrivals.begin(), arrivals.end(), [](const auto& a, const auto& b) { return a.arrived < b.arrived; });
@@ -56,7 +56,7 @@
 }   // namespace
 
 TEST_CASE("the sliding sum's highest is that of the fullest of all windows") {
-    Chance chance(1, 1);
+    RandomStream chance(1, 1);
     for (int round = 0; round < 2000; ++round) {
         const auto arrivals = draw_arrivals(chance);
         SlidingUse use(Span{8});
--- a/tests/system/soak_test.cpp
+++ b/tests/system/soak_test.cpp
@@ -7,7 +7,7 @@
 
 #include "configuration/configuration.hpp"
 #include "configuration/patch.hpp"
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "soak/checker.hpp"
 #include "soak/clients.hpp"
 #include "soak/fleet.hpp"
@@ -174,7 +174,7 @@
 }
 
 TEST_CASE("the count of windows agrees with adding each of them up") {
-    lab::Chance chance(1, 1);
+    lab::RandomStream chance(1, 1);
     const QuotaBounds bounds{8, 0.1, 3};
     for (int round = 0; round < 300; ++round) {
         std::vector<QuotaUse> uses;
