--- a/src/lab/application.cpp
+++ b/src/lab/application.cpp
@@ -148,7 +148,7 @@
     else site_.oracle.sent(conn.call, proxy_, conn.product, *conn.socket);
 }
 
-void Application::heard(Socket& socket) {
+void Application::socket_changed(Socket& socket) {
     const auto it = conns_.find(socket.number);
     if (it == conns_.end()) return;
     auto& conn = *it->second;
@@ -165,7 +165,7 @@
         over(conn);
         if (!conns_.count(socket.number)) return;
     }
-    if (socket.fin_in || socket.error || socket.state == Socket::State::over) return lost(socket.number);
+    if (socket.fin_in || socket.error || socket.state == Socket::State::reset) return lost(socket.number);
     if (conn.busy) send(conn);
 }
 
@@ -228,7 +228,7 @@
         const auto it = conns_.find(socket);
         if (it == conns_.end()) return;
         const auto& s = *it->second->socket;
-        if (s.state == Socket::State::up && s.other && s.other->ear && !it->second->strange_answered) {
+        if (s.state == Socket::State::up && s.other && s.other->observer && !it->second->strange_answered) {
             const Time since = site_.oracle.was_short(proxy_) ? std::max(due - owed, s.other->accepted) : due - owed;
             const Time later = site_.oracle.due(proxy_, since, owed);
             if (later > site_.queue.now()) return check_owed(socket, later);
--- a/src/lab/application.hpp
+++ b/src/lab/application.hpp
@@ -7,7 +7,7 @@
 
 namespace myrtleroute::lab {
 
-class Application : public Ear {
+class Application : public SocketObserver {
 public:
     Application(Site& site, int proxy);
     ~Application() override;
@@ -16,7 +16,7 @@
     void burst(double factor) { burst_ = factor; }
     void answer_comes(uint64_t call, Time when);   // to the proxy
     void stops();                                  // no more calls; idle connections are closed
-    void heard(Socket& socket) override;
+    void socket_changed(Socket& socket) override;
 
 private:
     struct Conn;
--- a/src/lab/net.cpp
+++ b/src/lab/net.cpp
@@ -17,7 +17,7 @@
 }
 
 void Net::hear(Socket& s) {
-    if (s.ear && !s.closed) s.ear->heard(s);
+    if (s.observer && !s.closed) s.observer->socket_changed(s);
 }
 
 Net::~Net() {
@@ -26,13 +26,13 @@
     for (auto& s : ends) s->other = nullptr;
 }
 
-Handle Net::listen(Machine& here, Ear& ear, uint64_t at) {
+Handle Net::listen(Machine& here, SocketObserver& observer, uint64_t at) {
     if (listeners_.count(at)) return {};
     auto s = std::make_shared<Socket>();
     s->number = next_++;
     s->state = State::listening;
     s->here = &here;
-    s->ear = &ear;
+    s->observer = &observer;
     s->local = at;
     return listeners_[at] = s;
 }
@@ -42,11 +42,11 @@
     return it == listeners_.end() ? nullptr : it->second->here;
 }
 
-Handle Net::connect(Machine& here, Ear& ear, uint64_t to) {
+Handle Net::connect(Machine& here, SocketObserver& observer, uint64_t to) {
     auto s = std::make_shared<Socket>();
     s->number = next_++;
     s->here = &here;
-    s->ear = &ear;
+    s->observer = &observer;
     s->remote = to;
     if (here.proxy && tap_) tap_->opened(*s);
     queue_.in(latency(here, here), [this, s] { knock(s); });
@@ -56,8 +56,8 @@
 void Net::knock(const Handle& from) {
     if (from->closed || from->state != State::connecting) return;
     const auto it = listeners_.find(from->remote);
-    Time blocked = from->here->cut_until;
-    if (it != listeners_.end()) blocked = std::max(blocked, it->second->here->cut_until);
+    Time blocked = from->here->unreachable_until;
+    if (it != listeners_.end()) blocked = std::max(blocked, it->second->here->unreachable_until);
     if (blocked > queue_.now()) return queue_.at(blocked + Span{0.01}, [this, from] { knock(from); });
     if (it == listeners_.end()) return put(*from, {Kind::reset, {}});
     auto& listener = *it->second;
@@ -96,8 +96,8 @@
 void Net::arrive(const Handle& to) {
     auto& s = *to;
     if (s.under_way.empty()) return;
-    Time blocked = s.here->cut_until;
-    if (s.other) blocked = std::max(blocked, s.other->here->cut_until);
+    Time blocked = s.here->unreachable_until;
+    if (s.other) blocked = std::max(blocked, s.other->here->unreachable_until);
     if (blocked > queue_.now()) return queue_.at(blocked + Span{0.002}, [this, to] { arrive(to); });
     const auto segment = std::move(s.under_way.front());
     s.under_way.pop_front();
@@ -107,13 +107,13 @@
         if (segment.kind == Kind::data && s.other && !s.other->closed) put(*s.other, {Kind::reset, {}});
         return let_go(s);
     }
-    if (s.state == State::over) return;
+    if (s.state == State::reset) return;
     switch (segment.kind) {
         case Kind::up: s.state = State::up; break;
         case Kind::fin: s.fin_in = true; break;
         case Kind::reset:
             s.error = s.state == State::connecting ? ECONNREFUSED : ECONNRESET;
-            s.state = State::over;
+            s.state = State::reset;
             ++resets_;
             break;
         case Kind::data:
@@ -146,7 +146,7 @@
         errno = std::exchange(s.error, 0);
         return -1;
     }
-    if (s.fin_in || s.state == State::over) return 0;
+    if (s.fin_in || s.state == State::reset) return 0;
     errno = EAGAIN;
     return -1;
 }
@@ -168,7 +168,7 @@
 }
 
 ssize_t Net::write(Socket& s, std::string_view bytes, Time arrives) {
-    if (s.state == State::over || s.fin_out) {
+    if (s.state == State::reset || s.fin_out) {
         errno = s.error ? s.error : EPIPE;
         return -1;
     }
@@ -227,7 +227,7 @@
     if (s.here->proxy && tap_) tap_->closing(s);
     if (s.state == State::listening) {
         listeners_.erase(s.local);
-        for (const auto& waits : std::exchange(s.waiting, {})) abort(*waits);
+        for (const auto& waits : std::exchange(s.waiting, {})) reset(*waits);
     } else if (s.state == State::up) {
         if (!s.in.empty()) put(*s.other, {Kind::reset, {}}, arrives);
         else end_sending(s, arrives);
@@ -237,7 +237,7 @@
     let_go(s);
 }
 
-void Net::abort(Socket& s) {
+void Net::reset(Socket& s) {
     if (s.closed) return;
     if (s.here->proxy && tap_) tap_->closing(s);
     if (s.state == State::up) put(*s.other, {Kind::reset, {}});
@@ -248,12 +248,12 @@
 void Net::vanish(Socket& s) {
     if (s.state == State::listening) listeners_.erase(s.local);
     s.closed = true;
-    s.ear = nullptr;
+    s.observer = nullptr;
 }
 
 // The two ends name each other; once both are closed they no longer do.
 void Net::let_go(Socket& s) {
-    s.ear = nullptr;
+    s.observer = nullptr;
     if (!s.other || !s.other->closed || !s.under_way.empty() || !s.other->under_way.empty()) return;
     const auto other = std::exchange(s.other, nullptr);
     paired_.erase(&s);
--- a/src/lab/net.hpp
+++ b/src/lab/net.hpp
@@ -23,25 +23,25 @@
 struct Socket;
 using Handle = std::shared_ptr<Socket>;
 
-class Ear {   // a stand-in, or a virtual home
+class SocketObserver {   // a stand-in, or a virtual home
 public:
-    virtual ~Ear() = default;
-    virtual void heard(Socket& socket) = 0;   // something about it has changed
+    virtual ~SocketObserver() = default;
+    virtual void socket_changed(Socket& socket) = 0;   // something about it has changed
 };
 
 struct Machine {
     int number = 0;
     bool proxy = false;      // the tap hears of its sockets
-    Time cut_until{};        // nothing comes or goes before
+    Time unreachable_until{};        // nothing comes or goes before
     double delay = 0;        // seconds more on everything that comes or goes
 };
 
 struct Socket : std::enable_shared_from_this<Socket> {
-    enum class State { listening, connecting, up, over };
+    enum class State { listening, connecting, up, reset };
     uint64_t number = 0;
     State state = State::connecting;
     Machine* here = nullptr;
-    Ear* ear = nullptr;
+    SocketObserver* observer = nullptr;
     uint64_t local = 0, remote = 0;    // address and port; a connecting side's own is 0
     Time accepted{};                   // when a listener's program took it
     Handle other;
@@ -85,16 +85,16 @@
     double rough = 0;   // share of writes, reads and segments that are cut short, split or stalled
     size_t window = 128 * 1024;   // bytes that may be under way or unread
 
-    Handle listen(Machine& here, Ear& ear, uint64_t at);   // null: it is taken
-    Handle connect(Machine& here, Ear& ear, uint64_t to);
-    Handle accept(Socket& listener);                       // null: none waits; its ear is to be set
+    Handle listen(Machine& here, SocketObserver& observer, uint64_t at);   // null: it is taken
+    Handle connect(Machine& here, SocketObserver& observer, uint64_t to);
+    Handle accept(Socket& listener);                       // null: none waits; its observer is to be set
     ssize_t read(Socket& s, char* into, size_t n);         // as read(2); 0 = the end, -1 with errno
     std::string read_all(Socket& s);
     ssize_t write(Socket& s, std::string_view bytes, Time arrives = {});   // as write(2), not before `arrives`
     void send(Socket& s, std::string_view bytes, Time arrives = {});   // all of it, as room comes up
     void end_sending(Socket& s, Time arrives = {});
     void close(Socket& s, Time arrives = {});              // resets if bytes are left unread
-    void abort(Socket& s);                                 // resets
+    void reset(Socket& s);                                 // resets
     void vanish(Socket& s);                                // ends without a word; what comes is reset
     size_t room(const Socket& s) const;                    // that a write has now
     Machine* machine_at(uint64_t address) const;
--- a/src/lab/registry.cpp
+++ b/src/lab/registry.cpp
@@ -153,12 +153,12 @@
     return false;
 }
 
-void Discovery::heard(Socket& socket) {
+void Discovery::socket_changed(Socket& socket) {
     if (socket.state == Socket::State::listening) {
         while (auto fresh = site_.net.accept(socket)) {
-            fresh->ear = this;
+            fresh->observer = this;
             calls_[fresh->number] = std::make_unique<Call>(fresh);
-            heard(*fresh);
+            socket_changed(*fresh);
         }
         return;
     }
@@ -230,7 +230,7 @@
     if (it == calls_.end()) return;
     const auto call = std::move(it->second);
     calls_.erase(it);
-    if (reset) site_.net.abort(*call->socket);
+    if (reset) site_.net.reset(*call->socket);
     else site_.net.close(*call->socket);
 }
 
--- a/src/lab/registry.hpp
+++ b/src/lab/registry.hpp
@@ -42,7 +42,7 @@
 
 // Discovery at one address: a thing that answers calls for the list and holds watches. `first` is what it
 // numbers its lists from, so that another one's numbers mean nothing here.
-class Discovery : public Ear {
+class Discovery : public SocketObserver {
 public:
     Discovery(Site& site, Registry& registry, int number, uint64_t first);
     ~Discovery() override;
@@ -51,7 +51,7 @@
     void changed();                       // the registry has
     void begins(const Fault& fault);
     void ends(const Fault& fault);
-    void heard(Socket& socket) override;
+    void socket_changed(Socket& socket) override;
     bool has(int proxy, const Socket& proxys_end) ;   // tells the oracle what has come there
     bool watched(int proxy) const;
     uint32_t ip() const { return discovery_ip + 1 + static_cast<uint32_t>(number_); }
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -81,9 +81,9 @@
                 comes_back(std::min(fault.lasts, Span{4}), fault.kind == FaultKind::replaced);
             }
             break;
-        case FaultKind::cut: machine_.cut_until = std::max(machine_.cut_until, over); break;
+        case FaultKind::cut: machine_.unreachable_until = std::max(machine_.unreachable_until, over); break;
         case FaultKind::vanishes:
-            machine_.cut_until = std::max(machine_.cut_until, over);
+            machine_.unreachable_until = std::max(machine_.unreachable_until, over);
             if (up_) {
                 dies(true);
                 comes_back(fault.lasts, false);
@@ -111,7 +111,7 @@
     if (fault.kind == FaultKind::far && !on(FaultKind::far)) machine_.delay = 0;
     if (fault.kind == FaultKind::no_connections && listener_ && !on(fault.kind)) {
         listener_->most_waiting = 128;
-        heard(*listener_);
+        socket_changed(*listener_);
     }
     work();   // what hung goes on
 }
@@ -153,14 +153,14 @@
     });
 }
 
-void Server::heard(Socket& socket) {
+void Server::socket_changed(Socket& socket) {
     if (socket.state == Socket::State::listening) {
         while (!on(FaultKind::no_connections)) {
             auto fresh = site_.net.accept(socket);
             if (!fresh) break;
-            fresh->ear = this;
+            fresh->observer = this;
             conns_[fresh->number] = std::make_unique<Conn>(fresh);
-            heard(*fresh);
+            socket_changed(*fresh);
         }
         return;
     }
@@ -351,7 +351,7 @@
     if (it == conns_.end()) return;
     const auto conn = std::move(it->second);
     conns_.erase(it);
-    if (reset) site_.net.abort(*conn->socket);
+    if (reset) site_.net.reset(*conn->socket);
     else site_.net.close(*conn->socket);
 }
 
--- a/src/lab/server.hpp
+++ b/src/lab/server.hpp
@@ -9,7 +9,7 @@
 
 namespace myrtleroute::lab {
 
-class Server : public Ear {
+class Server : public SocketObserver {
 public:
     Server(Site& site, Registry& registry, int slot, std::function<void()> list_changed);
     ~Server() override;
@@ -17,7 +17,7 @@
     void begins(const Fault& fault);
     void ends(const Fault& fault);
     void costly(double factor) { costly_ = factor; }
-    void heard(Socket& socket) override;
+    void socket_changed(Socket& socket) override;
     std::function<void(uint64_t call, Time comes)> on_answer;   // an answer to it will come then
 
 private:
--- a/src/lab/virtual_home.cpp
+++ b/src/lab/virtual_home.cpp
@@ -60,7 +60,7 @@
 short VirtualHome::state_of(const Socket& s) const {
     if (s.state == State::listening) return s.waiting.empty() ? 0 : POLLIN;
     if (s.state == State::connecting) return 0;
-    if (s.state == State::over) return POLLIN | POLLOUT | POLLRDHUP | POLLHUP | (s.error ? POLLERR : 0);
+    if (s.state == State::reset) return POLLIN | POLLOUT | POLLRDHUP | POLLHUP | (s.error ? POLLERR : 0);
     short events = 0;
     if (!s.in.empty() || s.fin_in) events |= POLLIN;
     if (net_.room(s) > 0) events |= POLLOUT;
@@ -77,7 +77,7 @@
         polled[i].revents = static_cast<short>(is & (polled[i].events | POLLERR | POLLHUP));
         found += polled[i].revents != 0;
     }
-    sleeps_ = found == 0 && ms > 0;
+    is_waiting_ = found == 0 && ms > 0;
     until_ = queue_.now() + Span{ms / 1000.0};
     return found;
 }
@@ -119,7 +119,7 @@
     const int fresh = take(nullptr);
     if (fresh < 0) return fresh;
     auto socket = net_.accept(at(fd));
-    socket->ear = this;
+    socket->observer = this;
     table_[static_cast<size_t>(fresh)] = std::move(socket);
     return fresh;
 }
@@ -148,7 +148,7 @@
 
 bool VirtualHome::still_quiet(int fd) {
     const auto& s = at(fd);
-    return s.in.empty() && !s.fin_in && !s.error && s.state != State::over;
+    return s.in.empty() && !s.fin_in && !s.error && s.state != State::reset;
 }
 
 bool VirtualHome::has_unread(int fd) { return !at(fd).in.empty(); }
--- a/src/lab/virtual_home.hpp
+++ b/src/lab/virtual_home.hpp
@@ -9,7 +9,7 @@
 
 namespace myrtleroute::lab {
 
-class VirtualHome : public run::Home, public Ear {
+class VirtualHome : public run::Home, public SocketObserver {
 public:
     VirtualHome(Queue& queue, Net& net, Machine& machine, std::function<void()> wakened)
         : queue_(queue), net_(net), machine_(machine), wakened_(std::move(wakened)) {}
@@ -18,8 +18,8 @@
     std::map<std::string, std::string> variables, files;
     static constexpr size_t rlimit = 256;
     size_t descriptors = rlimit;                // that the process may hold now: less if others are open
-    bool sleeps() const { return sleeps_; }     // after a round: nothing to do before `until`
-    Time until() const { return until_; }
+    bool is_waiting() const { return is_waiting_; }     // after a round: nothing to do before `until`
+    Time waits_until() const { return until_; }
     void signal(int number);
     void end_process();                         // as the system does when it is gone
     size_t open() const { return open_; }       // descriptors that are held
@@ -48,7 +48,7 @@
     const char* variable(const char* name) override;
     std::optional<std::string> file(const std::string& path) override;
 
-    void heard(Socket&) override { wakened_(); }
+    void socket_changed(Socket&) override { wakened_(); }
 
 private:
     int take(Handle socket);
@@ -63,7 +63,7 @@
     std::deque<int> signals_;
     int signal_fd_ = -1;
     size_t open_ = 0;
-    bool sleeps_ = false;
+    bool is_waiting_ = false;
     Time until_;
 };
 
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -191,7 +191,7 @@
     }
     check(i);
     i.busy_until = queue_.now() + Span{0.00001 + chance_.exponential(0.00003)};
-    plan(i, i.home->sleeps() ? i.home->until() : i.busy_until);
+    plan(i, i.home->is_waiting() ? i.home->waits_until() : i.busy_until);
 }
 
 // What it holds is what the system holds for it.
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-struct Deaf : Ear {
+struct Deaf : SocketObserver {
     int heard_of = 0;
-    void heard(Socket&) override { ++heard_of; }
+    void socket_changed(Socket&) override { ++heard_of; }
 };
 
 // Two machines, a listener on the second, and one stream between them.
@@ -23,8 +23,8 @@
     Queue queue{Time{1}};
     Net net{queue, 7};
     Machine near{1}, far{2};
-    Deaf ear;
-    Handle listener = net.listen(far, ear, 99), client = net.connect(near, ear, 99), server;
+    Deaf observer;
+    Handle listener = net.listen(far, observer, 99), client = net.connect(near, observer, 99), server;
     Stream() {
         run(0.1);
         server = net.accept(*listener);
@@ -83,14 +83,14 @@
         CHECK(s.read(*s.client) == "reset");
     }
     SECTION("nobody listens: refused") {
-        const auto lost = s.net.connect(s.near, s.ear, 98);
+        const auto lost = s.net.connect(s.near, s.observer, 98);
         s.run(1);
         CHECK(s.read(*lost) == "refused");
     }
     SECTION("a machine cut off says nothing, and what was sent comes when it is back") {
-        s.far.cut_until = s.queue.now() + Span{5};
+        s.far.unreachable_until = s.queue.now() + Span{5};
         s.net.write(*s.client, "held");
-        const auto waits = s.net.connect(s.near, s.ear, 99);
+        const auto waits = s.net.connect(s.near, s.observer, 99);
         s.run(4);
         CHECK(s.read(*s.server) == "again");
         CHECK(waits->state == Socket::State::connecting);
@@ -116,7 +116,7 @@
     }
     SECTION("a full queue of connections is not heard until there is room") {
         s.listener->most_waiting = 0;
-        const auto waits = s.net.connect(s.near, s.ear, 99);
+        const auto waits = s.net.connect(s.near, s.observer, 99);
         s.run(0.5);
         CHECK(waits->state == Socket::State::connecting);
         s.listener->most_waiting = 1;
@@ -180,7 +180,7 @@
     Net net(queue, 1);
     Oracle oracle(queue, trace, scenario);
     net.tapped_by(oracle);
-    Deaf ear;
+    Deaf observer;
     Machine proxy{0, true}, client_machine{300}, server_machine{100};
     const auto run = [&](double seconds) {
         const Time until = queue.now() + Span{seconds};
@@ -189,10 +189,10 @@
     std::vector<Oracle::Told> list;
     for (int i = 0; i < scenario.servers; ++i) list.push_back({i, "s" + std::to_string(i), true, long_ago});
     oracle.starts(0, list);
-    const auto door = net.listen(proxy, ear, address_of(proxy_ip + 1, port));
+    const auto door = net.listen(proxy, observer, address_of(proxy_ip + 1, port));
     std::vector<Handle> farms;
-    for (uint32_t i = 0; i < 3; ++i) farms.push_back(net.listen(server_machine, ear, address_of(server_ip + 1 + i, port)));
-    const auto client = net.connect(client_machine, ear, address_of(proxy_ip + 1, port));
+    for (uint32_t i = 0; i < 3; ++i) farms.push_back(net.listen(server_machine, observer, address_of(server_ip + 1 + i, port)));
+    const auto client = net.connect(client_machine, observer, address_of(proxy_ip + 1, port));
     run(0.1);
     const auto at_proxy = net.accept(*door);
     const auto call = [&](uint64_t number, int product) {
@@ -203,7 +203,7 @@
     };
     std::vector<Handle> lines;   // held, as a proxy would
     const auto shot = [&](uint64_t number, uint32_t server) {
-        lines.push_back(net.connect(proxy, ear, address_of(server_ip + 1 + server, port)));
+        lines.push_back(net.connect(proxy, observer, address_of(server_ip + 1 + server, port)));
         run(0.1);
         net.write(*lines.back(), "POST /api HTTP/1.1\r\nHost: api\r\nX-Request-ID: " + std::to_string(number) + "\r\nX-Timeout: 900000u\r\nContent-Length: 0\r\n\r\n");
         return lines.back();
--- a/tests/system/proxy_world.hpp
+++ b/tests/system/proxy_world.hpp
@@ -19,19 +19,19 @@
 namespace myrtleroute::testing {
 
 // One end of a connection that the test plays.
-class ScriptedEnd : public lab::Ear {
+class ScriptedEnd : public lab::SocketObserver {
 public:
     ScriptedEnd(lab::Net& net, lab::Handle socket) : net_(net), socket_(std::move(socket)) {}
-    void heard(lab::Socket& socket) override {
+    void socket_changed(lab::Socket& socket) override {
         if (!reads) return;
         received += net_.read_all(socket);
         ended = ended || socket.fin_in;
-        broken = broken || socket.state == lab::Socket::State::over;
+        broken = broken || socket.state == lab::Socket::State::reset;
     }
     void send(const std::string& bytes) { net_.send(*socket_, bytes); }
     void end_sending() { net_.end_sending(*socket_); }
     void close() { net_.close(*socket_); }
-    void reset() { net_.abort(*socket_); }
+    void reset() { net_.reset(*socket_); }
     // What has come since the last call.
     std::string take() { return std::exchange(received, {}); }
     bool up() const { return socket_->state == lab::Socket::State::up; }
@@ -46,18 +46,18 @@
 };
 
 // Listens at an address and accepts whatever comes.
-class ScriptedListener : public lab::Ear {
+class ScriptedListener : public lab::SocketObserver {
 public:
     ScriptedListener(lab::Net& net, int machine, const Endpoint& at) : net_(net), machine_{machine} {
         in_addr address{};
         inet_pton(AF_INET, at.address.c_str(), &address);
         socket_ = net_.listen(machine_, *this, lab::address_of(ntohl(address.s_addr), at.port));
     }
-    void heard(lab::Socket& listener) override {
+    void socket_changed(lab::Socket& listener) override {
         while (auto socket = net_.accept(listener)) {
             ends.push_back(std::make_unique<ScriptedEnd>(net_, socket));
-            socket->ear = ends.back().get();
-            ends.back()->heard(*socket);
+            socket->observer = ends.back().get();
+            ends.back()->socket_changed(*socket);
         }
     }
     lab::Machine& machine() { return machine_; }
@@ -130,8 +130,8 @@
         in_addr address{};
         inet_pton(AF_INET, proxy_address, &address);
         const auto to = lab::address_of(ntohl(address.s_addr), port);
-        // The end is its socket's ear, and the socket is made first.
-        clients_.push_back(std::make_unique<LateEar>());
+        // The end is its socket's observer, and the socket is made first.
+        clients_.push_back(std::make_unique<LateObserver>());
         auto socket = net.connect(client_machine_, *clients_.back(), to);
         clients_.back()->end = std::make_unique<ScriptedEnd>(net, socket);
         advance(Span{0.01});
@@ -199,10 +199,10 @@
     std::vector<std::unique_ptr<ScriptedListener>> hosts;
 
 private:
-    struct LateEar : lab::Ear {
+    struct LateObserver : lab::SocketObserver {
         std::unique_ptr<ScriptedEnd> end;
-        void heard(lab::Socket& socket) override {
-            if (end) end->heard(socket);
+        void socket_changed(lab::Socket& socket) override {
+            if (end) end->socket_changed(socket);
         }
     };
     static Endpoint host_address(size_t i) { return {"10.9.0." + std::to_string(i + 1), 80}; }
@@ -219,13 +219,13 @@
         proxy_->round();
         if (proxy_->over()) return home_.end_process();
         if (wake_ != before) return;   // something was heard meanwhile
-        wake(home_.sleeps() ? home_.until() : queue.now());
+        wake(home_.is_waiting() ? home_.waits_until() : queue.now());
     }
 
     lab::Machine machine_{1}, client_machine_{3};
     lab::VirtualHome home_;
     std::unique_ptr<proxy::Proxy> proxy_;
-    std::vector<std::unique_ptr<LateEar>> clients_;
+    std::vector<std::unique_ptr<LateObserver>> clients_;
     uint64_t wake_ = 0;
     bool started_ = false;
 };
