--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -115,7 +115,7 @@
             return at_fault;
         }
         return show(*small, "run " + out, 0, "", true);
-    } catch (const BadScenario& fault) {
+    } catch (const ScenarioError& fault) {
         std::cerr << fault.what() << '\n';
         return at_fault;
     }
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -25,14 +25,14 @@
     const Table table(path, t, {"kind", "at_s", "lasts_s", "who", "how"});
     const auto* kind = t.get("kind");
     const auto found = kind && kind->is_string() ? fault_named(**kind->as_string()) : std::nullopt;
-    if (!found) bad(path, kind ? kind->source() : t.source(), "kind must name a fault; `faults` lists them");
+    if (!found) fail_at(path, kind ? kind->source() : t.source(), "kind must name a fault; `faults` lists them");
     const auto whom = name_of(*found).whom;
     const int most = whom == Whom::server ? s.servers : whom == Whom::proxy ? s.proxies : 1;
     Fault f;
     f.kind = *found;
     f.at = {table.number("at_s", 0, 0, most_seconds)};
     f.lasts = {table.number("lasts_s", 1, 0, most_seconds)};
-    f.who = table.whole("who", 0, 0, most - 1);
+    f.who = table.integer("who", 0, 0, most - 1);
     f.how = table.number("how", 0.5, 0, 1);
     return f;
 }
@@ -97,29 +97,29 @@
     Scenario s;
     const auto* seed = t.get("seed");
     if (!seed || !seed->is_integer() || **seed->as_integer() < 0)
-        bad(path, seed ? seed->source() : t.source(), "seed must be a whole number of 0 or more");
+        fail_at(path, seed ? seed->source() : t.source(), "seed must be a whole number of 0 or more");
     s.seed = static_cast<uint64_t>(**seed->as_integer());
     s.lasts = {table.number("lasts_s", s.lasts.s, 0.1, most_seconds)};
-    s.proxies = table.whole("proxies", s.proxies, 1, most_proxies);
-    s.servers = table.whole("servers", s.servers, 1, most_servers);
+    s.proxies = table.integer("proxies", s.proxies, 1, most_proxies);
+    s.servers = table.integer("servers", s.servers, 1, most_servers);
     s.calls_a_second = table.number("calls_per_s", s.calls_a_second, 0, most_rate);
     s.rough = table.number("rough", s.rough, 0, 1);
     if (const auto* alone = t.get("drain_alone")) {
-        if (!alone->is_boolean()) bad(path, alone->source(), "drain_alone must be true or false");
+        if (!alone->is_boolean()) fail_at(path, alone->source(), "drain_alone must be true or false");
         s.drain_alone = **alone->as_boolean();
     }
     if (const auto* ranges = t.get("left_out")) {
-        if (!ranges->is_array()) bad(path, ranges->source(), "left_out must be a list of [first, last]");
+        if (!ranges->is_array()) fail_at(path, ranges->source(), "left_out must be a list of [first, last]");
         for (const auto& node : *ranges->as_array()) {
             const auto* range = node.as_array();
             const auto first = range && range->size() == 2 ? (*range)[0].value<int64_t>() : std::nullopt;
             const auto last = first ? (*range)[1].value<int64_t>() : std::nullopt;
-            if (!last || *first < 0 || *last < *first) bad(path, node.source(), "must be [first, last]");
+            if (!last || *first < 0 || *last < *first) fail_at(path, node.source(), "must be [first, last]");
             s.left_out.emplace_back(*first, *last);
         }
     }
     if (const auto* faults = t.get("fault")) {
-        if (!faults->is_array_of_tables()) bad(path, faults->source(), "fault must be tables: [[fault]]");
+        if (!faults->is_array_of_tables()) fail_at(path, faults->source(), "fault must be tables: [[fault]]");
         for (const auto& node : *faults->as_array()) s.faults.push_back(read_fault(path, *node.as_table(), s));
     }
     return s;
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -83,7 +83,7 @@
     std::vector<std::pair<uint64_t, uint64_t>> left_out;   // calls that are not made: first, last
 };
 
-struct BadScenario : std::runtime_error {   // file:line:column, key, what is wrong
+struct ScenarioError : std::runtime_error {   // file:line:column, key, what is wrong
     using std::runtime_error::runtime_error;
 };
 
--- a/src/lab/toml_table.hpp
+++ b/src/lab/toml_table.hpp
@@ -15,10 +15,10 @@
 
 namespace myrtleroute::lab {
 
-[[noreturn]] inline void bad(const std::string& path, const toml::source_region& at, const std::string& what) {
+[[noreturn]] inline void fail_at(const std::string& path, const toml::source_region& at, const std::string& what) {
     std::ostringstream text;
     text << path << ':' << at.begin.line << ':' << at.begin.column << ": " << what;
-    throw BadScenario(text.str());
+    throw ScenarioError(text.str());
 }
 
 class Table {
@@ -27,31 +27,31 @@
         : path_(path), table_(table) {
         for (const auto& [key, value] : table)
             if (std::find(known.begin(), known.end(), key.str()) == known.end())
-                bad(path, key.source(), std::string(key.str()) + " is no key of this table");
+                fail_at(path, key.source(), std::string(key.str()) + " is no key of this table");
     }
     bool has(std::string_view key) const { return table_.get(key) != nullptr; }
     const toml::table& source() const { return table_; }
-    [[noreturn]] void fault(std::string_view key, const std::string& what) const {
+    [[noreturn]] void fail(std::string_view key, const std::string& what) const {
         const auto* node = table_.get(key);
-        bad(path_, node ? node->source() : table_.source(), std::string(key) + ' ' + what);
+        fail_at(path_, node ? node->source() : table_.source(), std::string(key) + ' ' + what);
     }
-    std::string text(std::string_view key, const std::string& otherwise) const {
+    std::string text(std::string_view key, const std::string& fallback) const {
         const auto* node = table_.get(key);
-        if (!node) return otherwise;
-        if (!node->is_string()) fault(key, "must be a text");
+        if (!node) return fallback;
+        if (!node->is_string()) fail(key, "must be a text");
         return **node->as_string();
     }
-    std::string one_of(std::string_view key, const std::string& otherwise, std::initializer_list<std::string_view> words) const {
-        const auto said = text(key, otherwise);
-        if (std::find(words.begin(), words.end(), said) != words.end()) return said;
+    std::string one_of(std::string_view key, const std::string& fallback, std::initializer_list<std::string_view> allowed) const {
+        const auto value = text(key, fallback);
+        if (std::find(allowed.begin(), allowed.end(), value) != allowed.end()) return value;
         std::string all;
-        for (const auto word : words) all.append(all.empty() ? "" : ", ").append(word);
-        fault(key, "must be one of " + all);
+        for (const auto each : allowed) all.append(all.empty() ? "" : ", ").append(each);
+        fail(key, "must be one of " + all);
     }
-    bool yes(std::string_view key, bool otherwise) const {
+    bool boolean(std::string_view key, bool fallback) const {
         const auto* node = table_.get(key);
-        if (!node) return otherwise;
-        if (!node->is_boolean()) fault(key, "must be true or false");
+        if (!node) return fallback;
+        if (!node->is_boolean()) fail(key, "must be true or false");
         return **node->as_boolean();
     }
     // Tables under one key, `[[key]]`; none where it is not there.
@@ -59,29 +59,29 @@
         std::vector<const toml::table*> all;
         const auto* node = table_.get(key);
         if (!node) return all;
-        if (!node->is_array_of_tables()) fault(key, "must be tables: [[" + std::string(key) + "]]");
+        if (!node->is_array_of_tables()) fail(key, "must be tables: [[" + std::string(key) + "]]");
         for (const auto& each : *node->as_array()) all.push_back(each.as_table());
         return all;
     }
-    const toml::table* part(std::string_view key) const {
+    const toml::table* subtable(std::string_view key) const {
         const auto* node = table_.get(key);
-        if (node && !node->is_table()) fault(key, "must be a table: [" + std::string(key) + "]");
+        if (node && !node->is_table()) fail(key, "must be a table: [" + std::string(key) + "]");
         return node ? node->as_table() : nullptr;
     }
-    double number(std::string_view key, double otherwise, double least, double most) const {
+    double number(std::string_view key, double fallback, double min, double max) const {
         const auto* node = table_.get(key);
-        if (!node) return otherwise;
+        if (!node) return fallback;
         const auto value = node->value<double>();
-        if (!node->is_number() || !(*value >= least && *value <= most)) {
+        if (!node->is_number() || !(*value >= min && *value <= max)) {
             std::ostringstream text;
-            text << key << " must be a number between " << least << " and " << most;
-            bad(path_, node->source(), text.str());
+            text << key << " must be a number between " << min << " and " << max;
+            fail_at(path_, node->source(), text.str());
         }
         return *value;
     }
-    int whole(std::string_view key, int otherwise, int least, int most) const {
-        const double value = number(key, otherwise, least, most);
-        if (value != std::floor(value)) bad(path_, table_.get(key)->source(), std::string(key) + " must be whole");
+    int integer(std::string_view key, int fallback, int min, int max) const {
+        const double value = number(key, fallback, min, max);
+        if (value != std::floor(value)) fail_at(path_, table_.get(key)->source(), std::string(key) + " must be whole");
         return static_cast<int>(value);
     }
 
@@ -93,8 +93,8 @@
 inline toml::table parse_toml(const std::string& path) {
     try {
         return toml::parse_file(path);
-    } catch (const toml::parse_error& fault) {
-        bad(path, fault.source(), std::string(fault.description()));
+    } catch (const toml::parse_error& error) {
+        fail_at(path, error.source(), std::string(error.description()));
     }
 }
 
--- a/src/rig/experiment.cpp
+++ b/src/rig/experiment.cpp
@@ -11,7 +11,7 @@
 
 namespace myrtleroute::rig {
 
-using lab::bad;
+using lab::fail_at;
 using lab::Table;
 
 namespace {
@@ -48,7 +48,7 @@
 }
 
 nlohmann::json settings_of(const Table& t, std::string_view key) {
-    const auto* part = t.part(key);
+    const auto* part = t.subtable(key);
     return part ? to_json(*part) : nlohmann::json::object();
 }
 
@@ -56,7 +56,7 @@
     try {
         return read_group(t.text(key, otherwise), e);
     } catch (const std::invalid_argument& fault) {
-        t.fault(key, fault.what());
+        t.fail(key, fault.what());
     }
 }
 
@@ -64,7 +64,7 @@
     const Table t(path, source, {"name", "value", "slo_s", "timeout_s", "kind", "work_s", "share", "window_s"});
     Product p;
     p.name = t.text("name", "");
-    if (p.name.empty()) t.fault("name", "must be given");
+    if (p.name.empty()) t.fail("name", "must be given");
     p.value = t.number("value", 1, 0, 1e6);
     p.slo = {t.number("slo_s", 0.5, 0.001, 60)};
     p.timeout = {t.number("timeout_s", 2, 0.001, 3)};
@@ -81,7 +81,7 @@
     const Table t(path, source, {"kind", "who", "to", "way", "at_s", "lasts_s", "staggered_s", "how", "delay_ms",
                                  "jitter_ms", "rate", "program", "settings"});
     const auto found = fault_named(t.text("kind", ""));
-    if (!found) t.fault("kind", "must name a fault; `myrtleroute_fleet faults` lists them");
+    if (!found) t.fail("kind", "must name a fault; `myrtleroute_fleet faults` lists them");
     Fault f;
     f.kind = *found;
     const auto whom = name_of(*found).whom;
@@ -96,18 +96,18 @@
     f.settings = settings_of(t, "settings");
     const auto way = t.one_of("way", "both", {"both", "there", "back"});
     f.way = way == "both" ? both : way == "there" ? there : back;
-    if (f.kind == FaultKind::throttle && f.rate <= 0) t.fault("rate", "must be above 0");
-    if (f.kind == FaultKind::delay && f.delay + f.jitter <= 0) t.fault("delay_ms", "or jitter_ms must be above 0");
+    if (f.kind == FaultKind::throttle && f.rate <= 0) t.fail("rate", "must be above 0");
+    if (f.kind == FaultKind::delay && f.delay + f.jitter <= 0) t.fail("delay_ms", "or jitter_ms must be above 0");
     static constexpr const char* whose[] = {"proxies", "servers", "discovery", "proxies"};
     f.who = group(t, "who", whose[static_cast<int>(whom)], e);
     const auto must_be = [&](Party party, const char* word) {
-        if (f.who.party != party) t.fault("who", std::string("of this kind of fault must be ") + word);
+        if (f.who.party != party) t.fail("who", std::string("of this kind of fault must be ") + word);
     };
     if (whom == Whom::process) must_be(Party::proxies, "proxies");
     if (whom == Whom::server) must_be(Party::servers, "servers");
     if (whom == Whom::discovery) must_be(Party::discovery, "discovery");
     if (whom != Whom::link) {
-        if (t.has("to")) t.fault("to", "goes with faults of links only");
+        if (t.has("to")) t.fail("to", "goes with faults of links only");
         return f;
     }
     f.to = group(t, "to", "servers", e);
@@ -115,7 +115,7 @@
     else if (f.who.party == Party::proxies && f.to.party == Party::servers) f.link = Kind::server;
     else if (f.who.party == Party::proxies && f.to.party == Party::discovery) f.link = Kind::discovery;
     else if (f.who.party == Party::proxies && f.to.party == Party::proxies) f.link = Kind::peer;
-    else t.fault("to", "must be proxies where `who` is applications, or servers, discovery or proxies where it is proxies");
+    else t.fail("to", "must be proxies where `who` is applications, or servers, discovery or proxies where it is proxies");
     return f;
 }
 
@@ -130,7 +130,7 @@
         const Table b(path, *each, {"who", "at_s", "lasts_s", "factor"});
         Burst burst;
         burst.who = group(b, "who", "proxies", e);
-        if (burst.who.party != Party::proxies) b.fault("who", "must be proxies: their applications call more often");
+        if (burst.who.party != Party::proxies) b.fail("who", "must be proxies: their applications call more often");
         burst.at = {b.number("at_s", 0, 0, most_seconds)};
         burst.lasts = {b.number("lasts_s", 1, 0.01, most_seconds)};
         burst.factor = b.number("factor", 2, 0, 1000);
@@ -140,17 +140,17 @@
 
 void read_servers(const std::string& path, const toml::table& source, Experiment& e) {
     const Table t(path, source, {"cores", "queue", "connections", "sizes", "work_varies"});
-    e.cores = t.whole("cores", e.cores, 1, 1024);
-    e.queue = t.whole("queue", e.queue, 0, 1 << 20);
-    e.connections = t.whole("connections", e.connections, 1, 1 << 20);
-    e.work_varies = t.yes("work_varies", e.work_varies);
+    e.cores = t.integer("cores", e.cores, 1, 1024);
+    e.queue = t.integer("queue", e.queue, 0, 1 << 20);
+    e.connections = t.integer("connections", e.connections, 1, 1 << 20);
+    e.work_varies = t.boolean("work_varies", e.work_varies);
     const auto* sizes = source.get("sizes");
     if (!sizes) return;
     e.sizes.clear();
     if (const auto* list = sizes->as_array())
         for (const auto& size : *list) e.sizes.push_back(size.value<double>().value_or(0));
     if (e.sizes.empty() || std::any_of(e.sizes.begin(), e.sizes.end(), [](double s) { return s <= 0 || s > 64; }))
-        t.fault("sizes", "must be a list of numbers above 0, 64 at most");
+        t.fail("sizes", "must be a list of numbers above 0, 64 at most");
 }
 
 int whole(std::string_view text, const std::string& said) {
@@ -215,17 +215,17 @@
     e.path = path;
     e.name = t.text("name", std::filesystem::path(path).stem().string());
     e.text = t.text("text", "");
-    e.seed = static_cast<uint64_t>(t.whole("seed", 1, 0, 1 << 30));
-    e.proxies = t.whole("proxies", e.proxies, 1, most_parties);
-    e.servers = t.whole("servers", e.servers, 1, most_parties);
-    e.zones = t.whole("zones", 1, 1, 26);
-    e.repeats = t.whole("repeats", 1, 1, 1000);
+    e.seed = static_cast<uint64_t>(t.integer("seed", 1, 0, 1 << 30));
+    e.proxies = t.integer("proxies", e.proxies, 1, most_parties);
+    e.servers = t.integer("servers", e.servers, 1, most_parties);
+    e.zones = t.integer("zones", 1, 1, 26);
+    e.repeats = t.integer("repeats", 1, 1, 1000);
     e.lasts = {t.number("lasts_s", e.lasts.s, 0.5, most_seconds)};
     e.window = {t.number("window_s", e.window.s, 0.1, most_seconds)};
     e.slack = {t.number("slack_s", e.slack.s, 0, 60)};
-    if (const auto* load = t.part("load")) read_load(path, *load, e);
-    if (const auto* server = t.part("server")) read_servers(path, *server, e);
-    if (const auto* part = t.part("guarantees")) {
+    if (const auto* load = t.subtable("load")) read_load(path, *load, e);
+    if (const auto* server = t.subtable("server")) read_servers(path, *server, e);
+    if (const auto* part = t.subtable("guarantees")) {
         const Table g(path, *part, {"warm_after_s", "drain_grace_s", "ask_within_s", "fall_s", "start_capacity", "tip_multiple"});
         e.warm_after = {g.number("warm_after_s", e.warm_after.s, 0.1, 600)};
         e.drain_grace = {g.number("drain_grace_s", e.drain_grace.s, 0.1, 600)};
@@ -239,17 +239,17 @@
     if (e.products.empty()) e.products.push_back({.name = "timetable"});
     std::set<std::string> said;
     for (const auto& p : e.products)
-        if (!said.insert(p.name).second) t.fault("product", "must have names of their own; twice: " + p.name);
+        if (!said.insert(p.name).second) t.fail("product", "must have names of their own; twice: " + p.name);
     for (const auto* each : t.tables("fault")) {
         e.faults.push_back(read_fault(path, *each, e));
         if (e.faults.back().link != Kind::none && !e.relays(e.faults.back().link)) e.relayed.push_back(e.faults.back().link);
     }
     if (const auto* relayed = source.get("relayed")) {
-        if (!relayed->is_array()) t.fault("relayed", "must be a list");
+        if (!relayed->is_array()) t.fail("relayed", "must be a list");
         for (const auto& node : *relayed->as_array()) {
             const auto word = node.value<std::string>().value_or("");
             const auto* at = std::find(std::begin(kind_names) + 1, std::end(kind_names), word);
-            if (at == std::end(kind_names)) bad(path, node.source(), "must be one of applications, servers, discovery, proxies");
+            if (at == std::end(kind_names)) fail_at(path, node.source(), "must be one of applications, servers, discovery, proxies");
             const auto kind = static_cast<Kind>(at - std::begin(kind_names));
             if (!e.relays(kind)) e.relayed.push_back(kind);
         }
--- a/src/rig/experiment.hpp
+++ b/src/rig/experiment.hpp
@@ -8,14 +8,14 @@
 #include <string_view>
 #include <vector>
 
-#include "lab/scenario.hpp"   // BadScenario
+#include "lab/scenario.hpp"   // ScenarioError
 #include "model.hpp"
 #include "rig/links.hpp"
 #include "time.hpp"
 
 namespace myrtleroute::rig {
 
-using lab::BadScenario;
+using lab::ScenarioError;
 
 enum class Party { proxies, servers, discovery, applications };
 
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -163,7 +163,7 @@
     std::string said;
     try {
         read_scenario(file.path);
-    } catch (const BadScenario& fault) {
+    } catch (const ScenarioError& fault) {
         said = fault.what();
     }
     CAPTURE(text, said);
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -186,7 +186,7 @@
     std::string said;
     try {
         read_experiment(path);
-    } catch (const BadScenario& fault) {
+    } catch (const ScenarioError& fault) {
         said = fault.what();
     }
     CAPTURE(text, said);
