--- a/src/lab/application.hpp
+++ b/src/lab/application.hpp
@@ -11,43 +11,43 @@
 public:
     Application(Site& site, int proxy);
     ~Application() override;
-    void begins(const Fault& fault);
-    void ends(const Fault& fault);
-    void burst(double factor) { burst_ = factor; }
-    void answer_comes(uint64_t call, Time when);   // to the proxy
-    void stops();                                  // no more calls; idle connections are closed
+    void fault_begins(const Fault& fault);
+    void fault_ends(const Fault& fault);
+    void set_load_factor(double factor) { load_factor_ = factor; }
+    void response_expected(uint64_t call, Time when);   // to the proxy
+    void stop();                                  // no more calls; idle connections are closed
     void socket_changed(Socket& socket) override;
 
 private:
-    struct Conn;
-    bool on(FaultKind kind) const { return on_[static_cast<size_t>(kind)] > 0; }
-    double how(FaultKind kind) const { return how_[static_cast<size_t>(kind)]; }
-    bool left_out(uint64_t number) const;
+    struct Connection;
+    bool is_active(FaultKind kind) const { return active_[static_cast<size_t>(kind)] > 0; }
+    double strength(FaultKind kind) const { return strength_[static_cast<size_t>(kind)]; }
+    bool is_omitted(uint64_t number) const;
     void next_call();
     void call_on(uint64_t socket);
-    void make(uint64_t number, uint64_t idle);
-    Conn& connect();
-    void send(Conn& conn);
-    void leave(uint64_t socket, Time arrives = {});
-    void over(Conn& conn);
-    void lost(uint64_t socket);
-    void stranger();
-    void check_owed(uint64_t socket, Time due);
+    void make_call(uint64_t number, uint64_t idle);
+    Connection& connect();
+    void send(Connection& connection);
+    void disconnect(uint64_t socket, Time arrives = {});
+    void call_finished(Connection& connection);
+    void connection_lost(uint64_t socket);
+    void connect_stray();
+    void check_first_response(uint64_t socket, Time due);
 
     Site& site_;
     int proxy_;
     Machine machine_;
-    RandomStream chance_, arrivals_;
-    uint64_t made_ = 0;
-    double burst_ = 1;
+    RandomStream random_, arrivals_;
+    uint64_t calls_made_ = 0;
+    double load_factor_ = 1;
     bool stopped_ = false;
-    std::map<uint64_t, std::unique_ptr<Conn>> conns_;    // by socket
+    std::map<uint64_t, std::unique_ptr<Connection>> connections_;    // by socket
     std::vector<uint64_t> idle_;                         // the latest used last
-    std::map<uint64_t, uint64_t> leaves_as_answered_;    // socket by call
-    std::array<int, static_cast<size_t>(FaultKind::kinds)> on_{};
-    std::array<double, static_cast<size_t>(FaultKind::kinds)> how_{};
+    std::map<uint64_t, uint64_t> disconnect_on_response_;    // socket by call
+    std::array<int, static_cast<size_t>(FaultKind::kinds)> active_{};
+    std::array<double, static_cast<size_t>(FaultKind::kinds)> strength_{};
 };
 
-constexpr uint64_t calls_a_proxy = 10'000'000;   // numbers of calls: proxy times this, and one more each
+constexpr uint64_t call_numbers_per_proxy = 10'000'000;   // numbers of calls: proxy times this, and one more each
 
 }  // namespace myrtleroute::lab
--- a/src/lab/held_bytes.hpp
+++ b/src/lab/held_bytes.hpp
@@ -5,25 +5,25 @@
 
 namespace myrtleroute::lab {
 
-class HeldBytes {
+class HeapCounter {
 public:
-    explicit HeldBytes(ptrdiff_t& bytes);
-    ~HeldBytes();
-    HeldBytes(const HeldBytes&) = delete;
+    explicit HeapCounter(ptrdiff_t& bytes);
+    ~HeapCounter();
+    HeapCounter(const HeapCounter&) = delete;
 
 private:
-    ptrdiff_t* before_;
+    ptrdiff_t* previous_;
 };
 
 // While one of these lives, nothing counts: the lab's own work inside of a proxy's.
-class NotHeld {
+class HeapCounterPause {
 public:
-    NotHeld();
-    ~NotHeld();
-    NotHeld(const NotHeld&) = delete;
+    HeapCounterPause();
+    ~HeapCounterPause();
+    HeapCounterPause(const HeapCounterPause&) = delete;
 
 private:
-    ptrdiff_t* before_;
+    ptrdiff_t* previous_;
 };
 
 }  // namespace myrtleroute::lab
--- a/src/lab/net.cpp
+++ b/src/lab/net.cpp
@@ -11,12 +11,12 @@
 using State = Socket::State;
 
 Span Net::latency(const Machine& a, const Machine& b) {
-    double s = 0.0002 + chance_.exponential(0.0001) + a.delay + b.delay;
-    if (rough > 0 && chance_.bernoulli(rough * 0.05)) s += chance_.between(0.005, 0.04);   // lost and sent again
+    double s = 0.0002 + random_.exponential(0.0001) + a.delay + b.delay;
+    if (disturbed_share > 0 && random_.bernoulli(disturbed_share * 0.05)) s += random_.between(0.005, 0.04);   // lost and sent again
     return {s};
 }
 
-void Net::hear(Socket& s) {
+void Net::notify(Socket& s) {
     if (s.observer && !s.closed) s.observer->socket_changed(s);
 }
 
@@ -48,21 +48,21 @@
     s->here = &here;
     s->observer = &observer;
     s->remote = to;
-    if (here.proxy && tap_) tap_->opened(*s);
-    queue_.in(latency(here, here), [this, s] { knock(s); });
+    if (here.proxy && tap_) tap_->connect_started(*s);
+    queue_.in(latency(here, here), [this, s] { try_connect(s); });
     return s;
 }
 
-void Net::knock(const Handle& from) {
+void Net::try_connect(const Handle& from) {
     if (from->closed || from->state != State::connecting) return;
     const auto it = listeners_.find(from->remote);
-    Time blocked = from->here->unreachable_until;
-    if (it != listeners_.end()) blocked = std::max(blocked, it->second->here->unreachable_until);
-    if (blocked > queue_.now()) return queue_.at(blocked + Span{0.01}, [this, from] { knock(from); });
-    if (it == listeners_.end()) return put(*from, {Kind::reset, {}});
+    Time blocked_until = from->here->unreachable_until;
+    if (it != listeners_.end()) blocked_until = std::max(blocked_until, it->second->here->unreachable_until);
+    if (blocked_until > queue_.now()) return queue_.at(blocked_until + Span{0.01}, [this, from] { try_connect(from); });
+    if (it == listeners_.end()) return enqueue(*from, {Kind::reset, {}});
     auto& listener = *it->second;
-    if (listener.waiting.size() >= listener.most_waiting)   // as Linux: unheard, asked again in a second
-        return queue_.in({1}, [this, from] { knock(from); });
+    if (listener.waiting.size() >= listener.max_backlog)   // as Linux: unheard, asked again in a second
+        return queue_.in({1}, [this, from] { try_connect(from); });
     auto s = std::make_shared<Socket>();
     s->number = next_++;
     s->state = State::up;
@@ -71,9 +71,9 @@
     s->other = from;
     from->other = s;
     paired_.insert({from.get(), s.get()});
-    put(*from, {Kind::up, {}});
+    enqueue(*from, {Kind::up, {}});
     listener.waiting.push_back(s);
-    hear(listener);
+    notify(listener);
 }
 
 Handle Net::accept(Socket& listener) {
@@ -84,28 +84,28 @@
     return s;
 }
 
-void Net::put(Socket& to, Socket::Segment segment, Time arrives) {
+void Net::enqueue(Socket& to, Socket::Segment segment, Time arrives) {
     const Machine& far = to.other ? *to.other->here : *to.here;
     to.last = std::max({to.last, queue_.now() + latency(*to.here, far), arrives});
-    to.bytes_under_way += segment.bytes.size();
-    to.under_way.push_back(std::move(segment));
+    to.bytes_in_flight += segment.bytes.size();
+    to.in_flight.push_back(std::move(segment));
     queue_.at(to.last, [this, handle = to.shared_from_this()] { arrive(handle); });
 }
 
 // The first under way comes in; later ones can't overtake it.
 void Net::arrive(const Handle& to) {
     auto& s = *to;
-    if (s.under_way.empty()) return;
-    Time blocked = s.here->unreachable_until;
-    if (s.other) blocked = std::max(blocked, s.other->here->unreachable_until);
-    if (blocked > queue_.now()) return queue_.at(blocked + Span{0.002}, [this, to] { arrive(to); });
-    const auto segment = std::move(s.under_way.front());
-    s.under_way.pop_front();
-    s.bytes_under_way -= segment.bytes.size();
+    if (s.in_flight.empty()) return;
+    Time blocked_until = s.here->unreachable_until;
+    if (s.other) blocked_until = std::max(blocked_until, s.other->here->unreachable_until);
+    if (blocked_until > queue_.now()) return queue_.at(blocked_until + Span{0.002}, [this, to] { arrive(to); });
+    const auto segment = std::move(s.in_flight.front());
+    s.in_flight.pop_front();
+    s.bytes_in_flight -= segment.bytes.size();
     if (s.closed) {
         // Nobody is there for it: the other end hears so, as for bytes after a close.
-        if (segment.kind == Kind::data && s.other && !s.other->closed) put(*s.other, {Kind::reset, {}});
-        return let_go(s);
+        if (segment.kind == Kind::data && s.other && !s.other->closed) enqueue(*s.other, {Kind::reset, {}});
+        return unpair(s);
     }
     if (s.state == State::reset) return;
     switch (segment.kind) {
@@ -118,28 +118,28 @@
             break;
         case Kind::data:
             s.in += segment.bytes;
-            s.got += segment.bytes.size();
-            if (s.here->proxy && tap_) tap_->came(s);
+            s.bytes_received += segment.bytes.size();
+            if (s.here->proxy && tap_) tap_->bytes_arrived(s);
             break;
     }
-    hear(s);
+    notify(s);
 }
 
 ssize_t Net::read(Socket& s, char* into, size_t n) {
     if (!s.in.empty()) {
         size_t count = std::min(n, s.in.size());
-        if (rough > 0 && count > 1 && chance_.bernoulli(rough * 0.2)) count = 1 + chance_.below(static_cast<int>(count - 1));
+        if (disturbed_share > 0 && count > 1 && random_.bernoulli(disturbed_share * 0.2)) count = 1 + random_.below(static_cast<int>(count - 1));
         std::memcpy(into, s.in.data(), count);
         s.in.erase(0, count);
-        s.taken += count;
-        if (s.other && s.other->starved) {
-            s.other->starved = false;
+        s.bytes_read += count;
+        if (s.other && s.other->write_blocked) {
+            s.other->write_blocked = false;
             queue_.in(latency(*s.here, *s.other->here), [this, other = s.other] {
                 send_rest(*other, room(*other));
-                hear(*other);
+                notify(*other);
             });
         }
-        if (s.here->proxy && tap_) tap_->took(s, {into, count});
+        if (s.here->proxy && tap_) tap_->was_read(s, {into, count});
         return static_cast<ssize_t>(count);
     }
     if (s.error) {
@@ -163,8 +163,8 @@
 
 size_t Net::room(const Socket& s) const {
     if (!s.other) return 0;
-    const size_t held = s.other->bytes_under_way + s.other->in.size();
-    return held >= window ? 0 : window - held;
+    const size_t buffered = s.other->bytes_in_flight + s.other->in.size();
+    return buffered >= window ? 0 : window - buffered;
 }
 
 ssize_t Net::write(Socket& s, std::string_view bytes, Time arrives) {
@@ -177,25 +177,25 @@
         return -1;
     }
     size_t n = std::min(bytes.size(), room(s));
-    if (n > 1 && rough > 0 && s.here->proxy && chance_.bernoulli(rough * 0.2))
-        n = 1 + chance_.below(static_cast<int>(n - 1));
+    if (n > 1 && disturbed_share > 0 && s.here->proxy && random_.bernoulli(disturbed_share * 0.2))
+        n = 1 + random_.below(static_cast<int>(n - 1));
     if (n == 0) {
-        s.starved = true;
+        s.write_blocked = true;
         errno = EAGAIN;
         return -1;
     }
     if (n < bytes.size()) {   // there is room again in a moment
-        s.starved = true;
+        s.write_blocked = true;
         if (room(s) > n)
-            queue_.in({0.0001}, [this, handle = s.shared_from_this()] { hear(*handle); });
+            queue_.in({0.0001}, [this, handle = s.shared_from_this()] { notify(*handle); });
     }
-    s.sent += n;
+    s.bytes_sent += n;
     auto left = bytes.substr(0, n);
-    if (s.here->proxy && tap_) tap_->wrote(s, left);
+    if (s.here->proxy && tap_) tap_->was_written(s, left);
     while (!left.empty()) {
         size_t part = left.size();
-        if (part > 1 && rough > 0 && chance_.bernoulli(rough * 0.3)) part = 1 + chance_.below(static_cast<int>(part - 1));
-        put(*s.other, {Kind::data, std::string(left.substr(0, part))}, arrives);
+        if (part > 1 && disturbed_share > 0 && random_.bernoulli(disturbed_share * 0.3)) part = 1 + random_.below(static_cast<int>(part - 1));
+        enqueue(*s.other, {Kind::data, std::string(left.substr(0, part))}, arrives);
         left.remove_prefix(part);
     }
     return static_cast<ssize_t>(n);
@@ -206,20 +206,20 @@
     send_rest(s, room(s), arrives);
 }
 
-void Net::send_rest(Socket& s, size_t most, Time arrives) {
+void Net::send_rest(Socket& s, size_t max, Time arrives) {
     if (s.closed || s.fin_out || s.state != State::up || s.unsent.empty()) return;
-    const auto n = std::min(most, s.unsent.size());
-    if (n > 0) put(*s.other, {Kind::data, s.unsent.substr(0, n)}, arrives);
-    s.sent += n;
+    const auto n = std::min(max, s.unsent.size());
+    if (n > 0) enqueue(*s.other, {Kind::data, s.unsent.substr(0, n)}, arrives);
+    s.bytes_sent += n;
     s.unsent.erase(0, n);
-    s.starved = !s.unsent.empty();
+    s.write_blocked = !s.unsent.empty();
 }
 
 void Net::end_sending(Socket& s, Time arrives) {
     if (s.fin_out || s.state != State::up) return;
     send_rest(s, s.unsent.size());   // the system goes on with it after a close
     s.fin_out = true;
-    put(*s.other, {Kind::fin, {}}, arrives);
+    enqueue(*s.other, {Kind::fin, {}}, arrives);
 }
 
 void Net::close(Socket& s, Time arrives) {
@@ -227,22 +227,22 @@
     if (s.here->proxy && tap_) tap_->closing(s);
     if (s.state == State::listening) {
         listeners_.erase(s.local);
-        for (const auto& waits : std::exchange(s.waiting, {})) reset(*waits);
+        for (const auto& pending : std::exchange(s.waiting, {})) reset(*pending);
     } else if (s.state == State::up) {
-        if (!s.in.empty()) put(*s.other, {Kind::reset, {}}, arrives);
+        if (!s.in.empty()) enqueue(*s.other, {Kind::reset, {}}, arrives);
         else end_sending(s, arrives);
     }
     s.closed = true;
     s.in.clear();
-    let_go(s);
+    unpair(s);
 }
 
 void Net::reset(Socket& s) {
     if (s.closed) return;
     if (s.here->proxy && tap_) tap_->closing(s);
-    if (s.state == State::up) put(*s.other, {Kind::reset, {}});
+    if (s.state == State::up) enqueue(*s.other, {Kind::reset, {}});
     s.closed = true;
-    let_go(s);
+    unpair(s);
 }
 
 void Net::vanish(Socket& s) {
@@ -252,9 +252,9 @@
 }
 
 // The two ends name each other; once both are closed they no longer do.
-void Net::let_go(Socket& s) {
+void Net::unpair(Socket& s) {
     s.observer = nullptr;
-    if (!s.other || !s.other->closed || !s.under_way.empty() || !s.other->under_way.empty()) return;
+    if (!s.other || !s.other->closed || !s.in_flight.empty() || !s.other->in_flight.empty()) return;
     const auto other = std::exchange(s.other, nullptr);
     paired_.erase(&s);
     paired_.erase(other.get());
--- a/src/lab/net.hpp
+++ b/src/lab/net.hpp
@@ -49,40 +49,40 @@
     std::string in;
     bool fin_in = false;
     int error = 0;                     // an errno, until it is asked for
-    uint64_t got = 0, taken = 0, sent = 0;   // bytes come here, read here, written here
+    uint64_t bytes_received = 0, bytes_read = 0, bytes_sent = 0;   // bytes come here, read here, written here
     // What is under way to here.
     struct Segment {
         enum class Kind { up, data, fin, reset } kind;
         std::string bytes;
     };
-    std::deque<Segment> under_way;
-    size_t bytes_under_way = 0;
+    std::deque<Segment> in_flight;
+    size_t bytes_in_flight = 0;
     Time last{};                       // nothing overtakes what arrives then
     std::string unsent;                // of a stand-in's, that waits for room
-    bool fin_out = false, closed = false, starved = false;
+    bool fin_out = false, closed = false, write_blocked = false;
     // A listener's.
     std::deque<Handle> waiting;
-    size_t most_waiting = 128;
+    size_t max_backlog = 128;
 };
 
 class Tap {   // hears of a proxy's sockets, at the moment at which the proxy acts
 public:
     virtual ~Tap() = default;
-    virtual void wrote(Socket&, std::string_view bytes) = 0;
-    virtual void took(Socket&, std::string_view bytes) = 0;   // were read
-    virtual void came(Socket&) = 0;            // bytes have come and may be read
+    virtual void was_written(Socket&, std::string_view bytes) = 0;
+    virtual void was_read(Socket&, std::string_view bytes) = 0;   // were read
+    virtual void bytes_arrived(Socket&) = 0;            // bytes have come and may be read
     virtual void closing(Socket&) = 0;         // by the proxy, or at its end
-    virtual void opened(Socket&) = 0;          // a connect of the proxy's begins
+    virtual void connect_started(Socket&) = 0;          // a connect of the proxy's begins
 };
 
 constexpr uint64_t address_of(uint32_t ip, uint16_t port) { return static_cast<uint64_t>(ip) << 16 | port; }
 
 class Net {
 public:
-    Net(Queue& queue, uint64_t seed) : queue_(queue), chance_(seed, 0x4e4554) {}
+    Net(Queue& queue, uint64_t seed) : queue_(queue), random_(seed, 0x4e4554) {}
     ~Net();
-    void tapped_by(Tap& tap) { tap_ = &tap; }
-    double rough = 0;   // share of writes, reads and segments that are cut short, split or stalled
+    void set_tap(Tap& tap) { tap_ = &tap; }
+    double disturbed_share = 0;   // share of writes, reads and segments that are cut short, split or stalled
     size_t window = 128 * 1024;   // bytes that may be under way or unread
 
     Handle listen(Machine& here, SocketObserver& observer, uint64_t at);   // null: it is taken
@@ -102,15 +102,15 @@
 
 private:
     Span latency(const Machine& a, const Machine& b);
-    void put(Socket& to, Socket::Segment segment, Time arrives = {});
+    void enqueue(Socket& to, Socket::Segment segment, Time arrives = {});
     void arrive(const Handle& to);
-    void send_rest(Socket& s, size_t most, Time arrives = {});
-    void knock(const Handle& from);
-    void hear(Socket& s);
-    void let_go(Socket& s);
+    void send_rest(Socket& s, size_t max, Time arrives = {});
+    void try_connect(const Handle& from);
+    void notify(Socket& s);
+    void unpair(Socket& s);
 
     Queue& queue_;
-    RandomStream chance_;
+    RandomStream random_;
     Tap* tap_ = nullptr;
     std::map<uint64_t, Handle> listeners_;
     std::set<Socket*> paired_;   // the two ends of a stream hold each other
--- a/src/lab/oracle.cpp
+++ b/src/lab/oracle.cpp
@@ -14,8 +14,8 @@
 
 constexpr Time never{std::numeric_limits<double>::infinity()};
 constexpr Span slack{0.02};        // rounding of waits, and what a round takes
-constexpr Span look{0.25};         // between looks at each proxy
-constexpr Span ask_slack{1.5};     // a failed connect is told late
+constexpr Span check_interval{0.25};         // between looks at each proxy
+constexpr Span discovery_slack{1.5};     // a failed connect is told late
 
 constexpr const char* rule_names[] = {
 #define X(name, text) #name,
@@ -33,13 +33,13 @@
     uint64_t number = 0;
     bool has_number = false;
     int status = 0;
-    Span give_up;
+    Span timeout;
     std::string text;
     std::function<void()> head;
     int start(std::string_view first, std::string_view second, std::string_view) override {
         number = 0;
         has_number = false;
-        give_up = {};
+        timeout = {};
         text.clear();
         status = first.starts_with("HTTP/") ? wire::whole<int>(second).value_or(0) : 0;
         return 0;
@@ -50,7 +50,7 @@
                 number = *n;
                 has_number = true;
             }
-        if (wire::same(name, "X-Timeout")) give_up = wire::read_time_out(value);
+        if (wire::same(name, "X-Timeout")) timeout = wire::read_time_out(value);
         return 0;
     }
     int head_ends(Body) override {
@@ -64,79 +64,79 @@
 
 const char* name_of(Rule rule) { return rule_names[static_cast<int>(rule)]; }
 const char* text_of(Rule rule) { return rule_texts[static_cast<int>(rule)]; }
-std::optional<Rule> rule_named(std::string_view name) {
+std::optional<Rule> rule_from_name(std::string_view name) {
     for (size_t i = 0; i < std::size(rule_names); ++i)
         if (name == rule_names[i]) return static_cast<Rule>(i);
     return {};
 }
 
-struct Oracle::Conn {
-    explicit Conn(bool to_server)
-        : machine(to_server ? wire::HttpMachine::Side::ask : wire::HttpMachine::Side::answer, reader), asks(to_server) {}
+struct Oracle::Connection {
+    explicit Connection(bool to_server_side)
+        : machine(to_server_side ? wire::HttpMachine::Side::ask : wire::HttpMachine::Side::answer, reader), to_server(to_server_side) {}
     Reader reader;
     wire::HttpMachine machine;
-    bool asks;                // to a server; else to a client
+    bool to_server;                // to a server; else to a client
     int proxy = 0, server = -1;
     Time begun;
     uint64_t call = 0;        // whose shot is being written or is out
-    int shot = -1;            // < 0: none
+    int attempt = -1;            // < 0: none
     // What the proxy has read of the answer to it, and whether it still waits for more.
-    Reader heard;
-    wire::HttpMachine answer{wire::HttpMachine::Side::answer, heard};
+    Reader response_reader;
+    wire::HttpMachine answer{wire::HttpMachine::Side::answer, response_reader};
     bool busy = false;
 };
 
 Oracle::Oracle(Queue& queue, Trace& trace, const Scenario& scenario)
     : queue_(queue), trace_(trace), scenario_(scenario), proxies_(static_cast<size_t>(scenario.proxies)) {
     for (int i = 0; i < scenario.proxies; ++i) {
-        proxies_[i].gone_since.assign(static_cast<size_t>(scenario.servers), long_ago);
-        queue_.in(look, [this, i] { look_after(i); });
+        proxies_[i].unavailable_since.assign(static_cast<size_t>(scenario.servers), long_ago);
+        queue_.in(check_interval, [this, i] { check_discovery_requests(i); });
     }
 }
 Oracle::~Oracle() = default;
 
-void Oracle::breaks(Rule rule, std::vector<uint64_t> calls, std::string what) {
-    if (!broken_) broken_ = {rule, queue_.steps(), queue_.now(), std::move(calls), std::move(what)};
+void Oracle::report_violation(Rule rule, std::vector<uint64_t> calls, std::string what) {
+    if (!violation_) violation_ = {rule, queue_.steps(), queue_.now(), std::move(calls), std::move(what)};
 }
 
 // ---- clients
 
-void Oracle::sent(uint64_t number, int proxy, int product, const Socket& client) {
+void Oracle::call_sent(uint64_t number, int proxy, int product, const Socket& client) {
     auto& c = calls_[number];
     c = std::make_unique<LabCall>();
     c->number = number;
     c->proxy = proxy;
     c->product = product;
     c->client = client.number;
-    c->ends = client.sent;
+    c->client_end = client.bytes_sent;
     on_client_[client.number] = number;
     ++summary.calls;
-    note(Event::call_sent, number, product, client.number);
+    record(Event::call_sent, number, product, client.number);
 }
 
-void Oracle::sent_again(uint64_t number, const Socket& client) {
+void Oracle::call_resent(uint64_t number, const Socket& client) {
     auto& c = *calls_[number];
     c.client = client.number;
-    c.ends = client.sent;
+    c.client_end = client.bytes_sent;
     c.arrived = {-1};
-    c.again = true;
+    c.resent = true;
     on_client_[client.number] = number;
     summary.met(Hard::call_crosses_close);
-    note(Event::call_again, number, client.number);
+    record(Event::call_again, number, client.number);
 }
 
-void Oracle::left(uint64_t number) {
+void Oracle::client_left(uint64_t number) {
     auto* c = call(number);
-    if (!c || c->over) return;
+    if (!c || c->finished) return;
     c->left = true;
     ++summary.left;
-    note(Event::call_left, number);
+    record(Event::call_left, number);
 }
 
-void Oracle::answered(uint64_t number, int status, const std::string& body) {
-    note(Event::answer_read, number, status);
+void Oracle::response_read(uint64_t number, int status, const std::string& body) {
+    record(Event::answer_read, number, status);
     if (status == 200 && !body.starts_with("done " + std::to_string(number) + " "))
-        breaks(Rule::right_answer, {number}, "the client read: " + body.substr(0, 40));
+        report_violation(Rule::right_answer, {number}, "the client read: " + body.substr(0, 40));
 }
 
 LabCall* Oracle::call(uint64_t number) {
@@ -146,19 +146,21 @@
 
 // ---- servers
 
-LabShot* Oracle::shot(uint64_t number, const Socket& servers_end) {
+LabAttempt* Oracle::attempt(uint64_t number, const Socket& servers_end) {
     auto* c = call(number);
     if (!c || !servers_end.other) return nullptr;
-    for (auto it = c->shots.rbegin(); it != c->shots.rend(); ++it)
+    for (auto it = c->attempts.rbegin(); it != c->attempts.rend(); ++it)
         if (it->socket == servers_end.other->number) return &*it;
     return nullptr;
 }
 
-void Oracle::fate(uint64_t number, LabShot& shot, Fate fate) {
-    shot.fate = fate;
-    const auto what = fate == Fate::runs ? Event::shot_runs : fate == Fate::never ? Event::shot_refused
-                      : fate == Fate::unproved ? Event::shot_dropped : Event::shot_arrived;
-    if (fate != Fate::executed) note(what, number, shot.server, shot.socket);
+void Oracle::set_execution(uint64_t number, LabAttempt& attempt, Execution execution) {
+    attempt.execution = execution;
+    const auto what = execution == Execution::running        ? Event::shot_runs
+                      : execution == Execution::not_executed ? Event::shot_refused
+                      : execution == Execution::unknown      ? Event::shot_dropped
+                                                             : Event::shot_arrived;
+    if (execution != Execution::executed) record(what, number, attempt.server, attempt.socket);
 }
 
 bool Oracle::executed(uint64_t number, int server) {
@@ -170,99 +172,101 @@
     }
     ++c.executions;
     ++summary.executed;
-    note(Event::shot_executed, number, server, static_cast<uint64_t>(c.executions));
+    record(Event::shot_executed, number, server, static_cast<uint64_t>(c.executions));
     if (c.executions > 1 && c.kind().repeat != Idempotency::idempotent)
-        breaks(Rule::no_effect_twice, {number}, "it has had its effect " + std::to_string(c.executions) + " times");
+        report_violation(Rule::no_effect_twice, {number},
+                         "it has had its effect " + std::to_string(c.executions) + " times");
     return true;
 }
 
-bool Oracle::may_have_run(const LabShot& s) const {
-    if (s.fate == Fate::never) return false;
-    return s.whole || s.out;   // half a call can't run once its connection is closed
+bool Oracle::may_have_run(const LabAttempt& s) const {
+    if (s.execution == Execution::not_executed) return false;
+    return s.fully_sent || s.open;   // half a call can't run once its connection is closed
 }
 
 // ---- the list
 
-void Oracle::list_told(int proxy, bool whole, const std::vector<Told>& entries) {
+void Oracle::list_received(int proxy, bool whole, const std::vector<ListedServer>& entries) {
     auto& p = proxies_[proxy];
-    note(Event::told, static_cast<uint64_t>(proxy), whole, entries.size());
+    record(Event::told, static_cast<uint64_t>(proxy), whole, entries.size());
     if (whole)
-        for (auto& [uid, entry] : p.told) entry.ready = false;
+        for (auto& [uid, entry] : p.known_servers) entry.ready = false;
     for (const auto& e : entries) {
-        auto& entry = p.told[e.uid];
+        auto& entry = p.known_servers[e.uid];
         const bool anew = e.ready && e.launched > entry.launched, was_open = entry.open;
         const bool drained = e.drained || (entry.drained && !anew);
         entry = e;
         entry.drained = drained;
         entry.open = (e.ready || was_open) && !drained;
-        if (!e.ready && connecting && connecting(proxy, e.server)) summary.met(Hard::drain_before_connect);
+        if (!e.ready && is_connecting && is_connecting(proxy, e.server)) summary.met(Hard::drain_before_connect);
     }
-    gone_since(p);
+    update_unavailable_since(p);
 }
 
-void Oracle::gone_since(ProxyState& p) {
-    std::vector<bool> ready(p.gone_since.size(), false);
-    for (const auto& [uid, entry] : p.told)
-        if (scenario_.drain_alone ? entry.open : entry.ready) ready[static_cast<size_t>(entry.server)] = true;
+void Oracle::update_unavailable_since(ProxyState& p) {
+    std::vector<bool> ready(p.unavailable_since.size(), false);
+    for (const auto& [uid, entry] : p.known_servers)
+        if (scenario_.drain_binds_alone ? entry.open : entry.ready) ready[static_cast<size_t>(entry.server)] = true;
     for (size_t i = 0; i < ready.size(); ++i) {
-        if (ready[i]) p.gone_since[i] = never;
-        else if (p.gone_since[i] == never) p.gone_since[i] = queue_.now();
+        if (ready[i]) p.unavailable_since[i] = never;
+        else if (p.unavailable_since[i] == never) p.unavailable_since[i] = queue_.now();
     }
 }
 
-void Oracle::asks(int proxy, bool open) {
+void Oracle::discovery_request(int proxy, bool open) {
     auto& p = proxies_[proxy];
-    p.asks = open;
-    p.asked = queue_.now();
-    if (open) note(Event::asked, static_cast<uint64_t>(proxy));
+    p.discovery_request_open = open;
+    p.last_discovery_request = queue_.now();
+    if (open) record(Event::asked, static_cast<uint64_t>(proxy));
 }
 
 bool Oracle::knows_start(int proxy, int server, Time launched) const {
-    for (const auto& [uid, entry] : proxies_[proxy].told)
+    for (const auto& [uid, entry] : proxies_[proxy].known_servers)
         if (entry.server == server && entry.launched >= launched - Span{0.002}) return true;
     return false;
 }
 
 // ---- proxies
 
-void Oracle::starts(int proxy, const std::vector<Told>& known) {
+void Oracle::proxy_started(int proxy, const std::vector<ListedServer>& known) {
     auto& p = proxies_[proxy];
-    const bool was_short = p.was_short;
+    const bool descriptors_limited = p.descriptors_limited;
     auto pauses = std::move(p.pauses);
     p = {};
-    p.was_short = was_short;
+    p.descriptors_limited = descriptors_limited;
     p.pauses = std::move(pauses);
     p.up = true;
-    p.asked = queue_.now();
-    p.gone_since.assign(static_cast<size_t>(scenario_.servers), queue_.now());
-    list_told(proxy, true, known);
-    note(Event::started, static_cast<uint64_t>(proxy));
+    p.last_discovery_request = queue_.now();
+    p.unavailable_since.assign(static_cast<size_t>(scenario_.servers), queue_.now());
+    list_received(proxy, true, known);
+    record(Event::started, static_cast<uint64_t>(proxy));
 }
 
-void Oracle::ended(int proxy) {
+void Oracle::proxy_ended(int proxy) {
     proxies_[proxy].up = false;
-    note(Event::ended, static_cast<uint64_t>(proxy));
+    record(Event::ended, static_cast<uint64_t>(proxy));
 }
 
-Time Oracle::due(int proxy, Time since, Span within) const {
+Time Oracle::deadline(int proxy, Time since, Span within) const {
     Time due = since + within;
     for (const auto& [from, to] : proxies_[proxy].pauses)
         if (to > since && from < due) due = due + (to - std::max(from, since)) + Span{0.05};
     return due;
 }
 
-void Oracle::look_after(int proxy) {
+void Oracle::check_discovery_requests(int proxy) {
     auto& p = proxies_[proxy];
-    queue_.in(look, [this, proxy] { look_after(proxy); });
-    if (p.up && !p.asks && queue_.now() > due(proxy, p.asked, ask_within + ask_slack))
-        breaks(Rule::listens, {}, "proxy " + std::to_string(proxy) + " last asked " +
-                                      std::to_string((queue_.now() - p.asked).s) + " s ago");
+    queue_.in(check_interval, [this, proxy] { check_discovery_requests(proxy); });
+    if (p.up && !p.discovery_request_open &&
+        queue_.now() > deadline(proxy, p.last_discovery_request, ask_within + discovery_slack))
+        report_violation(Rule::listens, {}, "proxy " + std::to_string(proxy) + " last asked " +
+                                      std::to_string((queue_.now() - p.last_discovery_request).s) + " s ago");
 }
 
-Oracle::Conn& Oracle::conn(const Socket& s) {
-    auto& c = conns_[s.number];
+Oracle::Connection& Oracle::connection(const Socket& s) {
+    auto& c = connections_[s.number];
     if (!c) {
-        c = std::make_unique<Conn>(s.local == 0);
+        c = std::make_unique<Connection>(s.local == 0);
         c->proxy = s.here->number;
         const auto ip = static_cast<uint32_t>(s.remote >> 16);
         if (ip >= server_ip && ip < discovery_ip) c->server = static_cast<int>(ip - server_ip) - 1;
@@ -270,199 +274,204 @@
     return *c;
 }
 
-void Oracle::wrote(Socket& s, std::string_view bytes) {
+void Oracle::was_written(Socket& s, std::string_view bytes) {
     const auto ip = static_cast<uint32_t>(s.remote >> 16);
-    if (s.local == 0 && ip >= discovery_ip) return asks(s.here->number, true);
-    if (s.local != 0 && s.other && strangers_.count(s.other->number)) return;
-    auto& c = conn(s);
+    if (s.local == 0 && ip >= discovery_ip) return discovery_request(s.here->number, true);
+    if (s.local != 0 && s.other && stray_connections_.count(s.other->number)) return;
+    auto& c = connection(s);
     while (!bytes.empty()) {
         if (!c.machine.begun()) {
             c.begun = queue_.now();
-            c.shot = -1;
-            if (c.asks && !std::exchange(c.busy, true)) ++proxies_[c.proxy].busy;
-            c.reader.head = c.asks ? std::function<void()>([this, &c, &s] { shot_begins(c, s); }) : nullptr;
+            c.attempt = -1;
+            if (c.to_server && !std::exchange(c.busy, true)) ++proxies_[c.proxy].busy_connections;
+            c.reader.head = c.to_server ? std::function<void()>([this, &c, &s] { attempt_began(c, s); }) : nullptr;
         }
         bytes.remove_prefix(c.machine.feed(bytes));
-        if (c.machine.fault()) return breaks(Rule::sound, {}, "to " + std::string(c.asks ? "a server" : "a client"));
+        if (c.machine.fault())
+            return report_violation(Rule::sound, {}, "to " + std::string(c.to_server ? "a server" : "a client"));
         if (!c.machine.done()) continue;
-        if (c.asks) shot_written(c);
-        else answer_written(c, s);
+        if (c.to_server) attempt_written(c);
+        else response_written(c, s);
         c.machine.next();
     }
 }
 
-void Oracle::shot_begins(Conn& c, const Socket& s) {
+void Oracle::attempt_began(Connection& c, const Socket& s) {
     if (!c.reader.has_number) {
         ++summary.probes;
         return;
     }
     auto* found = call(c.reader.number);
-    if (!found) return breaks(Rule::sound, {}, "a shot of a call that nobody made");
+    if (!found) return report_violation(Rule::sound, {}, "a shot of a call that nobody made");
     auto& call = *found;
-    LabShot shot;
-    shot.server = c.server;
-    shot.socket = s.number;
-    shot.begun = c.begun;
-    shot.give_up = c.begun + c.reader.give_up;
-    ++summary.shots;
-    summary.further_shots += !call.shots.empty();
-    note(Event::shot_begins, call.number, c.server, s.number);
-    if (call.over) return breaks(Rule::no_shot_after, {call.number}, "to server " + std::to_string(c.server));
-    if (!call.taken) return breaks(Rule::sound, {call.number}, "a shot of a call that was not read whole");
+    LabAttempt attempt;
+    attempt.server = c.server;
+    attempt.socket = s.number;
+    attempt.begun = c.begun;
+    attempt.deadline = c.begun + c.reader.timeout;
+    ++summary.attempts;
+    summary.further_attempts += !call.attempts.empty();
+    record(Event::shot_begins, call.number, c.server, s.number);
+    if (call.finished)
+        return report_violation(Rule::no_shot_after, {call.number}, "to server " + std::to_string(c.server));
+    if (!call.taken) return report_violation(Rule::sound, {call.number}, "a shot of a call that was not read whole");
     const auto& kind = call.kind();
-    for (const auto& earlier : call.shots) {
-        if (earlier.out) return breaks(Rule::no_second_copy, {call.number}, "the earlier one is out at server " +
-                                                                                std::to_string(earlier.server));
+    for (const auto& earlier : call.attempts) {
+        if (earlier.open)
+            return report_violation(Rule::no_second_copy, {call.number},
+                                    "the earlier one is out at server " + std::to_string(earlier.server));
         if (!may_have_run(earlier)) continue;
-        if (earlier.fate == Fate::runs || earlier.fate == Fate::waits) summary.met(Hard::resent_while_first_runs);
+        if (earlier.execution == Execution::running || earlier.execution == Execution::queued)
+            summary.met(Hard::resent_while_first_runs);
         const bool grouped = earlier.server % zones == c.server % zones && c.begun - earlier.begun < Span{kind.window};
         if (kind.repeat == Idempotency::non_idempotent || (kind.repeat == Idempotency::deduplicated && !grouped))
-            return breaks(Rule::no_effect_twice, {call.number}, "sent to server " + std::to_string(c.server) +
+            return report_violation(Rule::no_effect_twice, {call.number}, "sent to server " + std::to_string(c.server) +
                           " though it may have run at server " + std::to_string(earlier.server));
     }
-    const auto gone = proxies_[c.proxy].gone_since[static_cast<size_t>(c.server)];
-    if (c.begun > due(c.proxy, gone, drain_grace + slack))
-        return breaks(Rule::drains, {call.number}, "to server " + std::to_string(c.server) + ", told " +
+    const auto gone = proxies_[c.proxy].unavailable_since[static_cast<size_t>(c.server)];
+    if (c.begun > deadline(c.proxy, gone, drain_grace + slack))
+        return report_violation(Rule::drains, {call.number}, "to server " + std::to_string(c.server) + ", told " +
                                                       std::to_string((c.begun - gone).s) + " s before");
     c.call = call.number;
-    c.shot = static_cast<int>(call.shots.size());
-    call.shots.push_back(shot);
+    c.attempt = static_cast<int>(call.attempts.size());
+    call.attempts.push_back(attempt);
 }
 
-void Oracle::shot_written(Conn& c) {
-    if (c.shot < 0) return;
-    call(c.call)->shots[static_cast<size_t>(c.shot)].whole = true;
-    note(Event::shot_written, c.call, c.server);
+void Oracle::attempt_written(Connection& c) {
+    if (c.attempt < 0) return;
+    call(c.call)->attempts[static_cast<size_t>(c.attempt)].fully_sent = true;
+    record(Event::shot_written, c.call, c.server);
 }
 
-void Oracle::over(LabCall& call) {
-    call.over = true;
-    call.over_at = queue_.now();
-    if (call.taken) --proxies_[call.proxy].open;
+void Oracle::finish(LabCall& call) {
+    call.finished = true;
+    call.finished_at = queue_.now();
+    if (call.taken) --proxies_[call.proxy].open_calls;
 }
 
-void Oracle::answer_written(Conn& c, const Socket& s) {
+void Oracle::response_written(Connection& c, const Socket& s) {
     const int status = c.reader.status;
-    const auto on = s.other ? on_client_.find(s.other->number) : on_client_.end();
-    auto* found = on == on_client_.end() ? nullptr : call(on->second);
-    if (!found || found->over || found->client != s.other->number) {
+    const auto latest_call = s.other ? on_client_.find(s.other->number) : on_client_.end();
+    auto* found = latest_call == on_client_.end() ? nullptr : call(latest_call->second);
+    if (!found || found->finished || found->client != s.other->number) {
         // What is no call may be turned away; an answer to nothing is the second of the call before.
-        if (found && found->over && (status == 200 || status == 502 || status == 429))
-            breaks(Rule::one_answer, {found->number}, "a second answer, " + std::to_string(status));
+        if (found && found->finished && (status == 200 || status == 502 || status == 429))
+            report_violation(Rule::one_answer, {found->number}, "a second answer, " + std::to_string(status));
         return;
     }
     auto& call = *found;
-    note(Event::answer_written, call.number, status);
+    record(Event::answer_written, call.number, status);
     if (!call.taken) {   // half of it
-        if (status < 400 || status == 429) breaks(Rule::sound, {call.number}, "answered before it was read");
+        if (status < 400 || status == 429) report_violation(Rule::sound, {call.number}, "answered before it was read");
         ++summary.turned_away;
-        call.excused = true;
-        return over(call);
+        call.exempt = true;
+        return finish(call);
     }
-    over(call);
+    finish(call);
     if (status == 200) ++summary.fulfilled;
     else if (status == 429) ++summary.rate_limited;
     else if (status == 502) ++summary.errored;
     else ++summary.turned_away;
-    const Time latest = due(call.proxy, call.arrived, Span{call.kind().timeout} + answer_grace + slack);
+    const Time latest = deadline(call.proxy, call.arrived, Span{call.kind().timeout} + answer_margin + slack);
     if (queue_.now() > latest)
-        return breaks(Rule::in_time, {call.number}, std::to_string((queue_.now() - latest).s) + " s late");
+        return report_violation(Rule::in_time, {call.number}, std::to_string((queue_.now() - latest).s) + " s late");
     if (status == 200 && call.executions == 0 && call.kind().repeat != Idempotency::deduplicated)
-        return breaks(Rule::right_answer, {call.number}, "fulfilled, but it never ran");
+        return report_violation(Rule::right_answer, {call.number}, "fulfilled, but it never ran");
     if ((status == 429 || status == 503) && call.kind().repeat != Idempotency::idempotent)
-        for (const auto& shot : call.shots)
-            if (may_have_run(shot))
-                return breaks(Rule::no_false_promise, {call.number}, "it may have run at server " + std::to_string(shot.server));
+        for (const auto& attempt : call.attempts)
+            if (may_have_run(attempt))
+                return report_violation(Rule::no_false_promise, {call.number}, "it may have run at server " + std::to_string(attempt.server));
 }
 
-void Oracle::opened(Socket& s) {
-    if (static_cast<uint32_t>(s.remote >> 16) >= discovery_ip) asks(s.here->number, true);
-    note(Event::connected, static_cast<uint64_t>(s.here->number), s.remote >> 16, s.number);
+void Oracle::connect_started(Socket& s) {
+    if (static_cast<uint32_t>(s.remote >> 16) >= discovery_ip) discovery_request(s.here->number, true);
+    record(Event::connected, static_cast<uint64_t>(s.here->number), s.remote >> 16, s.number);
 }
 
-void Oracle::took(Socket& s, std::string_view bytes) {
+void Oracle::was_read(Socket& s, std::string_view bytes) {
     if (s.local == 0) {
-        const auto it = conns_.find(s.number);
-        if (it == conns_.end() || !it->second->busy) return;
+        const auto it = connections_.find(s.number);
+        if (it == connections_.end() || !it->second->busy) return;
         auto& c = *it->second;
         c.answer.feed(bytes);
         if (c.answer.done()) {
             c.answer.next();
             c.busy = false;
-            --proxies_[c.proxy].busy;
+            --proxies_[c.proxy].busy_connections;
         }
-        if (c.shot < 0) return;
-        const auto& shot = call(c.call)->shots[static_cast<size_t>(c.shot)];
-        if (std::abs((queue_.now() - shot.give_up).s) < 0.0015) summary.met(Hard::answer_before_time_out);
+        if (c.attempt < 0) return;
+        const auto& attempt = call(c.call)->attempts[static_cast<size_t>(c.attempt)];
+        if (std::abs((queue_.now() - attempt.deadline).s) < 0.0015) summary.met(Hard::answer_before_time_out);
     }
     if (s.local == 0 || !s.other) return;
-    const auto on = on_client_.find(s.other->number);
-    if (on == on_client_.end()) return;
-    auto& call = *this->call(on->second);
-    if (call.taken || call.over || call.client != s.other->number || s.taken < call.ends) return;
+    const auto latest_call = on_client_.find(s.other->number);
+    if (latest_call == on_client_.end()) return;
+    auto& call = *this->call(latest_call->second);
+    if (call.taken || call.finished || call.client != s.other->number || s.bytes_read < call.client_end) return;
     call.taken = true;
     // Where it had no descriptor left to accept with, its time counts from when it could.
-    if (proxies_[call.proxy].was_short) call.arrived = queue_.now();
+    if (proxies_[call.proxy].descriptors_limited) call.arrived = queue_.now();
     ++summary.taken;
-    ++proxies_[call.proxy].open;
-    note(Event::call_taken, call.number);
+    ++proxies_[call.proxy].open_calls;
+    record(Event::call_taken, call.number);
 }
 
-void Oracle::came(Socket& s) {
+void Oracle::bytes_arrived(Socket& s) {
     const auto ip = static_cast<uint32_t>(s.remote >> 16);
     if (s.local == 0 && ip >= discovery_ip && on_discovery_bytes) return on_discovery_bytes(s.here->number, s);
     if (s.local == 0 || !s.other) return;
-    const auto on = on_client_.find(s.other->number);
-    if (on == on_client_.end()) return;
-    auto& call = *this->call(on->second);
-    if (call.arrived.s >= 0 || call.client != s.other->number || s.got < call.ends) return;
+    const auto latest_call = on_client_.find(s.other->number);
+    if (latest_call == on_client_.end()) return;
+    auto& call = *this->call(latest_call->second);
+    if (call.arrived.s >= 0 || call.client != s.other->number || s.bytes_received < call.client_end) return;
     call.arrived = queue_.now();
-    const Time due = call.arrived + Span{call.kind().timeout} + answer_grace + slack * 2;
-    queue_.at(due, [this, number = call.number] { check_due(number); });
+    const Time due = call.arrived + Span{call.kind().timeout} + answer_margin + slack * 2;
+    queue_.at(due, [this, number = call.number] { check_deadline(number); });
 }
 
 // Its time is up: had it been taken, it has its answer.
-void Oracle::check_due(uint64_t number) {
+void Oracle::check_deadline(uint64_t number) {
     auto& call = *this->call(number);
-    if (call.over || call.left || call.excused) return;
+    if (call.finished || call.left || call.exempt) return;
     if (!call.taken) return;   // never read: its connection waits, or was closed with it
-    const Time latest = due(call.proxy, call.arrived, Span{call.kind().timeout} + answer_grace + slack);
+    const Time latest = deadline(call.proxy, call.arrived, Span{call.kind().timeout} + answer_margin + slack);
     if (queue_.now() <= latest)
-        return queue_.at(latest + slack, [this, number] { check_due(number); });
-    breaks(Rule::in_time, {number}, "no answer yet");
+        return queue_.at(latest + slack, [this, number] { check_deadline(number); });
+    report_violation(Rule::in_time, {number}, "no answer yet");
 }
 
 void Oracle::closing(Socket& s) {
-    if (s.local == 0 && static_cast<uint32_t>(s.remote >> 16) >= discovery_ip) return asks(s.here->number, false);
-    const auto on = s.other && s.local != 0 ? on_client_.find(s.other->number) : on_client_.end();
-    if (on != on_client_.end()) {
-        auto& call = *this->call(on->second);
-        if (call.client == s.other->number && call.taken && !call.over) {
-            over(call);
-            if (proxies_[call.proxy].dying) {
+    if (s.local == 0 && static_cast<uint32_t>(s.remote >> 16) >= discovery_ip)
+        return discovery_request(s.here->number, false);
+    const auto latest_call = s.other && s.local != 0 ? on_client_.find(s.other->number) : on_client_.end();
+    if (latest_call != on_client_.end()) {
+        auto& call = *this->call(latest_call->second);
+        if (call.client == s.other->number && call.taken && !call.finished) {
+            finish(call);
+            if (proxies_[call.proxy].killed) {
                 ++summary.lost_to_kills;
-                call.excused = true;
+                call.exempt = true;
             } else if (!call.left) {
-                breaks(Rule::one_answer, {call.number}, "its connection was closed with no answer");
+                report_violation(Rule::one_answer, {call.number}, "its connection was closed with no answer");
             }
         }
     }
-    const auto it = conns_.find(s.number);
-    if (it == conns_.end()) return;
+    const auto it = connections_.find(s.number);
+    if (it == connections_.end()) return;
     auto& c = *it->second;
-    if (c.busy) --proxies_[c.proxy].busy;
-    if (c.asks && c.shot >= 0) {
+    if (c.busy) --proxies_[c.proxy].busy_connections;
+    if (c.to_server && c.attempt >= 0) {
         auto& call = *this->call(c.call);
-        auto& shot = call.shots[static_cast<size_t>(c.shot)];
-        const bool answer_there = !s.in.empty() || s.bytes_under_way > 0;
-        if (answer_there && shot.whole && !call.over && queue_.now() >= shot.give_up - Span{0.0005})
+        auto& attempt = call.attempts[static_cast<size_t>(c.attempt)];
+        const bool answer_there = !s.in.empty() || s.bytes_in_flight > 0;
+        if (answer_there && attempt.fully_sent && !call.finished && queue_.now() >= attempt.deadline - Span{0.0005})
             summary.met(Hard::time_out_before_answer);
-        else if (answer_there && shot.whole && s.taken == 0) summary.met(Hard::cancel_crosses_answer);
-        if (!shot.whole) summary.met(Hard::broken_before_last_byte);
-        shot.out = false;
-        note(Event::shot_closed, c.call, c.server);
+        else if (answer_there && attempt.fully_sent && s.bytes_read == 0) summary.met(Hard::cancel_crosses_answer);
+        if (!attempt.fully_sent) summary.met(Hard::broken_before_last_byte);
+        attempt.open = false;
+        record(Event::shot_closed, c.call, c.server);
     }
-    conns_.erase(it);
+    connections_.erase(it);
 }
 
 }  // namespace myrtleroute::lab
--- a/src/lab/oracle.hpp
+++ b/src/lab/oracle.hpp
@@ -41,9 +41,9 @@
 };
 const char* name_of(Rule rule);
 const char* text_of(Rule rule);
-std::optional<Rule> rule_named(std::string_view name);
+std::optional<Rule> rule_from_name(std::string_view name);
 
-struct Broken {
+struct Violation {
     Rule rule{};
     uint64_t step = 0;
     Time at;
@@ -51,25 +51,25 @@
     std::string what;
 };
 
-enum class Fate { on_its_way, waits, runs, executed, never, unproved };   // of a shot at its server
+enum class Execution { in_flight, queued, running, executed, not_executed, unknown };   // of a shot at its server
 
-struct LabShot {
+struct LabAttempt {
     int server = 0;
     uint64_t socket = 0;      // the proxy's
     Time begun;
-    bool whole = false;       // its last byte was written
-    bool out = true;          // its connection is open and it has no answer
-    Fate fate = Fate::on_its_way;
-    Time give_up;             // as the proxy said in X-Timeout
+    bool fully_sent = false;// its last byte was written
+    bool open = true;          // its connection is open and it has no answer
+    Execution execution = Execution::in_flight;
+    Time deadline;             // as the proxy said in X-Timeout
 };
 
 struct LabCall {
     uint64_t number = 0;
     int proxy = 0, product = 0;
-    Time arrived{-1}, over_at;      // `arrived`: its last byte came to the proxy's machine
-    uint64_t client = 0, ends = 0;  // the client's socket, and where on it the call ends
-    bool taken = false, left = false, over = false, again = false, excused = false;
-    std::vector<LabShot> shots;
+    Time arrived{-1}, finished_at;      // `arrived`: its last byte came to the proxy's machine
+    uint64_t client = 0, client_end = 0;  // the client's socket, and where on it the call ends
+    bool taken = false, left = false, finished = false, resent = false, exempt = false;
+    std::vector<LabAttempt> attempts;
     int executions = 0;
     std::unordered_map<int, Time> effects;   // of a deduplicated one, by zone
     const LabProduct& kind() const { return products[static_cast<size_t>(product)]; }
@@ -79,26 +79,26 @@
 public:
     Oracle(Queue& queue, Trace& trace, const Scenario& scenario);
     ~Oracle() override;
-    const std::optional<Broken>& broken() const { return broken_; }
-    void breaks(Rule rule, std::vector<uint64_t> calls, std::string what);   // the first counts
+    const std::optional<Violation>& violation() const { return violation_; }
+    void report_violation(Rule rule, std::vector<uint64_t> calls, std::string what);   // the first counts
     Summary summary;
 
     // Clients.
-    void sent(uint64_t number, int proxy, int product, const Socket& client);
-    void sent_again(uint64_t number, const Socket& client);
-    void left(uint64_t number);
-    void answered(uint64_t number, int status, const std::string& body);   // as the client read it
-    void stranger(const Socket& client) { strangers_.insert(client.number); }
+    void call_sent(uint64_t number, int proxy, int product, const Socket& client);
+    void call_resent(uint64_t number, const Socket& client);
+    void client_left(uint64_t number);
+    void response_read(uint64_t number, int status, const std::string& body);   // as the client read it
+    void stray_connected(const Socket& client) { stray_connections_.insert(client.number); }
 
     // Servers. Null: of a connection that no call is known to be on.
     LabCall* call(uint64_t number);
-    LabShot* shot(uint64_t number, const Socket& servers_end);
-    void fate(uint64_t number, LabShot& shot, Fate fate);
+    LabAttempt* attempt(uint64_t number, const Socket& servers_end);
+    void set_execution(uint64_t number, LabAttempt& attempt, Execution execution);
     bool executed(uint64_t number, int server);   // false: it was a duplicate and had no effect
-    void done(LabShot& shot) { shot.out = false; }
+    void attempt_answered(LabAttempt& attempt) { attempt.open = false; }
 
     // Discovery: this list has come to the proxy's machine; entries by server slot.
-    struct Told {
+    struct ListedServer {
         int server = 0;
         std::string uid;
         bool ready = false;
@@ -106,60 +106,60 @@
         bool drained = false;   // told as draining, and not as started anew since
         bool open = false;      // told as ready, and not as draining since
     };
-    void list_told(int proxy, bool whole, const std::vector<Told>& entries);
-    void asks(int proxy, bool open);   // whether a call to discovery is open
+    void list_received(int proxy, bool whole, const std::vector<ListedServer>& entries);
+    void discovery_request(int proxy, bool open);   // whether a call to discovery is open
     std::function<void(int proxy, Socket&)> on_discovery_bytes;
-    std::function<bool(int proxy, int server)> connecting;   // whether a connect there is under way
+    std::function<bool(int proxy, int server)> is_connecting;   // whether a connect there is under way
     bool knows_start(int proxy, int server, Time launched) const;
 
     // Proxies.
-    void starts(int proxy, const std::vector<Told>& known);
-    void dies(int proxy) { proxies_[proxy].dying = true; }   // SIGKILL: what it holds is lost
-    void ended(int proxy);
-    void paused(int proxy, Time from, Time to) { proxies_[proxy].pauses.emplace_back(from, to); }
-    void short_of_descriptors(int proxy) { proxies_[proxy].was_short = true; }
-    bool was_short(int proxy) const { return proxies_[proxy].was_short; }
-    Time due(int proxy, Time since, Span within) const;   // later for the pauses in that time
-    int calls_open(int proxy) const { return proxies_[proxy].open; }
-    int lines_busy(int proxy) const { return proxies_[proxy].busy; }   // with a shot or probe that was begun
-
-    void wrote(Socket& s, std::string_view bytes) override;
-    void took(Socket& s, std::string_view bytes) override;
-    void came(Socket& s) override;
+    void proxy_started(int proxy, const std::vector<ListedServer>& known);
+    void proxy_killed(int proxy) { proxies_[proxy].killed = true; }   // SIGKILL: what it holds is lost
+    void proxy_ended(int proxy);
+    void proxy_paused(int proxy, Time from, Time to) { proxies_[proxy].pauses.emplace_back(from, to); }
+    void set_descriptors_limited(int proxy) { proxies_[proxy].descriptors_limited = true; }
+    bool descriptors_limited(int proxy) const { return proxies_[proxy].descriptors_limited; }
+    Time deadline(int proxy, Time since, Span within) const;   // later for the pauses in that time
+    int open_calls(int proxy) const { return proxies_[proxy].open_calls; }
+    int busy_connections(int proxy) const { return proxies_[proxy].busy_connections; }   // with a shot or probe that was begun
+
+    void was_written(Socket& s, std::string_view bytes) override;
+    void was_read(Socket& s, std::string_view bytes) override;
+    void bytes_arrived(Socket& s) override;
     void closing(Socket& s) override;
-    void opened(Socket& s) override;
+    void connect_started(Socket& s) override;
 
 private:
-    struct Conn;
+    struct Connection;
     struct ProxyState {
-        std::unordered_map<std::string, Told> told;        // by uid
-        std::vector<Time> gone_since;                      // by server slot; `never` while it is listed as ready
+        std::unordered_map<std::string, ListedServer> known_servers;        // by uid
+        std::vector<Time> unavailable_since;                      // by server slot; `never` while it is listed as ready
         std::vector<std::pair<Time, Time>> pauses;
-        bool dying = false, up = false, asks = false, was_short = false;
-        Time asked{};
-        int open = 0, busy = 0;                            // calls taken that have no answer; see lines_busy
+        bool killed = false, up = false, discovery_request_open = false, descriptors_limited = false;
+        Time last_discovery_request{};
+        int open_calls = 0, busy_connections = 0;                            // calls taken that have no answer; see lines_busy
     };
-    Conn& conn(const Socket& s);
-    void shot_begins(Conn& c, const Socket& s);
-    void shot_written(Conn& c);
-    void answer_written(Conn& c, const Socket& s);
-    void over(LabCall& call);
-    void check_due(uint64_t number);
-    void look_after(int proxy);
-    bool may_have_run(const LabShot& shot) const;
-    void note(Event what, uint64_t who, uint64_t a = 0, uint64_t b = 0) {
-        trace_.note(queue_.steps(), queue_.now(), what, who, a, b);
+    Connection& connection(const Socket& s);
+    void attempt_began(Connection& c, const Socket& s);
+    void attempt_written(Connection& c);
+    void response_written(Connection& c, const Socket& s);
+    void finish(LabCall& call);
+    void check_deadline(uint64_t number);
+    void check_discovery_requests(int proxy);
+    bool may_have_run(const LabAttempt& attempt) const;
+    void record(Event what, uint64_t who, uint64_t a = 0, uint64_t b = 0) {
+        trace_.record(queue_.steps(), queue_.now(), what, who, a, b);
     }
-    void gone_since(ProxyState& p);
+    void update_unavailable_since(ProxyState& p);
 
     Queue& queue_;
     Trace& trace_;
     const Scenario& scenario_;
-    std::optional<Broken> broken_;
+    std::optional<Violation> violation_;
     std::unordered_map<uint64_t, std::unique_ptr<LabCall>> calls_;   // looked up only
-    std::unordered_map<uint64_t, std::unique_ptr<Conn>> conns_;      // by the proxy's socket; looked up only
+    std::unordered_map<uint64_t, std::unique_ptr<Connection>> connections_;      // by the proxy's socket; looked up only
     std::unordered_map<uint64_t, uint64_t> on_client_;               // the latest call on a client's socket
-    std::set<uint64_t> strangers_;
+    std::set<uint64_t> stray_connections_;
     std::vector<ProxyState> proxies_;
 };
 
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -50,44 +50,44 @@
     X(wrong_list, all, "the list calls up to all servers gone, then names them again as they are")
 
 enum class FaultKind {
-#define X(name, whom, text) name,
+#define X(name, target, text) name,
     MYRTLEROUTE_LAB_FAULTS(X)
 #undef X
     kinds
 };
-enum class Whom { server, proxy, discovery, all };
+enum class FaultTarget { server, proxy, discovery, all };
 
-struct FaultName {
+struct FaultInfo {
     const char* name;
-    Whom whom;
+    FaultTarget target;
     const char* text;
 };
-const FaultName& name_of(FaultKind kind);
-std::optional<FaultKind> fault_named(std::string_view name);
+const FaultInfo& info_of(FaultKind kind);
+std::optional<FaultKind> fault_from_name(std::string_view name);
 
 struct Fault {
     FaultKind kind{};
-    Span at, lasts;       // from the start of the day
-    int who = 0;          // which server or proxy
-    double how = 0.5;
+    Span at, duration;       // from the start of the day
+    int target = 0;          // which server or proxy
+    double strength = 0.5;
 };
 
 struct Scenario {
     uint64_t seed = 0;
-    Span lasts{30};       // of the load; what is out then is still watched until all is quiet
+    Span duration{30};       // of the load; what is out then is still watched until all is quiet
     int proxies = 4, servers = 8;
-    double calls_a_second = 25;   // to each proxy
-    double rough = 0;             // share of reads, writes and segments that are cut short
-    bool drain_alone = false;     // only draining binds: what the list calls gone may still be sent to
+    double calls_per_second = 25;   // to each proxy
+    double disturbed_share = 0;             // share of reads, writes and segments that are cut short
+    bool drain_binds_alone = false;     // only draining binds: what the list calls gone may still be sent to
     std::vector<Fault> faults;
-    std::vector<std::pair<uint64_t, uint64_t>> left_out;   // calls that are not made: first, last
+    std::vector<std::pair<uint64_t, uint64_t>> omitted_calls;   // calls that are not made: first, last
 };
 
 struct ScenarioError : std::runtime_error {   // file:line:column, key, what is wrong
     using std::runtime_error::runtime_error;
 };
 
-Scenario draw(uint64_t seed);
+Scenario draw_scenario(uint64_t seed);
 Scenario read_scenario(const std::string& path);
 std::string write_scenario(const Scenario& scenario);   // as read_scenario takes it
 
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-constexpr size_t most_waiting = 60;
+constexpr size_t max_queued_jobs = 60;
 constexpr Span idle_close{10};
 
 }  // namespace
 
-struct Server::Conn : wire::HttpReader {
-    explicit Conn(Handle s) : socket(std::move(s)), machine(wire::HttpMachine::Side::ask, *this) {}
+struct Server::Connection : wire::HttpReader {
+    explicit Connection(Handle s) : socket(std::move(s)), machine(wire::HttpMachine::Side::ask, *this) {}
     Handle socket;
     wire::HttpMachine machine;
-    std::string target;
+    std::string path;
     uint64_t call = 0;
-    bool has_call = false, busy = false, spoilt = false;
-    Time used;
+    bool has_call = false, busy = false, malformed_sent = false;
+    Time last_used;
     int start(std::string_view, std::string_view where, std::string_view) override {
-        target = where;
+        path = where;
         has_call = false;
         return 0;
     }
@@ -40,11 +40,11 @@
 
 Server::Server(Site& site, Registry& registry, int slot, std::function<void()> list_changed)
     : site_(site), registry_(registry), slot_(slot), list_changed_(std::move(list_changed)), machine_{100 + slot},
-      chance_(site.scenario.seed, 0x53455256u + static_cast<uint64_t>(slot)), uid_("s" + std::to_string(slot) + "-0") {}
+      random_(site.scenario.seed, 0x53455256u + static_cast<uint64_t>(slot)), uid_("s" + std::to_string(slot) + "-0") {}
 
 Server::~Server() = default;
 
-double Server::warmth() const {
+double Server::capacity_share() const {
     if (launched_.s <= 0) return 1;
     return std::min(1.0, start_capacity + (1 - start_capacity) * ((site_.queue.now() - launched_) / warm_after));
 }
@@ -52,53 +52,53 @@
 void Server::list(Entry::State state) {
     listed_ = state != Entry::State::deleted;
     registry_.put(site_.queue.now(), {slot_, uid_, state, launched_});
-    site_.note(Event::list_changes, static_cast<uint64_t>(slot_), static_cast<uint64_t>(state));
+    site_.record(Event::list_changes, static_cast<uint64_t>(slot_), static_cast<uint64_t>(state));
     list_changed_();
 }
 
-void Server::starts(bool cold) {
+void Server::start(bool cold) {
     up_ = true;
-    ++lives_;
+    ++incarnation_;
     launched_ = cold ? site_.queue.now() : Time{};
-    cold_.clear();
+    cold_work_.clear();
     listener_ = site_.net.listen(machine_, *this, address_of(server_ip + 1 + static_cast<uint32_t>(slot_), port));
-    if (on(FaultKind::no_connections)) listener_->most_waiting = 2;
+    if (is_active(FaultKind::no_connections)) listener_->max_backlog = 2;
     list(Entry::State::serving);
 }
 
-void Server::begins(const Fault& fault) {
+void Server::fault_begins(const Fault& fault) {
     const auto kind = static_cast<size_t>(fault.kind);
-    ++on_[kind];
-    how_[kind] = fault.how;
-    const Time over = site_.queue.now() + fault.lasts;
+    ++active_[kind];
+    strength_[kind] = fault.strength;
+    const Time over = site_.queue.now() + fault.duration;
     switch (fault.kind) {
         case FaultKind::no_connections:
-            if (listener_) listener_->most_waiting = 2;
+            if (listener_) listener_->max_backlog = 2;
             break;
         case FaultKind::dies: case FaultKind::replaced:
             if (up_) {
-                dies();
-                comes_back(std::min(fault.lasts, Span{4}), fault.kind == FaultKind::replaced);
+                crash();
+                restart_after(std::min(fault.duration, Span{4}), fault.kind == FaultKind::replaced);
             }
             break;
         case FaultKind::cut: machine_.unreachable_until = std::max(machine_.unreachable_until, over); break;
         case FaultKind::vanishes:
             machine_.unreachable_until = std::max(machine_.unreachable_until, over);
             if (up_) {
-                dies(true);
-                comes_back(fault.lasts, false);
+                crash(true);
+                restart_after(fault.duration, false);
             }
             break;
-        case FaultKind::far: machine_.delay = fault.how * 0.08; break;
+        case FaultKind::far: machine_.delay = fault.strength * 0.08; break;
         case FaultKind::drains:
             if (up_ && listed_) {
                 list(Entry::State::draining);
-                const int life = lives_;
-                site_.queue.in({std::min(fault.lasts.s, drain_grace.s + fault.how * 2)}, [this, life] {
-                    if (life != lives_ || !up_) return;
-                    dies();
+                const int incarnation = incarnation_;
+                site_.queue.in({std::min(fault.duration.s, drain_grace.s + fault.strength * 2)}, [this, incarnation] {
+                    if (incarnation != incarnation_ || !up_) return;
+                    crash();
                     list(Entry::State::deleted);
-                    comes_back({chance_.between(0.5, 3)}, chance_.bernoulli(0.5));
+                    restart_after({random_.between(0.5, 3)}, random_.bernoulli(0.5));
                 });
             }
             break;
@@ -106,253 +106,260 @@
     }
 }
 
-void Server::ends(const Fault& fault) {
-    --on_[static_cast<size_t>(fault.kind)];
-    if (fault.kind == FaultKind::far && !on(FaultKind::far)) machine_.delay = 0;
-    if (fault.kind == FaultKind::no_connections && listener_ && !on(fault.kind)) {
-        listener_->most_waiting = 128;
+void Server::fault_ends(const Fault& fault) {
+    --active_[static_cast<size_t>(fault.kind)];
+    if (fault.kind == FaultKind::far && !is_active(FaultKind::far)) machine_.delay = 0;
+    if (fault.kind == FaultKind::no_connections && listener_ && !is_active(fault.kind)) {
+        listener_->max_backlog = 128;
         socket_changed(*listener_);
     }
-    work();   // what hung goes on
+    start_jobs();   // what hung goes on
 }
 
 // The process is gone: the system closes for it, or the machine has forgotten all about it.
-void Server::dies(bool vanished) {
+void Server::crash(bool connections_lost) {
     up_ = false;
-    ++lives_;
-    for (auto& job : std::exchange(on_cores_, {})) drops(job);
-    for (auto& job : std::exchange(waiting_, {})) drops(job);
-    running_ = 0;
+    ++incarnation_;
+    for (auto& job : std::exchange(running_jobs_, {})) drop(job);
+    for (auto& job : std::exchange(queued_jobs_, {})) drop(job);
+    running_count_ = 0;
     if (listener_) {
-        if (vanished) site_.net.vanish(*listener_);
+        if (connections_lost) site_.net.vanish(*listener_);
         else site_.net.close(*listener_);
         listener_ = nullptr;
     }
-    for (auto& [number, conn] : std::exchange(conns_, {})) {
-        if (vanished) site_.net.vanish(*conn->socket);
-        else site_.net.close(*conn->socket);
+    for (auto& [number, connection] : std::exchange(connections_, {})) {
+        if (connections_lost) site_.net.vanish(*connection->socket);
+        else site_.net.close(*connection->socket);
     }
-    site_.note(Event::killed, 100 + static_cast<uint64_t>(slot_));
+    site_.record(Event::killed, 100 + static_cast<uint64_t>(slot_));
 }
 
-void Server::drops(Job& job) {
+void Server::drop(Job& job) {
     auto* call = site_.oracle.call(job.call);
     if (call->kind().repeat == Idempotency::non_idempotent) site_.oracle.summary.met(Hard::dies_after_last_byte);
-    site_.oracle.fate(job.call, shot(job), Fate::unproved);
+    site_.oracle.set_execution(job.call, attempt(job), Execution::unknown);
 }
 
-void Server::comes_back(Span after, bool fresh_uid) {
-    const int life = lives_;
-    site_.queue.in(after, [this, life, fresh_uid] {
-        if (life != lives_ || up_) return;
-        if (fresh_uid) {
+void Server::restart_after(Span after, bool new_uid) {
+    const int incarnation = incarnation_;
+    site_.queue.in(after, [this, incarnation, new_uid] {
+        if (incarnation != incarnation_ || up_) return;
+        if (new_uid) {
             if (listed_) list(Entry::State::deleted);
-            uid_ = "s" + std::to_string(slot_) + "-" + std::to_string(lives_);
+            uid_ = "s" + std::to_string(slot_) + "-" + std::to_string(incarnation_);
         }
-        starts(true);
+        start(true);
     });
 }
 
 void Server::socket_changed(Socket& socket) {
     if (socket.state == Socket::State::listening) {
-        while (!on(FaultKind::no_connections)) {
+        while (!is_active(FaultKind::no_connections)) {
             auto fresh = site_.net.accept(socket);
             if (!fresh) break;
             fresh->observer = this;
-            conns_[fresh->number] = std::make_unique<Conn>(fresh);
+            connections_[fresh->number] = std::make_unique<Connection>(fresh);
             socket_changed(*fresh);
         }
         return;
     }
-    const auto it = conns_.find(socket.number);
-    if (it == conns_.end()) return;
-    auto& conn = *it->second;
+    const auto it = connections_.find(socket.number);
+    if (it == connections_.end()) return;
+    auto& connection = *it->second;
     const auto bytes = site_.net.read_all(socket);
     std::string_view left = bytes;
-    if (conn.busy || conn.spoilt) left = {};
-    if (!left.empty() && on(FaultKind::resets) && chance_.bernoulli(how(FaultKind::resets) * 0.1)) return end(socket.number, true);
-    while (!left.empty() && !conn.machine.done() && !conn.machine.fault()) left.remove_prefix(conn.machine.feed(left));
-    if (conn.machine.done()) {
-        conn.machine.next();
-        asked(conn);
-        if (!conns_.count(socket.number)) return;
+    if (connection.busy || connection.malformed_sent) left = {};
+    if (!left.empty() && is_active(FaultKind::resets) && random_.bernoulli(strength(FaultKind::resets) * 0.1)) return close_connection(socket.number, true);
+    while (!left.empty() && !connection.machine.done() && !connection.machine.fault())
+        left.remove_prefix(connection.machine.feed(left));
+    if (connection.machine.done()) {
+        connection.machine.next();
+        request_received(connection);
+        if (!connections_.count(socket.number)) return;
     }
-    if (socket.fin_in || socket.error || conn.machine.fault()) end(socket.number);
+    if (socket.fin_in || socket.error || connection.machine.fault()) close_connection(socket.number);
 }
 
-void Server::asked(Conn& conn) {
-    conn.used = site_.queue.now();
-    if (!conn.has_call) {
-        if (!on(FaultKind::hung)) reply(conn, 200, "");
+void Server::request_received(Connection& connection) {
+    connection.last_used = site_.queue.now();
+    if (!connection.has_call) {
+        if (!is_active(FaultKind::hung)) reply(connection, 200, "");
         return;
     }
-    const auto number = conn.call;
+    const auto number = connection.call;
     auto* call = site_.oracle.call(number);
-    auto* s = site_.oracle.shot(number, *conn.socket);
-    if (!call || !s) return site_.oracle.breaks(Rule::sound, {number}, "a server is asked for what nobody shot");
-    conn.busy = true;
-    RandomStream draw(site_.scenario.seed, number * 8 + call->shots.size());
-    const Span work{call->kind().work * (0.3 + draw.exponential(0.7)) * costly_};
-    weigh(number, work);
+    auto* s = site_.oracle.attempt(number, *connection.socket);
+    if (!call || !s)
+        return site_.oracle.report_violation(Rule::sound, {number}, "a server is asked for what nobody shot");
+    connection.busy = true;
+    RandomStream random(site_.scenario.seed, number * 8 + call->attempts.size());
+    const Span work{call->kind().work * (0.3 + random.exponential(0.7)) * cost_factor_};
+    add_cold_work(number, work);
     if (!up_) return;
-    const Job job{number, static_cast<size_t>(s - call->shots.data()), conn.socket->number, work, s->give_up};
-    const bool full = waiting_.size() >= most_waiting || on(FaultKind::full) || site_.queue.now() < tipped_until_;
-    if (full || (on(FaultKind::drains) && draw.bernoulli(0.3))) {
-        site_.oracle.fate(number, *s, Fate::never);
-        return reply(conn, 503, "", "X-Not-Processed: 1\r\n");
+    const Job job{number, static_cast<size_t>(s - call->attempts.data()), connection.socket->number, work, s->deadline};
+    const bool full =
+        queued_jobs_.size() >= max_queued_jobs || is_active(FaultKind::full) || site_.queue.now() < overloaded_until_;
+    if (full || (is_active(FaultKind::drains) && random.bernoulli(0.3))) {
+        site_.oracle.set_execution(number, *s, Execution::not_executed);
+        return reply(connection, 503, "", "X-Not-Processed: 1\r\n");
     }
-    if (on(FaultKind::failing)) {
-        bool ran = draw.bernoulli(0.5);
+    if (is_active(FaultKind::failing)) {
+        bool ran = random.bernoulli(0.5);
         if (ran) ran = site_.oracle.executed(number, slot_);
-        site_.oracle.fate(number, *s, ran ? Fate::executed : Fate::unproved);
-        return reply(conn, draw.bernoulli(0.3) ? 503 : 500, "");   // a 503 that does not say it has not run
+        site_.oracle.set_execution(number, *s, ran ? Execution::executed : Execution::unknown);
+        return reply(connection, random.bernoulli(0.3) ? 503 : 500, "");   // a 503 that does not say it has not run
     }
-    site_.oracle.fate(number, *s, Fate::waits);
-    waiting_.push_back(job);
-    this->work();
+    site_.oracle.set_execution(number, *s, Execution::queued);
+    queued_jobs_.push_back(job);
+    this->start_jobs();
 }
 
 // A cold server is pushed over by more work than a multiple of what it can do in the window, from its start
 // on; that breaks the rule if proxies that know of its start sent two thirds of it. Slack: a few calls.
-void Server::weigh(uint64_t number, Span work) {
-    if (warmth() >= 1) return;
+void Server::add_cold_work(uint64_t number, Span work) {
+    if (capacity_share() >= 1) return;
     const auto* call = site_.oracle.call(number);
     const Time now = site_.queue.now();
-    cold_.push_back({now, work.s, site_.oracle.knows_start(call->proxy, slot_, launched_)});
-    while (cold_.front().at < now - cold_window) cold_.pop_front();
+    cold_work_.push_back({now, work.s, site_.oracle.knows_start(call->proxy, slot_, launched_)});
+    while (cold_work_.front().at < now - cold_window) cold_work_.pop_front();
     double all = 0, known = 0;
-    for (const auto& w : cold_) {
+    for (const auto& w : cold_work_) {
         all += w.work;
         known += w.known ? w.work : 0;
     }
-    if (all <= tip_multiple * cores() * warmth() * cold_window.s + 4 * products[1].work * costly_) return;
-    site_.note(Event::tipped, static_cast<uint64_t>(slot_));
-    tipped_until_ = now + Span{3};
-    cold_.clear();
+    if (all <= tip_multiple * cores() * capacity_share() * cold_window.s + 4 * products[1].work * cost_factor_) return;
+    site_.record(Event::tipped, static_cast<uint64_t>(slot_));
+    overloaded_until_ = now + Span{3};
+    cold_work_.clear();
     if (known >= all * 2 / 3)
-        site_.oracle.breaks(Rule::cold_servers, {number}, "server " + std::to_string(slot_) + " has " + std::to_string(all) +
+        site_.oracle.report_violation(Rule::cold_servers, {number}, "server " + std::to_string(slot_) + " has " + std::to_string(all) +
                                                               " s of work within its window");
 }
 
-void Server::work() {
-    while (up_ && !on(FaultKind::hung) && running_ < cores() && !waiting_.empty()) {
-        Job job = waiting_.front();
-        waiting_.pop_front();
+void Server::start_jobs() {
+    while (up_ && !is_active(FaultKind::hung) && running_count_ < cores() && !queued_jobs_.empty()) {
+        Job job = queued_jobs_.front();
+        queued_jobs_.pop_front();
         // Where nobody waits any more, some run all the same.
-        if (!connected(job) && chance_.bernoulli(0.7)) {
-            site_.oracle.fate(job.call, shot(job), Fate::unproved);
+        if (!connected(job) && random_.bernoulli(0.7)) {
+            site_.oracle.set_execution(job.call, attempt(job), Execution::unknown);
             continue;
         }
-        if (connected(job) && site_.queue.now() > job.give_up) {
-            site_.oracle.fate(job.call, shot(job), Fate::never);
-            reply(*conns_[job.socket], 504, "", "X-Not-Processed: 1\r\n");
+        if (connected(job) && site_.queue.now() > job.deadline) {
+            site_.oracle.set_execution(job.call, attempt(job), Execution::not_executed);
+            reply(*connections_[job.socket], 504, "", "X-Not-Processed: 1\r\n");
             continue;
         }
-        site_.oracle.fate(job.call, shot(job), Fate::runs);
-        ++running_;
-        on_cores_.push_back(job);
-        const double slow = on(FaultKind::slow) ? 1 + 11 * how(FaultKind::slow) : 1;
-        if (on(FaultKind::resets) && chance_.bernoulli(how(FaultKind::resets) * 0.15)) {
+        site_.oracle.set_execution(job.call, attempt(job), Execution::running);
+        ++running_count_;
+        running_jobs_.push_back(job);
+        const double slow = is_active(FaultKind::slow) ? 1 + 11 * strength(FaultKind::slow) : 1;
+        if (is_active(FaultKind::resets) && random_.bernoulli(strength(FaultKind::resets) * 0.15)) {
             const auto socket = job.socket;
-            site_.queue.in(job.work * 0.5, [this, socket] { end(socket, true); });
+            site_.queue.in(job.work * 0.5, [this, socket] { close_connection(socket, true); });
         }
-        site_.queue.in(job.work * (slow / warmth()), [this, job, life = lives_] {
-            if (life == lives_) finish(job);
+        site_.queue.in(job.work * (slow / capacity_share()), [this, job, incarnation = incarnation_] {
+            if (incarnation == incarnation_) finish(job);
         });
     }
 }
 
 void Server::finish(Job job) {
-    --running_;
-    std::erase_if(on_cores_, [&](auto& j) { return j.call == job.call && j.socket == job.socket; });
+    --running_count_;
+    std::erase_if(running_jobs_, [&](auto& j) { return j.call == job.call && j.socket == job.socket; });
     const bool fresh = site_.oracle.executed(job.call, slot_);
-    site_.oracle.fate(job.call, shot(job), Fate::executed);
-    if (on(FaultKind::dies_after_effect) && chance_.bernoulli(0.2)) {
+    site_.oracle.set_execution(job.call, attempt(job), Execution::executed);
+    if (is_active(FaultKind::dies_after_effect) && random_.bernoulli(0.2)) {
         if (site_.oracle.call(job.call)->kind().repeat == Idempotency::non_idempotent)
             site_.oracle.summary.met(Hard::dies_after_last_byte);
-        dies();
-        return comes_back({chance_.between(0.2, 3)}, false);
+        crash();
+        return restart_after({random_.between(0.2, 3)}, false);
     }
-    if (connected(job)) answer(job, !fresh);
-    work();
+    if (connected(job)) send_result(job, !fresh);
+    start_jobs();
 }
 
-void Server::answer(const Job& job, bool duplicate) {
-    auto& conn = *conns_[job.socket];
-    auto& s = shot(job);
-    RandomStream draw(site_.scenario.seed, job.call * 8 + 7);
+void Server::send_result(const Job& job, bool duplicate) {
+    auto& connection = *connections_[job.socket];
+    auto& s = attempt(job);
+    RandomStream random(site_.scenario.seed, job.call * 8 + 7);
     std::string body = "done " + std::to_string(job.call) + " by " + uid_ + (duplicate ? " before" : "");
-    if (draw.bernoulli(0.02)) body.append(static_cast<size_t>(draw.between(1000, 60000)), '.');
+    if (random.bernoulli(0.02)) body.append(static_cast<size_t>(random.between(1000, 60000)), '.');
     std::string fields;
-    if (on(FaultKind::reports) && draw.bernoulli(how(FaultKind::reports))) fields = "X-Server-Load: TEXT inflight=, queue=x\r\n";
-    else fields = "X-Server-Load: TEXT inflight=" + std::to_string(running_) + ", queue=" + std::to_string(waiting_.size()) + "\r\n";
+    if (is_active(FaultKind::reports) && random.bernoulli(strength(FaultKind::reports))) fields = "X-Server-Load: TEXT inflight=, queue=x\r\n";
+    else fields = "X-Server-Load: TEXT inflight=" + std::to_string(running_count_) + ", queue=" + std::to_string(queued_jobs_.size()) + "\r\n";
     auto text = wire::answer(200, body, true, fields);
-    if (on(FaultKind::spoilt) && draw.bernoulli(how(FaultKind::spoilt) * 0.5)) {
-        conn.spoilt = true;
-        switch (draw.below(5)) {
+    if (is_active(FaultKind::spoilt) && random.bernoulli(strength(FaultKind::spoilt) * 0.5)) {
+        connection.malformed_sent = true;
+        switch (random.below(5)) {
             case 0: text = "\x01\x02 this is no answer\r\n\r\n"; break;
             case 1: text = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nContent-Length: 12\r\n\r\n" + body; break;
             case 2: text.resize(text.size() - 3); break;    // and nothing more
             case 3: text = "HTTP/1.1 200 OK\r\n\r\n" + body; break;
             default: text = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + body; break;
         }
-        say(conn, text);
+        send(connection, text);
         return;
     }
-    if (on(FaultKind::resets) && draw.bernoulli(how(FaultKind::resets) * 0.2)) {
+    if (is_active(FaultKind::resets) && random.bernoulli(strength(FaultKind::resets) * 0.2)) {
         // Half an answer may have no length: where its connection is reset, nothing tells that it is not whole.
-        if (draw.bernoulli(0.3)) text = "HTTP/1.1 200 OK\r\n\r\n" + body;
-        text.resize(draw.bernoulli(0.5) ? 0 : text.size() - body.size() / 2);
-        say(conn, text);
-        return end(job.socket, true);
+        if (random.bernoulli(0.3)) text = "HTTP/1.1 200 OK\r\n\r\n" + body;
+        text.resize(random.bernoulli(0.5) ? 0 : text.size() - body.size() / 2);
+        send(connection, text);
+        return close_connection(job.socket, true);
     }
-    if (on(FaultKind::talkative) && draw.bernoulli(how(FaultKind::talkative))) {
-        const auto more = draw.bernoulli(0.5) ? text : "noise\r\n";
-        if (draw.bernoulli(0.3)) {
+    if (is_active(FaultKind::talkative) && random.bernoulli(strength(FaultKind::talkative))) {
+        const auto more = random.bernoulli(0.5) ? text : "noise\r\n";
+        if (random.bernoulli(0.3)) {
             text = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + text;
-        } else if (draw.bernoulli(0.3) || site_.net.rough > 0 || machine_.delay > 0) {
+        } else if (random.bernoulli(0.3) || site_.net.disturbed_share > 0 || machine_.delay > 0) {
             text += more;
         } else {   // a moment later, but sooner than a connection may be used again
-            site_.queue.in({draw.between(0.0005, 0.003)}, [this, more, socket = job.socket, life = lives_] {
-                const auto it = conns_.find(socket);
-                if (life == lives_ && it != conns_.end()) site_.net.send(*it->second->socket, more);
-            });
+            site_.queue.in({random.between(0.0005, 0.003)},
+                           [this, more, socket = job.socket, incarnation = incarnation_] {
+                               const auto it = connections_.find(socket);
+                               if (incarnation == incarnation_ && it != connections_.end())
+                                   site_.net.send(*it->second->socket, more);
+                           });
         }
     }
-    Time comes{};
-    if (on(FaultKind::edge) && draw.bernoulli(0.3 + how(FaultKind::edge) * 0.7) && s.give_up > site_.queue.now())
-        comes = s.give_up + Span{draw.between(-0.0003, 0.0012)};
-    site_.note(Event::shot_answered, job.call, static_cast<uint64_t>(slot_));
-    conn.busy = false;
-    site_.oracle.done(s);
-    say(conn, text, comes);
-    if (conn.socket->other && on_answer) on_answer(job.call, conn.socket->other->last);
+    Time arrives{};
+    if (is_active(FaultKind::edge) && random.bernoulli(0.3 + strength(FaultKind::edge) * 0.7) &&
+        s.deadline > site_.queue.now())
+        arrives = s.deadline + Span{random.between(-0.0003, 0.0012)};
+    site_.record(Event::shot_answered, job.call, static_cast<uint64_t>(slot_));
+    connection.busy = false;
+    site_.oracle.attempt_answered(s);
+    send(connection, text, arrives);
+    if (connection.socket->other && on_response) on_response(job.call, connection.socket->other->last);
 }
 
-void Server::reply(Conn& conn, int status, const std::string& body, const std::string& fields) {
-    conn.busy = false;
-    if (conn.has_call)
-        if (auto* s = site_.oracle.shot(conn.call, *conn.socket)) site_.oracle.done(*s);
-    say(conn, wire::answer(status, body, true, fields));
+void Server::reply(Connection& connection, int status, const std::string& body, const std::string& fields) {
+    connection.busy = false;
+    if (connection.has_call)
+        if (auto* s = site_.oracle.attempt(connection.call, *connection.socket)) site_.oracle.attempt_answered(*s);
+    send(connection, wire::answer(status, body, true, fields));
 }
 
-void Server::say(Conn& conn, std::string text, Time comes) {
-    conn.used = site_.queue.now();
-    site_.net.send(*conn.socket, text, comes);
-    site_.queue.in(idle_close, [this, number = conn.socket->number, life = lives_] {
-        const auto it = conns_.find(number);
-        if (life != lives_ || it == conns_.end() || it->second->busy || on(FaultKind::hung)) return;
-        if (site_.queue.now() - it->second->used >= idle_close * 0.999) end(number);
+void Server::send(Connection& connection, std::string text, Time arrives) {
+    connection.last_used = site_.queue.now();
+    site_.net.send(*connection.socket, text, arrives);
+    site_.queue.in(idle_close, [this, number = connection.socket->number, incarnation = incarnation_] {
+        const auto it = connections_.find(number);
+        if (incarnation != incarnation_ || it == connections_.end() || it->second->busy || is_active(FaultKind::hung))
+            return;
+        if (site_.queue.now() - it->second->last_used >= idle_close * 0.999) close_connection(number);
     });
 }
 
-void Server::end(uint64_t socket, bool reset) {
-    const auto it = conns_.find(socket);
-    if (it == conns_.end()) return;
-    const auto conn = std::move(it->second);
-    conns_.erase(it);
-    if (reset) site_.net.reset(*conn->socket);
-    else site_.net.close(*conn->socket);
+void Server::close_connection(uint64_t socket, bool reset) {
+    const auto it = connections_.find(socket);
+    if (it == connections_.end()) return;
+    const auto connection = std::move(it->second);
+    connections_.erase(it);
+    if (reset) site_.net.reset(*connection->socket);
+    else site_.net.close(*connection->socket);
 }
 
 }  // namespace myrtleroute::lab
--- a/src/lab/server.hpp
+++ b/src/lab/server.hpp
@@ -13,66 +13,66 @@
 public:
     Server(Site& site, Registry& registry, int slot, std::function<void()> list_changed);
     ~Server() override;
-    void starts(bool cold);               // its process; listed as serving
-    void begins(const Fault& fault);
-    void ends(const Fault& fault);
-    void costly(double factor) { costly_ = factor; }
+    void start(bool cold);               // its process; listed as serving
+    void fault_begins(const Fault& fault);
+    void fault_ends(const Fault& fault);
+    void set_cost_factor(double factor) { cost_factor_ = factor; }
     void socket_changed(Socket& socket) override;
-    std::function<void(uint64_t call, Time comes)> on_answer;   // an answer to it will come then
+    std::function<void(uint64_t call, Time arrives)> on_response;   // an answer to it will come then
 
 private:
-    struct Conn;
+    struct Connection;
     struct Job {
         uint64_t call;
-        size_t shot;         // of the call's
+        size_t attempt;         // of the call's
         uint64_t socket;
         Span work;
-        Time give_up;
+        Time deadline;
     };
-    bool on(FaultKind kind) const { return on_[static_cast<size_t>(kind)] > 0; }
-    double how(FaultKind kind) const { return how_[static_cast<size_t>(kind)]; }
+    bool is_active(FaultKind kind) const { return active_[static_cast<size_t>(kind)] > 0; }
+    double strength(FaultKind kind) const { return strength_[static_cast<size_t>(kind)]; }
     int cores() const { return 2 * (1 + slot_ / 2 % 2); }   // as its hint of capacity says
-    double warmth() const;
+    double capacity_share() const;
     void list(Entry::State state);
-    void dies(bool vanished = false);
-    void drops(Job& job);
-    void comes_back(Span after, bool fresh_uid);
-    void asked(Conn& conn);
-    void weigh(uint64_t call, Span work);
-    void work();                          // starts what can start
+    void crash(bool connections_lost = false);
+    void drop(Job& job);
+    void restart_after(Span after, bool new_uid);
+    void request_received(Connection& connection);
+    void add_cold_work(uint64_t call, Span work);
+    void start_jobs();                          // starts what can start
     void finish(Job job);
-    void say(Conn& conn, std::string text, Time comes = {});
-    void reply(Conn& conn, int status, const std::string& body, const std::string& fields = {});
-    void answer(const Job& job, bool duplicate);
-    void end(uint64_t socket, bool reset = false);
-    LabShot& shot(const Job& job) { return site_.oracle.call(job.call)->shots[job.shot]; }
-    bool connected(const Job& job) const { return conns_.count(job.socket) > 0; }
+    void send(Connection& connection, std::string text, Time arrives = {});
+    void reply(Connection& connection, int status, const std::string& body, const std::string& fields = {});
+    void send_result(const Job& job, bool duplicate);
+    void close_connection(uint64_t socket, bool reset = false);
+    LabAttempt& attempt(const Job& job) { return site_.oracle.call(job.call)->attempts[job.attempt]; }
+    bool connected(const Job& job) const { return connections_.count(job.socket) > 0; }
 
     Site& site_;
     Registry& registry_;
     int slot_;
     std::function<void()> list_changed_;
     Machine machine_;
-    RandomStream chance_;
+    RandomStream random_;
     Handle listener_;
     std::string uid_;
     Time launched_{};
     bool up_ = false, listed_ = false;
-    int lives_ = 0;          // ends what belongs to an earlier one
-    int running_ = 0;
-    double costly_ = 1;
-    Time tipped_until_{};
-    std::map<uint64_t, std::unique_ptr<Conn>> conns_;   // by socket
-    std::deque<Job> waiting_;
-    std::vector<Job> on_cores_;
-    struct Weight {
+    int incarnation_ = 0;          // ends what belongs to an earlier one
+    int running_count_ = 0;
+    double cost_factor_ = 1;
+    Time overloaded_until_{};
+    std::map<uint64_t, std::unique_ptr<Connection>> connections_;   // by socket
+    std::deque<Job> queued_jobs_;
+    std::vector<Job> running_jobs_;
+    struct ColdWork {
         Time at;
         double work;
         bool known;
     };
-    std::deque<Weight> cold_;
-    std::array<int, static_cast<size_t>(FaultKind::kinds)> on_{};
-    std::array<double, static_cast<size_t>(FaultKind::kinds)> how_{};
+    std::deque<ColdWork> cold_work_;
+    std::array<int, static_cast<size_t>(FaultKind::kinds)> active_{};
+    std::array<double, static_cast<size_t>(FaultKind::kinds)> strength_{};
 };
 
 }  // namespace myrtleroute::lab
--- a/src/lab/site.cpp
+++ b/src/lab/site.cpp
@@ -25,11 +25,11 @@
         if (p.repeat == Idempotency::deduplicated) out << ",\"KeyScope\":\"zone\",\"DedupWindowS\":" << p.window;
         out << '}';
     }
-    out << "],\"Limits\":{\"MaxShots\":" << most_shots << ",\"Cancel\":true,\"Probing\":true,\"RetryAfter\":true,"
+    out << "],\"Limits\":{\"MaxShots\":" << max_attempts << ",\"Cancel\":true,\"Probing\":true,\"RetryAfter\":true,"
         << "\"MaxRetryAfterS\":2,\"ConnectTimeoutS\":0.25,\"IdleCloseS\":10},\"Guarantees\":{\"GraceToAnswerS\":"
-        << answer_grace.s << ",\"AskWithinS\":" << ask_within.s << ",\"WarmAfterS\":" << warm_after.s
+        << answer_margin.s << ",\"AskWithinS\":" << ask_within.s << ",\"WarmAfterS\":" << warm_after.s
         << ",\"StartCapacity\":" << start_capacity << ",\"TipMultiple\":" << tip_multiple
-        << (scenario.drain_alone ? ",\"DrainBindsAlone\":true" : "")
+        << (scenario.drain_binds_alone ? ",\"DrainBindsAlone\":true" : "")
         << "},\"Prices\":{\"CrossZone\":0.02}}}";
     return out.str();
 }
--- a/src/lab/site.hpp
+++ b/src/lab/site.hpp
@@ -24,12 +24,12 @@
     {"book", Idempotency::non_idempotent, 6, 0.6, 2, 0, 0.02, 0.2},
 }};
 
-constexpr double epoch = 1.7e9;      // Unix time at 0 of the virtual clock; a day starts at 100 s
+constexpr double unix_time_at_zero = 1.7e9;      // Unix time at 0 of the virtual clock; a day starts at 100 s
 
 // The guarantees of the lab's site, as the proxies are told them.
-constexpr Span drain_grace{3}, cold_window{2}, warm_after{9}, answer_grace{0.05}, ask_within{8};
+constexpr Span drain_grace{3}, cold_window{2}, warm_after{9}, answer_margin{0.05}, ask_within{8};
 constexpr double start_capacity = 0.2, tip_multiple = 2;
-constexpr int most_shots = 3, zones = 2;
+constexpr int max_attempts = 3, zones = 2;
 
 constexpr uint32_t proxy_ip = 10u << 24, server_ip = (10u << 24) + (1u << 16), discovery_ip = (10u << 24) + (2u << 16),
                    client_ip = (10u << 24) + (3u << 16);
@@ -47,8 +47,8 @@
     Net& net;
     Trace& trace;
     Oracle& oracle;
-    void note(Event what, uint64_t who, uint64_t a = 0, uint64_t b = 0) {
-        trace.note(queue.steps(), queue.now(), what, who, a, b);
+    void record(Event what, uint64_t who, uint64_t a = 0, uint64_t b = 0) {
+        trace.record(queue.steps(), queue.now(), what, who, a, b);
     }
 };
 
--- a/src/lab/summary.hpp
+++ b/src/lab/summary.hpp
@@ -31,9 +31,9 @@
 };
 
 struct Summary {
-    uint64_t days = 0, steps = 0, rounds = 0, calls = 0, taken = 0, shots = 0, executed = 0, resets = 0;
+    uint64_t runs = 0, steps = 0, rounds = 0, calls = 0, taken = 0, attempts = 0, executed = 0, resets = 0;
     uint64_t fulfilled = 0, rate_limited = 0, errored = 0, turned_away = 0, left = 0, lost_to_kills = 0;
-    uint64_t further_shots = 0, probes = 0, strangers = 0, most_held_bytes = 0;
+    uint64_t further_attempts = 0, probes = 0, strangers = 0, max_held_bytes = 0;
     std::array<uint64_t, static_cast<size_t>(FaultKind::kinds)> faults{};
     std::array<uint64_t, static_cast<size_t>(Hard::kinds)> hard{};
 
--- a/src/lab/sweep.cpp
+++ b/src/lab/sweep.cpp
@@ -11,53 +11,54 @@
 
 namespace myrtleroute::lab {
 
-bool sweep(const Sweep& what, std::ostream& out, std::ostream& progress) {
+bool sweep(const Sweep& options, std::ostream& out, std::ostream& progress) {
     run::PosixHome home;
-    const Time began = home.now();
+    const Time started = home.now();
     std::atomic<uint64_t> next{0};
-    std::mutex together;
-    Summary all;
-    uint64_t played = 0;
-    std::map<uint64_t, Played> days;      // in order of the seeds, whoever played them
-    const auto work = [&] {
-        for (uint64_t n; (n = next++) < what.seeds;) {
-            auto day = play(draw(what.from + n));
-            const std::lock_guard lock(together);
-            all.add(day.summary);
-            day.summary = {};
-            if (day.broken && what.first) next = what.seeds;
-            if (day.broken || !what.record.empty()) days.emplace(what.from + n, std::move(day));
-            ++played;
-            if (played * 10 / what.seeds != (played - 1) * 10 / what.seeds)
-                progress << played << " of " << what.seeds << " seeds, " << std::fixed << std::setprecision(1)
-                         << (home.now() - began).s << " s" << std::endl;
+    std::mutex mutex;
+    Summary total;
+    uint64_t finished = 0;
+    std::map<uint64_t, RunResult> results;      // in order of the seeds, whoever played them
+    const auto worker = [&] {
+        for (uint64_t n; (n = next++) < options.seeds;) {
+            auto result = run_scenario(draw_scenario(options.from + n));
+            const std::lock_guard lock(mutex);
+            total.add(result.summary);
+            result.summary = {};
+            if (result.violation && options.stop_at_first) next = options.seeds;
+            if (result.violation || !options.record.empty()) results.emplace(options.from + n, std::move(result));
+            ++finished;
+            if (finished * 10 / options.seeds != (finished - 1) * 10 / options.seeds)
+                progress << finished << " of " << options.seeds << " seeds, " << std::fixed << std::setprecision(1)
+                         << (home.now() - started).s << " s" << std::endl;
         }
     };
     std::vector<std::thread> threads;
-    for (unsigned i = 0; i < what.jobs; ++i) threads.emplace_back(work);
+    for (unsigned i = 0; i < options.jobs; ++i) threads.emplace_back(worker);
     for (auto& t : threads) t.join();
-    const double took = (home.now() - began).s;
+    const double took = (home.now() - started).s;
 
-    size_t broken = 0;
+    size_t violations = 0;
     std::map<std::string, uint64_t> by_rule;
-    for (const auto& [seed, day] : days) {
-        if (!day.broken) continue;
-        ++by_rule[name_of(day.broken->rule)];
-        if (++broken <= what.most_reports) report(out, draw(seed), *day.broken, "replay --seed " + std::to_string(seed));
-        else if (broken <= 100) out << "replay --seed " << seed << " breaks " << name_of(day.broken->rule) << '\n';
+    for (const auto& [seed, result] : results) {
+        if (!result.violation) continue;
+        ++by_rule[name_of(result.violation->rule)];
+        if (++violations <= options.max_reports) report(out, draw_scenario(seed), *result.violation, "replay --seed " + std::to_string(seed));
+        else if (violations <= 100)
+            out << "replay --seed " << seed << " breaks " << name_of(result.violation->rule) << '\n';
     }
-    if (!what.record.empty()) {
-        std::ofstream record(what.record);
-        for (const auto& [seed, day] : days)
-            record << seed << ' ' << day.steps << ' ' << std::hex << day.digest << std::dec << ' '
-                   << (day.broken ? name_of(day.broken->rule) : "kept") << '\n';
+    if (!options.record.empty()) {
+        std::ofstream record(options.record);
+        for (const auto& [seed, result] : results)
+            record << seed << ' ' << result.steps << ' ' << std::hex << result.digest << std::dec << ' '
+                   << (result.violation ? name_of(result.violation->rule) : "kept") << '\n';
     }
-    all.print(out);
-    out << std::fixed << std::setprecision(1) << took << " s, " << static_cast<double>(all.steps) / took / 1e6
-        << " million steps a second\n" << broken << " of " << what.seeds << " days broke a rule";
+    total.print(out);
+    out << std::fixed << std::setprecision(1) << took << " s, " << static_cast<double>(total.steps) / took / 1e6
+        << " million steps a second\n" << violations << " of " << options.seeds << " days broke a rule";
     for (const auto& [rule, n] : by_rule) out << ", " << rule << ' ' << n;
     out << std::endl;
-    return broken == 0;
+    return violations == 0;
 }
 
 }  // namespace myrtleroute::lab
--- a/src/lab/trace.hpp
+++ b/src/lab/trace.hpp
@@ -30,13 +30,13 @@
 class Trace {
 public:
     using Sink = std::function<void(Event, uint64_t who, const std::string& line)>;
-    void read_by(Sink sink) { sink_ = std::move(sink); }
-    bool read() const { return sink_ != nullptr; }
+    void set_sink(Sink sink) { sink_ = std::move(sink); }
+    bool has_sink() const { return sink_ != nullptr; }
     uint64_t digest() const { return digest_; }
 
-    void note(uint64_t step, Time at, Event what, uint64_t who, uint64_t a = 0, uint64_t b = 0) {
-        const uint64_t record[] = {step, std::bit_cast<uint64_t>(at.s), static_cast<uint64_t>(what), who, a, b};
-        digest_ = XXH64(record, sizeof record, digest_);
+    void record(uint64_t step, Time at, Event what, uint64_t who, uint64_t a = 0, uint64_t b = 0) {
+        const uint64_t fields[] = {step, std::bit_cast<uint64_t>(at.s), static_cast<uint64_t>(what), who, a, b};
+        digest_ = XXH64(fields, sizeof fields, digest_);
         if (!sink_) return;
         static constexpr const char* names[] = {
 #define X(name) #name,
@@ -48,7 +48,7 @@
              << names[static_cast<size_t>(what)] << ' ' << who << ' ' << a << ' ' << b;
         sink_(what, who, line.str());
     }
-    void say(const std::string& line) {   // of a proxy's log; no part of the digest
+    void log(const std::string& line) {   // of a proxy's log; no part of the digest
         if (sink_) sink_(Event::noise, ~0ULL, line);
     }
 
--- a/src/lab/virtual_home.cpp
+++ b/src/lab/virtual_home.cpp
@@ -17,11 +17,11 @@
 
 }  // namespace
 
-double VirtualHome::unix_time() { return epoch + queue_.now().s; }
+double VirtualHome::unix_time() { return unix_time_at_zero + queue_.now().s; }
 
 void VirtualHome::signal(int number) {
     signals_.push_back(number);
-    wakened_();
+    on_event_();
 }
 
 void VirtualHome::end_process() {
@@ -31,13 +31,13 @@
     signals_.clear();
 }
 
-size_t VirtualHome::to_servers() const {
+size_t VirtualHome::server_connections() const {
     size_t n = 0;
     for (const auto& s : table_) n += s && s->remote >> 16 >= server_ip && s->remote >> 16 < discovery_ip;
     return n;
 }
 
-size_t VirtualHome::connecting_to_servers() const {
+size_t VirtualHome::pending_server_connections() const {
     size_t n = 0;
     for (const auto& s : table_)
         n += s && s->remote >> 16 >= server_ip && s->remote >> 16 < discovery_ip && s->state == State::connecting;
@@ -57,7 +57,7 @@
 }
 
 // As poll(2) tells of stream sockets on Linux.
-short VirtualHome::state_of(const Socket& s) const {
+short VirtualHome::poll_events(const Socket& s) const {
     if (s.state == State::listening) return s.waiting.empty() ? 0 : POLLIN;
     if (s.state == State::connecting) return 0;
     if (s.state == State::reset) return POLLIN | POLLOUT | POLLRDHUP | POLLHUP | (s.error ? POLLERR : 0);
@@ -70,19 +70,19 @@
 }
 
 int VirtualHome::wait(pollfd* polled, size_t n, int ms) {
-    int found = 0;
+    int ready_count = 0;
     for (size_t i = 0; i < n; ++i) {
         const int fd = polled[i].fd;
-        const short is = fd == signal_fd_ ? (signals_.empty() ? 0 : POLLIN) : state_of(at(fd));
-        polled[i].revents = static_cast<short>(is & (polled[i].events | POLLERR | POLLHUP));
-        found += polled[i].revents != 0;
+        const short ready = fd == signal_fd_ ? (signals_.empty() ? 0 : POLLIN) : poll_events(at(fd));
+        polled[i].revents = static_cast<short>(ready & (polled[i].events | POLLERR | POLLHUP));
+        ready_count += polled[i].revents != 0;
     }
-    is_waiting_ = found == 0 && ms > 0;
+    is_waiting_ = ready_count == 0 && ms > 0;
     until_ = queue_.now() + Span{ms / 1000.0};
-    return found;
+    return ready_count;
 }
 
-int VirtualHome::take(Handle socket) {
+int VirtualHome::allocate_descriptor(Handle socket) {
     size_t fd = 3;   // the first three are the process's own
     while (fd < table_.size() && (table_[fd] || static_cast<int>(fd) == signal_fd_)) ++fd;
     if (open_ + 3 >= descriptors) {
@@ -96,27 +96,27 @@
 }
 
 int VirtualHome::listen_at(const sockaddr_in& where) {
-    const NotHeld ours;
+    const HeapCounterPause pause;
     auto socket = net_.listen(machine_, *this, address(where));
     if (!socket) errno = EADDRINUSE;
-    return socket ? take(std::move(socket)) : -1;
+    return socket ? allocate_descriptor(std::move(socket)) : -1;
 }
 
 int VirtualHome::connect_to(const sockaddr_in& where, bool& at_once) {
-    const NotHeld ours;
+    const HeapCounterPause pause;
     at_once = false;
-    const int fd = take(nullptr);
+    const int fd = allocate_descriptor(nullptr);
     if (fd >= 0) table_[static_cast<size_t>(fd)] = net_.connect(machine_, *this, address(where));
     return fd;
 }
 
 int VirtualHome::accept(int fd) {
-    const NotHeld ours;
+    const HeapCounterPause pause;
     if (at(fd).waiting.empty()) {
         errno = EAGAIN;
         return -1;
     }
-    const int fresh = take(nullptr);
+    const int fresh = allocate_descriptor(nullptr);
     if (fresh < 0) return fresh;
     auto socket = net_.accept(at(fd));
     socket->observer = this;
@@ -127,23 +127,23 @@
 int VirtualHome::error_of(int fd) { return std::exchange(at(fd).error, 0); }
 
 ssize_t VirtualHome::read(int fd, const iovec* parts, int n) {
-    const NotHeld ours;
-    ssize_t all = 0;
+    const HeapCounterPause pause;
+    ssize_t total = 0;
     for (int i = 0; i < n; ++i) {
         if (!parts[i].iov_len) continue;
         const auto got = net_.read(at(fd), static_cast<char*>(parts[i].iov_base), parts[i].iov_len);
-        if (got < 0) return all ? all : got;
-        all += got;
+        if (got < 0) return total ? total : got;
+        total += got;
         if (static_cast<size_t>(got) < parts[i].iov_len) break;
     }
-    return all;
+    return total;
 }
 
 ssize_t VirtualHome::write(int fd, const iovec* parts, int n) {
-    const NotHeld ours;
-    std::string all;
-    for (int i = 0; i < n; ++i) all.append(static_cast<const char*>(parts[i].iov_base), parts[i].iov_len);
-    return net_.write(at(fd), all);
+    const HeapCounterPause pause;
+    std::string total;
+    for (int i = 0; i < n; ++i) total.append(static_cast<const char*>(parts[i].iov_base), parts[i].iov_len);
+    return net_.write(at(fd), total);
 }
 
 bool VirtualHome::still_quiet(int fd) {
@@ -154,12 +154,12 @@
 bool VirtualHome::has_unread(int fd) { return !at(fd).in.empty(); }
 
 void VirtualHome::end_sending(int fd) {
-    const NotHeld ours;
+    const HeapCounterPause pause;
     net_.end_sending(at(fd));
 }
 
 void VirtualHome::close(int fd) {
-    const NotHeld ours;
+    const HeapCounterPause pause;
     --open_;
     if (fd == signal_fd_) {
         signal_fd_ = -1;
@@ -169,13 +169,13 @@
 }
 
 int VirtualHome::hear_signals() {
-    const NotHeld ours;
-    const int fd = take(nullptr);
+    const HeapCounterPause pause;
+    const int fd = allocate_descriptor(nullptr);
     return signal_fd_ = fd;
 }
 
 int VirtualHome::next_signal(int) {
-    const NotHeld ours;
+    const HeapCounterPause pause;
     if (signals_.empty()) return 0;
     const int number = signals_.front();
     signals_.pop_front();
--- a/src/lab/virtual_home.hpp
+++ b/src/lab/virtual_home.hpp
@@ -11,8 +11,8 @@
 
 class VirtualHome : public run::Home, public SocketObserver {
 public:
-    VirtualHome(Queue& queue, Net& net, Machine& machine, std::function<void()> wakened)
-        : queue_(queue), net_(net), machine_(machine), wakened_(std::move(wakened)) {}
+    VirtualHome(Queue& queue, Net& net, Machine& machine, std::function<void()> on_event)
+        : queue_(queue), net_(net), machine_(machine), on_event_(std::move(on_event)) {}
 
     // For the world.
     std::map<std::string, std::string> variables, files;
@@ -23,8 +23,8 @@
     void signal(int number);
     void end_process();                         // as the system does when it is gone
     size_t open() const { return open_; }       // descriptors that are held
-    size_t to_servers() const;                  // of them
-    size_t connecting_to_servers() const;
+    size_t server_connections() const;                  // of them
+    size_t pending_server_connections() const;
     size_t accepted() const;
     bool connecting_to(uint32_t ip) const;
 
@@ -48,17 +48,17 @@
     const char* variable(const char* name) override;
     std::optional<std::string> file(const std::string& path) override;
 
-    void socket_changed(Socket&) override { wakened_(); }
+    void socket_changed(Socket&) override { on_event_(); }
 
 private:
-    int take(Handle socket);
+    int allocate_descriptor(Handle socket);
     Socket& at(int fd) { return *table_[static_cast<size_t>(fd)]; }
-    short state_of(const Socket& s) const;
+    short poll_events(const Socket& s) const;
 
     Queue& queue_;
     Net& net_;
     Machine& machine_;
-    std::function<void()> wakened_;
+    std::function<void()> on_event_;
     std::vector<Handle> table_;                 // by descriptor
     std::deque<int> signals_;
     int signal_fd_ = -1;
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -12,20 +12,20 @@
 
 // After the load: until its calls are over, until connections that stand idle are closed, and until all have
 // ended.
-constexpr Span calls_end{5}, idle_ends{14}, all_end{5};
-constexpr Span most_stop{4.2};          // from SIGTERM to the end
-constexpr uint64_t most_rounds = 3000;  // in 0.1 s: hundreds are many
+constexpr Span calls_end{5}, idle_time{14}, shutdown_time{5};
+constexpr Span max_stop_time{4.2};          // from SIGTERM to the end
+constexpr uint64_t max_rounds = 3000;  // in 0.1 s: hundreds are many
 
-class Lines : public std::streambuf {   // a proxy's log, into the trace where that is read
+class LogSink : public std::streambuf {   // a proxy's log, into the trace where that is read
 public:
-    Lines(Trace& trace, int proxy) : trace_(trace), proxy_("proxy " + std::to_string(proxy) + ": ") {}
+    LogSink(Trace& trace, int proxy) : trace_(trace), proxy_("proxy " + std::to_string(proxy) + ": ") {}
 
 protected:
     std::streamsize xsputn(const char* text, std::streamsize n) override {
-        const NotHeld ours;
-        if (!trace_.read()) return n;
+        const HeapCounterPause pause;
+        if (!trace_.has_sink()) return n;
         std::istringstream lines(std::string(text, static_cast<size_t>(n)));
-        for (std::string line; std::getline(lines, line);) trace_.say("    " + proxy_ + line);
+        for (std::string line; std::getline(lines, line);) trace_.log("    " + proxy_ + line);
         return n;
     }
     int overflow(int c) override { return c; }
@@ -38,37 +38,38 @@
 }  // namespace
 
 struct World::Instance {
-    Instance(Trace& trace, int n) : number(n), machine{n, true}, lines(trace, n), log(&lines) {}
+    Instance(Trace& trace, int n) : number(n), machine{n, true}, log_sink(trace, n), log(&log_sink) {}
     int number;
     Machine machine;
-    Lines lines;
+    LogSink log_sink;
     std::ostream log;
     std::unique_ptr<VirtualHome> home;
     std::unique_ptr<run::Proxy> proxy;
-    uint64_t starts = 0, plans = 0;
-    bool planned = false;
-    Time next, busy_until, paused_until;
-    bool told_to_stop = false;
-    Time known_at;                 // what it will know at its next start
-    Time counted_from;             // rounds since then
+    uint64_t starts = 0, schedule_version = 0;
+    bool scheduled = false;
+    Time next_round, busy_until, paused_until;
+    bool stop_requested = false;
+    Time list_known_at;                 // what it will know at its next start
+    Time rounds_counted_since;             // rounds since then
     uint64_t rounds = 0;
     ptrdiff_t held_bytes = 0;
 };
 
 World::World(const Scenario& scenario)
     : scenario_(scenario), queue_(Time{100}), net_(queue_, scenario.seed), oracle_(queue_, trace_, scenario_),
-      site_{scenario_, queue_, net_, trace_, oracle_}, chance_(scenario.seed, 0x574f524c), over_at_(Time{100} + scenario.lasts) {
-    net_.tapped_by(oracle_);
-    net_.rough = scenario.rough;
-    if (net_.rough > 0 && chance_.bernoulli(0.5)) net_.window = static_cast<size_t>(chance_.between(2'000, 64'000));
+      site_{scenario_, queue_, net_, trace_, oracle_}, random_(scenario.seed, 0x574f524c), load_ends_at_(Time{100} + scenario.duration) {
+    net_.set_tap(oracle_);
+    net_.disturbed_share = scenario.disturbed_share;
+    if (net_.disturbed_share > 0 && random_.bernoulli(0.5))
+        net_.window = static_cast<size_t>(random_.between(2'000, 64'000));
     for (int i = 0; i < 2; ++i)
         discoveries_.push_back(std::make_unique<Discovery>(site_, registry_, i, static_cast<uint64_t>(1 + i * 5000)));
-    discoveries_[0]->opens();
+    discoveries_[0]->open();
     for (int i = 0; i < scenario_.servers; ++i) {
         servers_.push_back(std::make_unique<Server>(site_, registry_, i, [this] { list_changed(); }));
-        servers_[i]->starts(false);
-        servers_[i]->on_answer = [this](uint64_t call, Time when) {
-            applications_[call / calls_a_proxy]->answer_comes(call, when);
+        servers_[i]->start(false);
+        servers_[i]->on_response = [this](uint64_t call, Time when) {
+            applications_[call / call_numbers_per_proxy]->response_expected(call, when);
         };
     }
     for (int i = 0; i < scenario_.proxies; ++i) {
@@ -77,37 +78,37 @@
     }
     oracle_.on_discovery_bytes = [this](int proxy, Socket& s) {
         for (auto& d : discoveries_)
-            if (d->has(proxy, s)) return;
+            if (d->bytes_arrived(proxy, s)) return;
     };
-    oracle_.connecting = [this](int proxy, int server) {
+    oracle_.is_connecting = [this](int proxy, int server) {
         const auto& home = instances_[proxy]->home;
         return home && home->connecting_to(server_ip + 1 + static_cast<uint32_t>(server));
     };
     for (auto& i : instances_)
-        queue_.in({chance_.between(0, 0.1)}, [this, &i = *i] { start(i, queue_.now() - Span{chance_.between(0, 3)}); });
+        queue_.in({random_.between(0, 0.1)}, [this, &i = *i] { start(i, queue_.now() - Span{random_.between(0, 3)}); });
     std::set<FaultKind> all;
     for (const auto& fault : scenario_.faults) {
         all.insert(fault.kind);
         ++oracle_.summary.faults[static_cast<size_t>(fault.kind)];
-        queue_.in(fault.at, [this, &fault] { begins(fault); });
-        queue_.in(fault.at + fault.lasts, [this, &fault] { ends(fault); });
+        queue_.in(fault.at, [this, &fault] { fault_begins(fault); });
+        queue_.in(fault.at + fault.duration, [this, &fault] { fault_ends(fault); });
     }
     if (all.size() >= static_cast<size_t>(FaultKind::wrong_list)) oracle_.summary.met(Hard::all_at_once);
-    oracle_.summary.days = 1;
-    queue_.at(over_at_, [this] {
-        for (auto& a : applications_) a->stops();
+    oracle_.summary.runs = 1;
+    queue_.at(load_ends_at_, [this] {
+        for (auto& a : applications_) a->stop();
     });
-    queue_.at(over_at_ + idle_ends, [this] { quiet(); });
+    queue_.at(load_ends_at_ + idle_time, [this] { check_nothing_left(); });
 }
 
 World::~World() {
     for (auto& i : instances_)
-        if (i->proxy) gone(*i);
+        if (i->proxy) process_ended(*i);
 }
 
 bool World::step() {
-    if (oracle_.broken()) return false;
-    return queue_.step(over_at_ + idle_ends + all_end) && !oracle_.broken();
+    if (oracle_.violation()) return false;
+    return queue_.step(load_ends_at_ + idle_time + shutdown_time) && !oracle_.violation();
 }
 
 const Summary& World::summary() {
@@ -117,242 +118,246 @@
 }
 
 void World::list_changed() {
-    for (auto& d : discoveries_) d->changed();
+    for (auto& d : discoveries_) d->registry_changed();
 }
 
-std::string World::known(Time at, std::vector<Oracle::Told>& told) const {
+std::string World::server_list(Time at, std::vector<Oracle::ListedServer>& servers) const {
     const auto rev = std::max<uint64_t>(registry_.rev_at(at), static_cast<uint64_t>(scenario_.servers));
-    const auto entries = registry_.standing(rev);
-    told = Registry::told(entries);
+    const auto entries = registry_.listed_at(rev);
+    servers = Registry::to_listed(entries);
     // Numbered as by the discovery that takes calls; lists of another are of no use there.
-    return Registry::words(rev + 1 + discovery_ * 5000, true, entries);
+    return Registry::to_json(rev + 1 + current_discovery_ * 5000, true, entries);
 }
 
 void World::configure(Instance& i) {
-    std::vector<Oracle::Told> told;
-    const auto list = known(i.known_at, told);
+    std::vector<Oracle::ListedServer> servers;
+    const auto list = server_list(i.list_known_at, servers);
     const auto seed = mix(scenario_.seed ^ mix(static_cast<uint64_t>(i.number) * 1000 + i.starts));
-    i.home->files["config.json"] = configuration(scenario_, i.number, seed, discoveries_[discovery_]->ip(), list);
+    i.home->files["config.json"] =
+        configuration(scenario_, i.number, seed, discoveries_[current_discovery_]->ip(), list);
 }
 
-void World::start(Instance& i, Time known_at) {
+void World::start(Instance& i, Time list_known_at) {
     if (stopping_ || i.proxy) return;
     ++i.starts;
-    i.known_at = known_at;
-    i.told_to_stop = false;
-    i.paused_until = i.busy_until = i.counted_from = queue_.now();
-    i.planned = false;
+    i.list_known_at = list_known_at;
+    i.stop_requested = false;
+    i.paused_until = i.busy_until = i.rounds_counted_since = queue_.now();
+    i.scheduled = false;
     i.rounds = 0;
     i.held_bytes = 0;
-    i.home = std::make_unique<VirtualHome>(queue_, net_, i.machine, [this, &i] { plan(i, queue_.now()); });
+    i.home = std::make_unique<VirtualHome>(queue_, net_, i.machine, [this, &i] { schedule_round(i, queue_.now()); });
     i.home->variables["BALANCER_CONFIG"] = "config.json";
-    i.home->variables["MYRTLEROUTE_LOG"] = trace_.read() ? "debug" : "error";
+    i.home->variables["MYRTLEROUTE_LOG"] = trace_.has_sink() ? "debug" : "error";
     configure(i);
-    std::vector<Oracle::Told> told;
-    known(known_at, told);
-    oracle_.starts(i.number, told);
+    std::vector<Oracle::ListedServer> servers;
+    server_list(list_known_at, servers);
+    oracle_.proxy_started(i.number, servers);
     const auto environment = [&](const char* name) { return i.home->variable(name); };
-    const HeldBytes held(i.held_bytes);
+    const HeapCounter held(i.held_bytes);
     i.proxy = std::make_unique<run::Proxy>(run::read_config(*i.home, environment), *i.home, i.log);
-    if (!i.proxy->start()) return oracle_.breaks(Rule::no_crash, {}, "proxy " + std::to_string(i.number) + " can't start");
-    plan(i, queue_.now());
+    if (!i.proxy->start()) return oracle_.report_violation(Rule::no_crash, {}, "proxy " + std::to_string(i.number) + " can't start");
+    schedule_round(i, queue_.now());
 }
 
-void World::plan(Instance& i, Time at) {
+void World::schedule_round(Instance& i, Time at) {
     if (!i.proxy) return;
     at = std::max({at, i.paused_until, i.busy_until});
-    if (i.planned && at >= i.next) return;
-    i.planned = true;
-    i.next = at;
-    queue_.at(at, [this, &i, plan = ++i.plans] {
-        if (plan == i.plans && i.proxy) turn(i);
+    if (i.scheduled && at >= i.next_round) return;
+    i.scheduled = true;
+    i.next_round = at;
+    queue_.at(at, [this, &i, version = ++i.schedule_version] {
+        if (version == i.schedule_version && i.proxy) run_round(i);
     });
 }
 
 // One round of its loop. The next comes after what a round takes; the later ones when it has slept enough or
 // hears of something.
-void World::turn(Instance& i) {
-    i.planned = false;
-    if (i.paused_until > queue_.now()) return plan(i, i.paused_until);
+void World::run_round(Instance& i) {
+    i.scheduled = false;
+    if (i.paused_until > queue_.now()) return schedule_round(i, i.paused_until);
     ++oracle_.summary.rounds;
     ++i.rounds;
-    bool goes_on = false;
+    bool continues = false;
     try {
-        const HeldBytes held(i.held_bytes);
-        goes_on = i.proxy->round();
-    } catch (const std::exception& trouble) {
-        return oracle_.breaks(Rule::no_crash, {}, "proxy " + std::to_string(i.number) + ": " + trouble.what());
+        const HeapCounter held(i.held_bytes);
+        continues = i.proxy->round();
+    } catch (const std::exception& error) {
+        return oracle_.report_violation(Rule::no_crash, {}, "proxy " + std::to_string(i.number) + ": " + error.what());
     }
-    if (!goes_on) {
-        if (!i.told_to_stop)
-            return oracle_.breaks(Rule::ends_in_time, {}, "proxy " + std::to_string(i.number) + " ended by itself");
-        gone(i);
-        return queue_.in({0.2}, [this, &i, at = i.known_at] { start(i, at); });
+    if (!continues) {
+        if (!i.stop_requested)
+            return oracle_.report_violation(Rule::ends_in_time, {},
+                                            "proxy " + std::to_string(i.number) + " ended by itself");
+        process_ended(i);
+        return queue_.in({0.2}, [this, &i, at = i.list_known_at] { start(i, at); });
     }
     check(i);
-    i.busy_until = queue_.now() + Span{0.00001 + chance_.exponential(0.00003)};
-    plan(i, i.home->is_waiting() ? i.home->waits_until() : i.busy_until);
+    i.busy_until = queue_.now() + Span{0.00001 + random_.exponential(0.00003)};
+    schedule_round(i, i.home->is_waiting() ? i.home->waits_until() : i.busy_until);
 }
 
 // What it holds is what the system holds for it.
 void World::check(Instance& i) {
     auto& state = i.proxy->state();
-    const auto breaks = [&](Rule rule, const std::string& what, size_t has, size_t is) {
+    const auto compare = [&](Rule rule, const std::string& what, size_t has, size_t is) {
         if (has != is)
-            oracle_.breaks(rule, {}, "proxy " + std::to_string(i.number) + " counts " + std::to_string(has) + ' ' + what +
+            oracle_.report_violation(rule, {}, "proxy " + std::to_string(i.number) + " counts " + std::to_string(has) + ' ' + what +
                                          ", there are " + std::to_string(is));
     };
-    breaks(Rule::beliefs, "descriptors", state.loop.connections(), i.home->open());
+    compare(Rule::beliefs, "descriptors", state.loop.connections(), i.home->open());
     size_t lines = 0, idle = 0, waiting = 0;
     state.servers.each([&](memory::Server& s) {
         lines += static_cast<size_t>(s.lines);
         idle += s.idle.size();
     });
-    breaks(Rule::beliefs, "connections to servers", lines, i.home->to_servers());
-    const auto busy = static_cast<size_t>(oracle_.lines_busy(i.number)) + i.home->connecting_to_servers();
-    breaks(Rule::beliefs, "connections to servers with something out", lines - idle, busy);
+    compare(Rule::beliefs, "connections to servers", lines, i.home->server_connections());
+    const auto busy = static_cast<size_t>(oracle_.busy_connections(i.number)) + i.home->pending_server_connections();
+    compare(Rule::beliefs, "connections to servers with something out", lines - idle, busy);
     state.calls.each([&](memory::Held& call) { waiting += call.client != nullptr; });
-    const auto open = static_cast<size_t>(oracle_.calls_open(i.number));
+    const auto open = static_cast<size_t>(oracle_.open_calls(i.number));
     // An answer counts when it is written whole.
     if (open < waiting || open > waiting + state.loop.unwritten())
-        breaks(Rule::beliefs, "calls without an answer", waiting, open);
-    if (queue_.now() - i.counted_from > Span{0.1}) {
-        i.counted_from = queue_.now();
+        compare(Rule::beliefs, "calls without an answer", waiting, open);
+    if (queue_.now() - i.rounds_counted_since > Span{0.1}) {
+        i.rounds_counted_since = queue_.now();
         i.rounds = 0;
     }
-    if (i.rounds > most_rounds)
-        oracle_.breaks(Rule::no_busy_loop, {}, "proxy " + std::to_string(i.number) + " went round " +
+    if (i.rounds > max_rounds)
+        oracle_.report_violation(Rule::no_busy_loop, {}, "proxy " + std::to_string(i.number) + " went round " +
                                                    std::to_string(i.rounds) + " times in 0.1 s");
-    oracle_.summary.most_held_bytes = std::max(oracle_.summary.most_held_bytes, static_cast<uint64_t>(std::max<ptrdiff_t>(0, i.held_bytes)));
+    oracle_.summary.max_held_bytes = std::max(oracle_.summary.max_held_bytes, static_cast<uint64_t>(std::max<ptrdiff_t>(0, i.held_bytes)));
     if (i.held_bytes > static_cast<ptrdiff_t>(state.config.memory_mb << 20))
-        oracle_.breaks(Rule::bounded_memory, {}, "proxy " + std::to_string(i.number) + " holds " + std::to_string(i.held_bytes));
+        oracle_.report_violation(Rule::bounded_memory, {}, "proxy " + std::to_string(i.number) + " holds " + std::to_string(i.held_bytes));
 }
 
-void World::tell_to_stop(Instance& i) {
-    if (!i.proxy || i.told_to_stop) return;
-    i.told_to_stop = true;
-    i.known_at = queue_.now() - Span{chance_.between(0, 4)};
-    if (oracle_.calls_open(i.number) > 0) oracle_.summary.met(Hard::stops_with_calls_out);
-    site_.note(Event::signal, static_cast<uint64_t>(i.number), SIGTERM);
+void World::request_stop(Instance& i) {
+    if (!i.proxy || i.stop_requested) return;
+    i.stop_requested = true;
+    i.list_known_at = queue_.now() - Span{random_.between(0, 4)};
+    if (oracle_.open_calls(i.number) > 0) oracle_.summary.met(Hard::stops_with_calls_out);
+    site_.record(Event::signal, static_cast<uint64_t>(i.number), SIGTERM);
     i.home->signal(SIGTERM);
-    check_stop(i, i.starts, queue_.now() + most_stop);
+    check_stop(i, i.starts, queue_.now() + max_stop_time);
 }
 
 void World::check_stop(Instance& i, uint64_t starts, Time by) {
     queue_.at(by, [this, &i, starts, by] {
         if (!i.proxy || i.starts != starts) return;
-        const Time later = oracle_.due(i.number, by - most_stop, most_stop);
+        const Time later = oracle_.deadline(i.number, by - max_stop_time, max_stop_time);
         if (later > queue_.now()) return check_stop(i, starts, later);
-        oracle_.breaks(Rule::ends_in_time, {}, "proxy " + std::to_string(i.number) + " goes on after SIGTERM");
+        oracle_.report_violation(Rule::ends_in_time, {},
+                                 "proxy " + std::to_string(i.number) + " goes on after SIGTERM");
     });
 }
 
-void World::gone(Instance& i) {
-    oracle_.dies(i.number);
+void World::process_ended(Instance& i) {
+    oracle_.proxy_killed(i.number);
     i.home->end_process();
     i.proxy.reset();
-    oracle_.ended(i.number);
+    oracle_.proxy_ended(i.number);
 }
 
-void World::begins(const Fault& fault) {
-    if (oracle_.broken()) return;
-    site_.note(Event::fault_begins, static_cast<uint64_t>(fault.kind), static_cast<uint64_t>(fault.who));
-    const auto whom = name_of(fault.kind).whom;
-    if (whom == Whom::server) return servers_[fault.who]->begins(fault);
-    if (whom == Whom::discovery) {
-        for (auto& d : discoveries_) d->begins(fault);
+void World::fault_begins(const Fault& fault) {
+    if (oracle_.violation()) return;
+    site_.record(Event::fault_begins, static_cast<uint64_t>(fault.kind), static_cast<uint64_t>(fault.target));
+    const auto target = info_of(fault.kind).target;
+    if (target == FaultTarget::server) return servers_[fault.target]->fault_begins(fault);
+    if (target == FaultTarget::discovery) {
+        for (auto& d : discoveries_) d->fault_begins(fault);
         return;
     }
-    if (whom == Whom::proxy) applications_[fault.who]->begins(fault);
-    auto& i = *instances_[whom == Whom::proxy ? fault.who : 0];
+    if (target == FaultTarget::proxy) applications_[fault.target]->fault_begins(fault);
+    auto& i = *instances_[target == FaultTarget::proxy ? fault.target : 0];
     switch (fault.kind) {
         case FaultKind::costly:
-            for (auto& s : servers_) s->costly(1 + 7 * fault.how);
+            for (auto& s : servers_) s->set_cost_factor(1 + 7 * fault.strength);
             break;
         case FaultKind::burst:
-            for (auto& a : applications_) a->burst(1 + 5 * fault.how);
+            for (auto& a : applications_) a->set_load_factor(1 + 5 * fault.strength);
             break;
         case FaultKind::moves:
-            discoveries_[discovery_]->closes_soon();
-            discovery_ ^= 1;
-            discoveries_[discovery_]->opens();
+            discoveries_[current_discovery_]->close_soon();
+            current_discovery_ ^= 1;
+            discoveries_[current_discovery_]->open();
             for (auto& each : instances_) {
-                if (!each->proxy || each->told_to_stop) continue;
-                if (discoveries_[discovery_ ^ 1]->watched(each->number)) oracle_.summary.met(Hard::moves_while_watching);
+                if (!each->proxy || each->stop_requested) continue;
+                if (discoveries_[current_discovery_ ^ 1]->is_watched_by(each->number)) oracle_.summary.met(Hard::moves_while_watching);
                 configure(*each);
-                site_.note(Event::signal, static_cast<uint64_t>(each->number), SIGHUP);
+                site_.record(Event::signal, static_cast<uint64_t>(each->number), SIGHUP);
                 each->home->signal(SIGHUP);
             }
             break;
         case FaultKind::bad_file:
             if (!i.proxy) break;
-            i.home->files["config.json"] = fault.how < 0.3 ? "" : "{\"listen\":" + std::string(fault.how < 0.6 ? "7}" : "");
+            i.home->files["config.json"] = fault.strength < 0.3 ? "" : "{\"listen\":" + std::string(fault.strength < 0.6 ? "7}" : "");
             i.home->signal(SIGHUP);
             break;
         case FaultKind::descriptors:
-            oracle_.short_of_descriptors(i.number);
-            if (i.home) i.home->descriptors = std::max<size_t>(16, i.home->open() + static_cast<size_t>(fault.how * 10));
+            oracle_.set_descriptors_limited(i.number);
+            if (i.home) i.home->descriptors = std::max<size_t>(16, i.home->open() + static_cast<size_t>(fault.strength * 10));
             break;
         case FaultKind::pause: {
-            const Span lasts{std::min(fault.lasts.s, 0.05 + fault.how * 1.2)};
+            const Span lasts{std::min(fault.duration.s, 0.05 + fault.strength * 1.2)};
             i.paused_until = std::max(i.paused_until, queue_.now() + lasts);
-            oracle_.paused(i.number, queue_.now(), i.paused_until);
-            site_.note(Event::paused, static_cast<uint64_t>(i.number));
+            oracle_.proxy_paused(i.number, queue_.now(), i.paused_until);
+            site_.record(Event::paused, static_cast<uint64_t>(i.number));
             break;
         }
         case FaultKind::wrong_list:
-            registry_.lies(queue_.now(), 0.3 + fault.how);   // the upper three tenths of `how`: all of them
+            registry_.hide(queue_.now(), 0.3 + fault.strength);   // the upper three tenths of `how`: all of them
             list_changed();
             break;
-        case FaultKind::restart: tell_to_stop(i); break;
+        case FaultKind::restart: request_stop(i); break;
         case FaultKind::killed:
             if (!i.proxy) break;
-            if (oracle_.calls_open(i.number) > 0) oracle_.summary.met(Hard::restart_with_calls_out);
-            site_.note(Event::killed, static_cast<uint64_t>(i.number));
-            gone(i);
-            queue_.in({0.05 + fault.how}, [this, &i, at = queue_.now() - Span{fault.how * 8}] { start(i, at); });
+            if (oracle_.open_calls(i.number) > 0) oracle_.summary.met(Hard::restart_with_calls_out);
+            site_.record(Event::killed, static_cast<uint64_t>(i.number));
+            process_ended(i);
+            queue_.in({0.05 + fault.strength},
+                      [this, &i, at = queue_.now() - Span{fault.strength * 8}] { start(i, at); });
             break;
         default: break;
     }
 }
 
-void World::ends(const Fault& fault) {
-    if (oracle_.broken()) return;
-    site_.note(Event::fault_ends, static_cast<uint64_t>(fault.kind), static_cast<uint64_t>(fault.who));
-    const auto whom = name_of(fault.kind).whom;
-    if (whom == Whom::server) return servers_[fault.who]->ends(fault);
-    if (whom == Whom::discovery)
-        for (auto& d : discoveries_) d->ends(fault);
-    if (whom == Whom::proxy) applications_[fault.who]->ends(fault);
+void World::fault_ends(const Fault& fault) {
+    if (oracle_.violation()) return;
+    site_.record(Event::fault_ends, static_cast<uint64_t>(fault.kind), static_cast<uint64_t>(fault.target));
+    const auto target = info_of(fault.kind).target;
+    if (target == FaultTarget::server) return servers_[fault.target]->fault_ends(fault);
+    if (target == FaultTarget::discovery)
+        for (auto& d : discoveries_) d->fault_ends(fault);
+    if (target == FaultTarget::proxy) applications_[fault.target]->fault_ends(fault);
     if (fault.kind == FaultKind::costly)
-        for (auto& s : servers_) s->costly(1);
+        for (auto& s : servers_) s->set_cost_factor(1);
     if (fault.kind == FaultKind::burst)
-        for (auto& a : applications_) a->burst(1);
-    if (fault.kind == FaultKind::descriptors && instances_[fault.who]->home)
-        instances_[fault.who]->home->descriptors = VirtualHome::rlimit;
-    if (fault.kind == FaultKind::bad_file && instances_[fault.who]->proxy) configure(*instances_[fault.who]);
+        for (auto& a : applications_) a->set_load_factor(1);
+    if (fault.kind == FaultKind::descriptors && instances_[fault.target]->home)
+        instances_[fault.target]->home->descriptors = VirtualHome::rlimit;
+    if (fault.kind == FaultKind::bad_file && instances_[fault.target]->proxy) configure(*instances_[fault.target]);
     if (fault.kind != FaultKind::wrong_list) return;
-    registry_.tells_truth(queue_.now());
+    registry_.restore(queue_.now());
     list_changed();
 }
 
 // All calls are over and what stood idle is closed: nothing may be left but the listener, the signals, the
 // watch and probes. Then all are told to stop.
-void World::quiet() {
+void World::check_nothing_left() {
     stopping_ = true;
     for (auto& i : instances_) {
         if (!i->proxy) continue;
         auto& state = i->proxy->state();
-        const auto none = [&](const char* what, size_t n, size_t most) {
+        const auto check_at_most = [&](const char* what, size_t n, size_t most) {
             if (n > most)
-                oracle_.breaks(Rule::nothing_left, {}, "proxy " + std::to_string(i->number) + " still has " + std::to_string(n) + ' ' + what);
+                oracle_.report_violation(Rule::nothing_left, {}, "proxy " + std::to_string(i->number) + " still has " + std::to_string(n) + ' ' + what);
         };
-        none("calls", state.calls.size(), 0);
-        none("descriptors", i->home->open(), 3 + static_cast<size_t>(scenario_.servers));
-        none("clients", i->home->accepted(), 0);
-        none("wakes", state.loop.wakes(), 2);
-        none("timers", state.loop.timers(), i->home->open());
-        tell_to_stop(*i);
+        check_at_most("calls", state.calls.size(), 0);
+        check_at_most("descriptors", i->home->open(), 3 + static_cast<size_t>(scenario_.servers));
+        check_at_most("clients", i->home->accepted(), 0);
+        check_at_most("wakes", state.loop.wakes(), 2);
+        check_at_most("timers", state.loop.timers(), i->home->open());
+        request_stop(*i);
     }
 }
 
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -21,23 +21,23 @@
     Trace& trace() { return trace_; }
     bool step();                       // false: the day is over, or a rule is broken
     uint64_t steps() const { return queue_.steps(); }
-    const std::optional<Broken>& broken() const { return oracle_.broken(); }
+    const std::optional<Violation>& violation() const { return oracle_.violation(); }
     const Summary& summary();          // of the day so far
 
 private:
     struct Instance;
-    void begins(const Fault& fault);
-    void ends(const Fault& fault);
-    void start(Instance& i, Time known_at);
-    void turn(Instance& i);
-    void plan(Instance& i, Time at);
+    void fault_begins(const Fault& fault);
+    void fault_ends(const Fault& fault);
+    void start(Instance& i, Time list_known_at);
+    void run_round(Instance& i);
+    void schedule_round(Instance& i, Time at);
     void check(Instance& i);
     void configure(Instance& i);       // writes its file anew
-    void tell_to_stop(Instance& i);
+    void request_stop(Instance& i);
     void check_stop(Instance& i, uint64_t starts, Time by);
-    void gone(Instance& i);            // its process
-    void quiet();                      // long after the load
-    std::string known(Time at, std::vector<Oracle::Told>& told) const;
+    void process_ended(Instance& i);            // its process
+    void check_nothing_left();                      // long after the load
+    std::string server_list(Time at, std::vector<Oracle::ListedServer>& servers) const;
     void list_changed();
 
     const Scenario scenario_;
@@ -46,15 +46,15 @@
     Net net_;
     Oracle oracle_;
     Site site_;
-    RandomStream chance_;
+    RandomStream random_;
     Registry registry_;
     std::vector<std::unique_ptr<Discovery>> discoveries_;
-    size_t discovery_ = 0;             // that takes calls
+    size_t current_discovery_ = 0;             // that takes calls
     std::vector<std::unique_ptr<Server>> servers_;
     std::vector<std::unique_ptr<Application>> applications_;
     std::vector<std::unique_ptr<Instance>> instances_;
     bool stopping_ = false;
-    Time over_at_;
+    Time load_ends_at_;
 };
 
 }  // namespace myrtleroute::lab
