--- a/src/lab/application.cpp
+++ b/src/lab/application.cpp
@@ -10,7 +10,7 @@
 
 constexpr size_t max_connections = 80;
 constexpr Span first_response_timeout{3};
-constexpr Span proxy_idle_timeout{2};   // it closes what is idle for longer
+constexpr Span proxy_idle_timeout{2};   // the proxy closes connections that are idle for longer
 
 }  // namespace
 
@@ -21,10 +21,10 @@
     int status = 0;
     std::string text;
     bool busy = false, sent = false, partial = false, stray = false, stray_answered = false;
-    bool resent = false;          // the call was sent before on another connection
+    bool resent = false;   // the call was sent on another connection before
     uint64_t call = 0;
     int product = 0;
-    std::string request;           // to be sent once it is up
+    std::string request;   // sent once the connection is established
     size_t written = 0;
     int start(std::string_view, std::string_view code, std::string_view) override {
         status = wire::whole<int>(code).value_or(0);
@@ -69,7 +69,7 @@
                    [this] { next_call(); });
 }
 
-// On that connection, or on a new one.
+// Makes the next call on this idle connection; 0 = on a new one.
 void Application::call_on(uint64_t socket) {
     const auto number = static_cast<uint64_t>(proxy_) * call_numbers_per_proxy + ++calls_made_;
     if (!is_omitted(number)) make_call(number, socket);
@@ -78,7 +78,8 @@
 void Application::make_call(uint64_t number, uint64_t idle) {
     RandomStream random(site_.scenario.seed, number);
     int product = 0;
-    for (double at = random.uniform(); (at -= products[product].share) >= 0 && product + 1 < std::ssize(products);) ++product;
+    for (double at = random.uniform(); (at -= products[product].share) >= 0 && product + 1 < std::ssize(products);)
+        ++product;
     const auto& kind = products[product];
     Connection* connection = nullptr;
     if (idle) {
@@ -87,7 +88,7 @@
     } else if (connections_.size() < max_connections) {
         connection = &connect();
     } else {
-        return;   // as many as it may hold are busy
+        return;   // all connections that it may hold are busy
     }
     connection->busy = true;
     connection->sent = connection->partial = connection->resent = false;
@@ -120,7 +121,7 @@
             if (it != connections_.end() && it->second->busy && it->second->call == number) disconnect(socket);
         });
     }
-    // Nobody waits for ever; the rules are over by then.
+    // The client gives up on an unanswered call; the time limits that the rules check have passed by then.
     site_.queue.in({kind.timeout + 0.5}, [this, socket, number] {
         const auto it = connections_.find(socket);
         if (it != connections_.end() && it->second->busy && it->second->call == number) disconnect(socket);
@@ -137,14 +138,15 @@
 
 void Application::send(Connection& connection) {
     if (connection.socket->state != Socket::State::up || connection.sent) return;
-    // In as many parts as the window wants.
+    // Written in as many parts as the window requires.
     const auto n = site_.net.write(*connection.socket, std::string_view(connection.request).substr(connection.written));
-    if (n < 0) return;   // it is full, or has broken; either is heard of
+    if (n < 0) return;   // no room, or the connection failed; a socket event follows either way
     connection.written += static_cast<size_t>(n);
     if (connection.written < connection.request.size()) return;
     connection.sent = true;
     if (connection.stray) return;
-    if (connection.partial) site_.oracle.stray_connected(*connection.socket);   // no call, and no answer is owed but within 3 s
+    // Half a request is no call; the only rule for it is a response or close within first_response_timeout.
+    if (connection.partial) site_.oracle.stray_connected(*connection.socket);
     else if (connection.resent) site_.oracle.call_resent(connection.call, *connection.socket);
     else site_.oracle.call_sent(connection.call, proxy_, connection.product, *connection.socket);
 }
@@ -161,7 +163,8 @@
         const bool keeps = connection.machine.keeps();
         connection.machine.next();
         connection.stray_answered = true;
-        if (connection.busy && connection.sent && !connection.partial && !connection.stray) site_.oracle.response_read(connection.call, connection.status, connection.text);
+        if (connection.busy && connection.sent && !connection.partial && !connection.stray)
+            site_.oracle.response_read(connection.call, connection.status, connection.text);
         if (!keeps || connection.stray || connection.partial) return disconnect(socket.number);
         call_finished(connection);
         if (!connections_.count(socket.number)) return;
@@ -176,14 +179,14 @@
     const auto socket = connection.socket->number;
     idle_.push_back(socket);
     if (stopped_) return disconnect(socket);
-    // Some call again just as the proxy closes what has stood idle.
+    // Some clients send the next call just as the proxy closes the idle connection.
     if (random_.bernoulli(0.03))
         site_.queue.in({proxy_idle_timeout.s + random_.between(-0.0008, 0.0004)}, [this, socket] {
             if (std::find(idle_.begin(), idle_.end(), socket) != idle_.end()) call_on(socket);
         });
 }
 
-// Its end has come, or it broke: a call that crossed that is sent once more, elsewhere.
+// The proxy closed the connection, or it failed. A call that crossed the close is sent once more on another connection.
 void Application::connection_lost(uint64_t socket) {
     auto it = connections_.find(socket);
     const auto connection = std::move(it->second);
@@ -224,8 +227,8 @@
     disconnect(socket, when + Span{random_.between(-0.0004, 0.0004)});
 }
 
-// Refused, closed or answered by then, or it was never accepted. Where the proxy had no descriptor left to accept
-// it with, its time counts from when it could.
+// By `due` the connection must be refused, closed or answered, unless the proxy never accepted it. Where the proxy
+// was short of descriptors, the time counts from when it accepted the connection.
 void Application::check_first_response(uint64_t socket, Time due) {
     site_.queue.at(due, [this, socket, due] {
         const auto it = connections_.find(socket);
@@ -237,13 +240,14 @@
                                    : due - first_response_timeout;
             const Time later = site_.oracle.deadline(proxy_, since, first_response_timeout);
             if (later > site_.queue.now()) return check_first_response(socket, later);
-            site_.oracle.report_violation(Rule::owed, {}, "proxy " + std::to_string(proxy_) + ", socket " + std::to_string(socket));
+            site_.oracle.report_violation(Rule::owed, {},
+                                          "proxy " + std::to_string(proxy_) + ", socket " + std::to_string(socket));
         }
         disconnect(socket);
     });
 }
 
-// Connects and says nothing, nonsense or half a call.
+// Opens a connection that sends nothing, garbage or half a request.
 void Application::connect_stray() {
     if (stopped_ || !is_active(FaultKind::strangers)) return;
     auto& connection = connect();
@@ -252,11 +256,13 @@
     site_.oracle.stray_connected(*connection.socket);
     site_.record(Event::noise, static_cast<uint64_t>(proxy_), connection.socket->number);
     switch (random_.below(6)) {
-        case 0: connection.sent = true; break;   // nothing
+        case 0: connection.sent = true; break;   // sends nothing
         case 1: connection.request = "\x16\x03\x01\x02\x01\x01\x7f"; break;
         case 2: connection.request = "POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: -5\r\n\r\n"; break;
         case 3: connection.request = "GET /api HTTP/1.1\r\nHost: a\r\nX-Long: " + std::string(40'000, 'x'); break;
-        case 4: connection.request = "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-ID: 7\r\nX-Priority-Class: none\r\n\r\n"; break;
+        case 4:
+            connection.request = "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-ID: 7\r\nX-Priority-Class: none\r\n\r\n";
+            break;
         default: connection.request = "GET / HTTP/1.1\r\nHost: a\r\n";
     }
     check_first_response(connection.socket->number, site_.queue.now() + first_response_timeout + Span{0.1});
--- a/src/lab/application.hpp
+++ b/src/lab/application.hpp
@@ -1,5 +1,5 @@
-// The application beside a proxy: makes its calls, leaves some, and, by faults, shares the address with
-// clients that misbehave.
+// Simulates the client application of one proxy: makes API calls, disconnects from some of them and, while the
+// matching faults are active, opens misbehaving connections to the same proxy.
 #pragma once
 #include <map>
 
@@ -14,8 +14,8 @@
     void fault_begins(const Fault& fault);
     void fault_ends(const Fault& fault);
     void set_load_factor(double factor) { load_factor_ = factor; }
-    void response_expected(uint64_t call, Time when);   // to the proxy
-    void stop();                                  // no more calls; idle connections are closed
+    void response_expected(uint64_t call, Time when);   // at the proxy
+    void stop();                                        // makes no more calls and closes idle connections
     void socket_changed(Socket& socket) override;
 
 private:
@@ -41,13 +41,13 @@
     uint64_t calls_made_ = 0;
     double load_factor_ = 1;
     bool stopped_ = false;
-    std::map<uint64_t, std::unique_ptr<Connection>> connections_;    // by socket
-    std::vector<uint64_t> idle_;                         // the latest used last
-    std::map<uint64_t, uint64_t> disconnect_on_response_;    // socket by call
+    std::map<uint64_t, std::unique_ptr<Connection>> connections_;   // by socket number
+    std::vector<uint64_t> idle_;                                    // socket numbers, most recently used last
+    std::map<uint64_t, uint64_t> disconnect_on_response_;           // call number -> socket number
     std::array<int, static_cast<size_t>(FaultKind::kinds)> active_{};
     std::array<double, static_cast<size_t>(FaultKind::kinds)> strength_{};
 };
 
-constexpr uint64_t call_numbers_per_proxy = 10'000'000;   // numbers of calls: proxy times this, and one more each
+constexpr uint64_t call_numbers_per_proxy = 10'000'000;   // call numbers: proxy index times this, plus 1, 2, ...
 
 }  // namespace myrtleroute::lab
--- a/src/lab/held_bytes.cpp
+++ b/src/lab/held_bytes.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace myrtleroute::lab
 
-#ifndef __SANITIZE_ADDRESS__   // which has an allocator of its own
+#ifndef __SANITIZE_ADDRESS__   // AddressSanitizer has its own allocator
 
 void* operator new(std::size_t n) {
     void* at = std::malloc(n ? n : 1);
--- a/src/lab/held_bytes.hpp
+++ b/src/lab/held_bytes.hpp
@@ -1,10 +1,11 @@
-// Bytes that code holds of the heap, counted while one of these lives: what it allocates counts up, what it
-// frees counts down. Only where the program's allocator is interposed (held_bytes.cpp); else it stays at 0.
+// Counts the heap bytes that code of this thread holds.
 #pragma once
 #include <cstddef>
 
 namespace myrtleroute::lab {
 
+// While one exists, `bytes` grows by what this thread allocates and shrinks by what it frees. Works only where
+// operator new and delete are replaced (held_bytes.cpp); otherwise the count stays at 0.
 class HeapCounter {
 public:
     explicit HeapCounter(ptrdiff_t& bytes);
@@ -15,7 +16,7 @@
     ptrdiff_t* previous_;
 };
 
-// While one of these lives, nothing counts: the lab's own work inside of a proxy's.
+// While one exists, nothing is counted: used where the lab allocates for itself during a call from a proxy.
 class HeapCounterPause {
 public:
     HeapCounterPause();
--- a/src/lab/net.cpp
+++ b/src/lab/net.cpp
@@ -12,7 +12,8 @@
 
 Span Net::latency(const Machine& a, const Machine& b) {
     double s = 0.0002 + random_.exponential(0.0001) + a.delay + b.delay;
-    if (disturbed_share > 0 && random_.bernoulli(disturbed_share * 0.05)) s += random_.between(0.005, 0.04);   // lost and sent again
+    // A lost packet: it arrives after its retransmission.
+    if (disturbed_share > 0 && random_.bernoulli(disturbed_share * 0.05)) s += random_.between(0.005, 0.04);
     return {s};
 }
 
@@ -61,7 +62,7 @@
     if (blocked_until > queue_.now()) return queue_.at(blocked_until + Span{0.01}, [this, from] { try_connect(from); });
     if (it == listeners_.end()) return enqueue(*from, {Kind::reset, {}});
     auto& listener = *it->second;
-    if (listener.waiting.size() >= listener.max_backlog)   // as Linux: unheard, asked again in a second
+    if (listener.waiting.size() >= listener.max_backlog)   // as on Linux: the SYN is dropped and resent after 1 s
         return queue_.in({1}, [this, from] { try_connect(from); });
     auto s = std::make_shared<Socket>();
     s->number = next_++;
@@ -92,7 +93,7 @@
     queue_.at(to.last, [this, handle = to.shared_from_this()] { arrive(handle); });
 }
 
-// The first under way comes in; later ones can't overtake it.
+// Delivers the first segment in flight; later ones can't overtake it.
 void Net::arrive(const Handle& to) {
     auto& s = *to;
     if (s.in_flight.empty()) return;
@@ -103,7 +104,7 @@
     s.in_flight.pop_front();
     s.bytes_in_flight -= segment.bytes.size();
     if (s.closed) {
-        // Nobody is there for it: the other end hears so, as for bytes after a close.
+        // As in TCP, data for a closed socket makes its peer get a reset.
         if (segment.kind == Kind::data && s.other && !s.other->closed) enqueue(*s.other, {Kind::reset, {}});
         return unpair(s);
     }
@@ -128,7 +129,8 @@
 ssize_t Net::read(Socket& s, char* into, size_t n) {
     if (!s.in.empty()) {
         size_t count = std::min(n, s.in.size());
-        if (disturbed_share > 0 && count > 1 && random_.bernoulli(disturbed_share * 0.2)) count = 1 + random_.below(static_cast<int>(count - 1));
+        if (disturbed_share > 0 && count > 1 && random_.bernoulli(disturbed_share * 0.2))
+            count = 1 + random_.below(static_cast<int>(count - 1));
         std::memcpy(into, s.in.data(), count);
         s.in.erase(0, count);
         s.bytes_read += count;
@@ -184,7 +186,7 @@
         errno = EAGAIN;
         return -1;
     }
-    if (n < bytes.size()) {   // there is room again in a moment
+    if (n < bytes.size()) {   // a short write although there is room: the rest can be written after 0.1 ms
         s.write_blocked = true;
         if (room(s) > n)
             queue_.in({0.0001}, [this, handle = s.shared_from_this()] { notify(*handle); });
@@ -194,7 +196,8 @@
     if (s.here->proxy && tap_) tap_->was_written(s, left);
     while (!left.empty()) {
         size_t part = left.size();
-        if (part > 1 && disturbed_share > 0 && random_.bernoulli(disturbed_share * 0.3)) part = 1 + random_.below(static_cast<int>(part - 1));
+        if (part > 1 && disturbed_share > 0 && random_.bernoulli(disturbed_share * 0.3))
+            part = 1 + random_.below(static_cast<int>(part - 1));
         enqueue(*s.other, {Kind::data, std::string(left.substr(0, part))}, arrives);
         left.remove_prefix(part);
     }
@@ -217,7 +220,7 @@
 
 void Net::end_sending(Socket& s, Time arrives) {
     if (s.fin_out || s.state != State::up) return;
-    send_rest(s, s.unsent.size());   // the system goes on with it after a close
+    send_rest(s, s.unsent.size());   // the operating system keeps sending after a close
     s.fin_out = true;
     enqueue(*s.other, {Kind::fin, {}}, arrives);
 }
@@ -251,7 +254,7 @@
     s.observer = nullptr;
 }
 
-// The two ends name each other; once both are closed they no longer do.
+// The two ends of a stream hold each other; the cycle is broken once both are closed and nothing is in flight.
 void Net::unpair(Socket& s) {
     s.observer = nullptr;
     if (!s.other || !s.other->closed || !s.in_flight.empty() || !s.other->in_flight.empty()) return;
--- a/src/lab/net.hpp
+++ b/src/lab/net.hpp
@@ -1,8 +1,8 @@
-// The virtual network: streams between sockets as TCP gives them to programs (RFC 9293), without packets.
-// Modelled: latency with jitter and stalls, order within a direction, a window, partial writes, split and
-// short reads, half-closes, resets (also in answer to bytes for a closed socket), refused and unanswered
-// connects, full queues of listeners, machines cut off. Not modelled: loss as such (a stall stands for its
-// resend), keep-alive, urgent data, simultaneous opens.
+// Virtual network: byte streams between sockets with the behaviour of TCP that programs see (RFC 9293), without
+// packets. Modelled: latency with jitter and stalls, order within a direction, a window, partial writes, split and
+// short reads, half-closes, resets (also in reply to data for a closed socket), refused and unanswered connects,
+// full accept backlogs, unreachable machines. Not modelled: packet loss itself (a stall stands for the
+// retransmission), keep-alive, urgent data, simultaneous opens.
 #pragma once
 #include <sys/types.h>
 
@@ -23,17 +23,18 @@
 struct Socket;
 using Handle = std::shared_ptr<Socket>;
 
-class SocketObserver {   // a stand-in, or a virtual home
+// Gets the events of its sockets: a simulated client, server or discovery, or the virtual home of a proxy.
+class SocketObserver {
 public:
     virtual ~SocketObserver() = default;
-    virtual void socket_changed(Socket& socket) = 0;   // something about it has changed
+    virtual void socket_changed(Socket& socket) = 0;   // its state, its input or its room for writes
 };
 
 struct Machine {
     int number = 0;
-    bool proxy = false;      // the tap hears of its sockets
-    Time unreachable_until{};        // nothing comes or goes before
-    double delay = 0;        // seconds more on everything that comes or goes
+    bool proxy = false;         // calls on its sockets are reported to the tap
+    Time unreachable_until{};   // nothing arrives here or leaves before then
+    double delay = 0;           // s, additional latency in both directions
 };
 
 struct Socket : std::enable_shared_from_this<Socket> {
@@ -42,37 +43,38 @@
     State state = State::connecting;
     Machine* here = nullptr;
     SocketObserver* observer = nullptr;
-    uint64_t local = 0, remote = 0;    // address and port; a connecting side's own is 0
-    Time accepted{};                   // when a listener's program took it
+    uint64_t local = 0, remote = 0;   // address_of(ip, port); local is 0 on the connecting side
+    Time accepted{};                  // when the listening process accepted it
     Handle other;
-    // What has come.
+    // Input that has arrived.
     std::string in;
     bool fin_in = false;
-    int error = 0;                     // an errno, until it is asked for
-    uint64_t bytes_received = 0, bytes_read = 0, bytes_sent = 0;   // bytes come here, read here, written here
-    // What is under way to here.
+    int error = 0;                                                 // errno, cleared when it is read
+    uint64_t bytes_received = 0, bytes_read = 0, bytes_sent = 0;   // totals of this socket
+    // In flight to this socket.
     struct Segment {
         enum class Kind { up, data, fin, reset } kind;
         std::string bytes;
     };
     std::deque<Segment> in_flight;
     size_t bytes_in_flight = 0;
-    Time last{};                       // nothing overtakes what arrives then
-    std::string unsent;                // of a stand-in's, that waits for room
+    Time last{};          // arrival time of the last segment; later ones never arrive earlier
+    std::string unsent;   // output of Net::send() that waits for room
     bool fin_out = false, closed = false, write_blocked = false;
-    // A listener's.
+    // For listeners: connections not yet accepted.
     std::deque<Handle> waiting;
     size_t max_backlog = 128;
 };
 
-class Tap {   // hears of a proxy's sockets, at the moment at which the proxy acts
+// Gets every call and event on the sockets of proxies, at the moment at which the proxy acts.
+class Tap {
 public:
     virtual ~Tap() = default;
     virtual void was_written(Socket&, std::string_view bytes) = 0;
-    virtual void was_read(Socket&, std::string_view bytes) = 0;   // were read
-    virtual void bytes_arrived(Socket&) = 0;            // bytes have come and may be read
-    virtual void closing(Socket&) = 0;         // by the proxy, or at its end
-    virtual void connect_started(Socket&) = 0;          // a connect of the proxy's begins
+    virtual void was_read(Socket&, std::string_view bytes) = 0;   // by the proxy
+    virtual void bytes_arrived(Socket&) = 0;                      // data has arrived and may be read
+    virtual void closing(Socket&) = 0;                            // by the proxy, or because its process ends
+    virtual void connect_started(Socket&) = 0;                    // the proxy starts a connect
 };
 
 constexpr uint64_t address_of(uint32_t ip, uint16_t port) { return static_cast<uint64_t>(ip) << 16 | port; }
@@ -83,20 +85,20 @@
     ~Net();
     void set_tap(Tap& tap) { tap_ = &tap; }
     double disturbed_share = 0;   // share of writes, reads and segments that are cut short, split or stalled
-    size_t window = 128 * 1024;   // bytes that may be under way or unread
+    size_t window = 128 * 1024;   // bytes that may be in flight or unread
 
-    Handle listen(Machine& here, SocketObserver& observer, uint64_t at);   // null: it is taken
+    Handle listen(Machine& here, SocketObserver& observer, uint64_t at);   // null: the address is in use
     Handle connect(Machine& here, SocketObserver& observer, uint64_t to);
-    Handle accept(Socket& listener);                       // null: none waits; its observer is to be set
-    ssize_t read(Socket& s, char* into, size_t n);         // as read(2); 0 = the end, -1 with errno
+    Handle accept(Socket& listener);                 // null: none waits; the caller sets its observer
+    ssize_t read(Socket& s, char* into, size_t n);   // as read(2): 0 = end of stream, -1 sets errno
     std::string read_all(Socket& s);
-    ssize_t write(Socket& s, std::string_view bytes, Time arrives = {});   // as write(2), not before `arrives`
-    void send(Socket& s, std::string_view bytes, Time arrives = {});   // all of it, as room comes up
+    ssize_t write(Socket& s, std::string_view bytes, Time arrives = {});   // as write(2); arrives not before `arrives`
+    void send(Socket& s, std::string_view bytes, Time arrives = {});   // all of it, as room becomes free
     void end_sending(Socket& s, Time arrives = {});
-    void close(Socket& s, Time arrives = {});              // resets if bytes are left unread
-    void reset(Socket& s);                                 // resets
-    void vanish(Socket& s);                                // ends without a word; what comes is reset
-    size_t room(const Socket& s) const;                    // that a write has now
+    void close(Socket& s, Time arrives = {});   // sends a reset if input is left unread
+    void reset(Socket& s);                      // sends a reset to the peer
+    void vanish(Socket& s);                     // loses all state without a word to the peer; later data is reset
+    size_t room(const Socket& s) const;         // bytes that a write would take now
     Machine* machine_at(uint64_t address) const;
     uint64_t resets() const { return resets_; }
 
--- a/src/lab/oracle.cpp
+++ b/src/lab/oracle.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr Time never{std::numeric_limits<double>::infinity()};
-constexpr Span slack{0.02};        // rounding of waits, and what a round takes
-constexpr Span check_interval{0.25};         // between looks at each proxy
-constexpr Span discovery_slack{1.5};     // a failed connect is told late
+constexpr Span slack{0.02};            // rounding of waits, and the duration of a round
+constexpr Span check_interval{0.25};   // between checks of each proxy
+constexpr Span discovery_slack{1.5};   // a failed connect is reported late
 
 constexpr const char* rule_names[] = {
 #define X(name, text) #name,
@@ -28,7 +28,7 @@
 #undef X
 };
 
-// What the oracle reads of either direction's messages.
+// Reads the fields that the oracle needs from requests and responses.
 struct Reader : wire::HttpReader {
     uint64_t number = 0;
     bool has_number = false;
@@ -72,15 +72,16 @@
 
 struct Oracle::Connection {
     explicit Connection(bool to_server_side)
-        : machine(to_server_side ? wire::HttpMachine::Side::ask : wire::HttpMachine::Side::answer, reader), to_server(to_server_side) {}
+        : machine(to_server_side ? wire::HttpMachine::Side::ask : wire::HttpMachine::Side::answer, reader),
+          to_server(to_server_side) {}
     Reader reader;
     wire::HttpMachine machine;
-    bool to_server;                // to a server; else to a client
+    bool to_server;   // else to a client
     int proxy = 0, server = -1;
     Time begun;
-    uint64_t call = 0;        // whose shot is being written or is out
-    int attempt = -1;            // < 0: none
-    // What the proxy has read of the answer to it, and whether it still waits for more.
+    uint64_t call = 0;   // call whose attempt is being written or has no response
+    int attempt = -1;    // index in the call's attempts; < 0: none
+    // The response as far as the proxy has read it, and whether the proxy still waits for the rest.
     Reader response_reader;
     wire::HttpMachine answer{wire::HttpMachine::Side::answer, response_reader};
     bool busy = false;
@@ -166,7 +167,8 @@
 bool Oracle::executed(uint64_t number, int server) {
     auto& c = *call(number);
     if (c.kind().repeat == Idempotency::deduplicated) {
-        // A group remembers for longer than the window, so a shot sent within it never has a second effect.
+        // A zone remembers keys for longer than the window, so an attempt sent within the window never has a second
+        // effect.
         const auto [effect, first] = c.effects.try_emplace(server % zones, queue_.now());
         if (!first) return false;
     }
@@ -181,10 +183,10 @@
 
 bool Oracle::may_have_run(const LabAttempt& s) const {
     if (s.execution == Execution::not_executed) return false;
-    return s.fully_sent || s.open;   // half a call can't run once its connection is closed
+    return s.fully_sent || s.open;   // an incomplete request can't run once its connection is closed
 }
 
-// ---- the list
+// ---- discovery
 
 void Oracle::list_received(int proxy, bool whole, const std::vector<ListedServer>& entries) {
     auto& p = proxies_[proxy];
@@ -193,11 +195,11 @@
         for (auto& [uid, entry] : p.known_servers) entry.ready = false;
     for (const auto& e : entries) {
         auto& entry = p.known_servers[e.uid];
-        const bool anew = e.ready && e.launched > entry.launched, was_open = entry.open;
+        const bool anew = e.ready && e.launched > entry.launched, was_available = entry.available;
         const bool drained = e.drained || (entry.drained && !anew);
         entry = e;
         entry.drained = drained;
-        entry.open = (e.ready || was_open) && !drained;
+        entry.available = (e.ready || was_available) && !drained;
         if (!e.ready && is_connecting && is_connecting(proxy, e.server)) summary.met(Hard::drain_before_connect);
     }
     update_unavailable_since(p);
@@ -206,7 +208,8 @@
 void Oracle::update_unavailable_since(ProxyState& p) {
     std::vector<bool> ready(p.unavailable_since.size(), false);
     for (const auto& [uid, entry] : p.known_servers)
-        if (scenario_.drain_binds_alone ? entry.open : entry.ready) ready[static_cast<size_t>(entry.server)] = true;
+        if (scenario_.drain_binds_alone ? entry.available : entry.ready)
+            ready[static_cast<size_t>(entry.server)] = true;
     for (size_t i = 0; i < ready.size(); ++i) {
         if (ready[i]) p.unavailable_since[i] = never;
         else if (p.unavailable_since[i] == never) p.unavailable_since[i] = queue_.now();
@@ -259,7 +262,7 @@
     queue_.in(check_interval, [this, proxy] { check_discovery_requests(proxy); });
     if (p.up && !p.discovery_request_open &&
         queue_.now() > deadline(proxy, p.last_discovery_request, ask_within + discovery_slack))
-        report_violation(Rule::listens, {}, "proxy " + std::to_string(proxy) + " last asked " +
+        report_violation(Rule::listens, {}, "proxy " + std::to_string(proxy) + " last asked for the list " +
                                       std::to_string((queue_.now() - p.last_discovery_request).s) + " s ago");
 }
 
@@ -288,7 +291,8 @@
         }
         bytes.remove_prefix(c.machine.feed(bytes));
         if (c.machine.fault())
-            return report_violation(Rule::sound, {}, "to " + std::string(c.to_server ? "a server" : "a client"));
+            return report_violation(Rule::sound, {},
+                                    "malformed message to " + std::string(c.to_server ? "a server" : "a client"));
         if (!c.machine.done()) continue;
         if (c.to_server) attempt_written(c);
         else response_written(c, s);
@@ -302,7 +306,7 @@
         return;
     }
     auto* found = call(c.reader.number);
-    if (!found) return report_violation(Rule::sound, {}, "a shot of a call that nobody made");
+    if (!found) return report_violation(Rule::sound, {}, "an attempt of a call that no client made");
     auto& call = *found;
     LabAttempt attempt;
     attempt.server = c.server;
@@ -314,12 +318,13 @@
     record(Event::shot_begins, call.number, c.server, s.number);
     if (call.finished)
         return report_violation(Rule::no_shot_after, {call.number}, "to server " + std::to_string(c.server));
-    if (!call.taken) return report_violation(Rule::sound, {call.number}, "a shot of a call that was not read whole");
+    if (!call.taken)
+        return report_violation(Rule::sound, {call.number}, "an attempt of a call that was not read whole");
     const auto& kind = call.kind();
     for (const auto& earlier : call.attempts) {
         if (earlier.open)
             return report_violation(Rule::no_second_copy, {call.number},
-                                    "the earlier one is out at server " + std::to_string(earlier.server));
+                                    "an earlier one is open at server " + std::to_string(earlier.server));
         if (!may_have_run(earlier)) continue;
         if (earlier.execution == Execution::running || earlier.execution == Execution::queued)
             summary.met(Hard::resent_while_first_runs);
@@ -330,7 +335,7 @@
     }
     const auto gone = proxies_[c.proxy].unavailable_since[static_cast<size_t>(c.server)];
     if (c.begun > deadline(c.proxy, gone, drain_grace + slack))
-        return report_violation(Rule::drains, {call.number}, "to server " + std::to_string(c.server) + ", told " +
+        return report_violation(Rule::drains, {call.number}, "to server " + std::to_string(c.server) + ", drained " +
                                                       std::to_string((c.begun - gone).s) + " s before");
     c.call = call.number;
     c.attempt = static_cast<int>(call.attempts.size());
@@ -354,14 +359,15 @@
     const auto latest_call = s.other ? on_client_.find(s.other->number) : on_client_.end();
     auto* found = latest_call == on_client_.end() ? nullptr : call(latest_call->second);
     if (!found || found->finished || found->client != s.other->number) {
-        // What is no call may be turned away; an answer to nothing is the second of the call before.
+        // Input that is no call may be rejected. Any other answer while no call is open is a second one to the
+        // previous call.
         if (found && found->finished && (status == 200 || status == 502 || status == 429))
             report_violation(Rule::one_answer, {found->number}, "a second answer, " + std::to_string(status));
         return;
     }
     auto& call = *found;
     record(Event::answer_written, call.number, status);
-    if (!call.taken) {   // half of it
+    if (!call.taken) {   // only a part of it was read
         if (status < 400 || status == 429) report_violation(Rule::sound, {call.number}, "answered before it was read");
         ++summary.turned_away;
         call.exempt = true;
@@ -380,7 +386,8 @@
     if ((status == 429 || status == 503) && call.kind().repeat != Idempotency::idempotent)
         for (const auto& attempt : call.attempts)
             if (may_have_run(attempt))
-                return report_violation(Rule::no_false_promise, {call.number}, "it may have run at server " + std::to_string(attempt.server));
+                return report_violation(Rule::no_false_promise, {call.number},
+                                        "it may have run at server " + std::to_string(attempt.server));
 }
 
 void Oracle::connect_started(Socket& s) {
@@ -409,7 +416,7 @@
     auto& call = *this->call(latest_call->second);
     if (call.taken || call.finished || call.client != s.other->number || s.bytes_read < call.client_end) return;
     call.taken = true;
-    // Where it had no descriptor left to accept with, its time counts from when it could.
+    // Where the proxy was short of descriptors to accept with, the time of the call counts from when it was read.
     if (proxies_[call.proxy].descriptors_limited) call.arrived = queue_.now();
     ++summary.taken;
     ++proxies_[call.proxy].open_calls;
@@ -429,11 +436,11 @@
     queue_.at(due, [this, number = call.number] { check_deadline(number); });
 }
 
-// Its time is up: had it been taken, it has its answer.
+// The deadline of the call has passed: if the proxy has read it, it must have an answer.
 void Oracle::check_deadline(uint64_t number) {
     auto& call = *this->call(number);
     if (call.finished || call.left || call.exempt) return;
-    if (!call.taken) return;   // never read: its connection waits, or was closed with it
+    if (!call.taken) return;   // never read: its connection still waits, or was closed with it
     const Time latest = deadline(call.proxy, call.arrived, Span{call.kind().timeout} + answer_margin + slack);
     if (queue_.now() <= latest)
         return queue_.at(latest + slack, [this, number] { check_deadline(number); });
@@ -448,11 +455,11 @@
         auto& call = *this->call(latest_call->second);
         if (call.client == s.other->number && call.taken && !call.finished) {
             finish(call);
-            if (proxies_[call.proxy].killed) {
+            if (proxies_[call.proxy].ending) {
                 ++summary.lost_to_kills;
                 call.exempt = true;
             } else if (!call.left) {
-                report_violation(Rule::one_answer, {call.number}, "its connection was closed with no answer");
+                report_violation(Rule::one_answer, {call.number}, "its connection was closed without an answer");
             }
         }
     }
--- a/src/lab/play.cpp
+++ b/src/lab/play.cpp
@@ -15,13 +15,13 @@
 }
 
 void report(std::ostream& out, const Scenario& scenario, const Violation& violation, const std::string& as) {
-    out << as << " breaks a rule at step " << violation.step << ", " << violation.at.s << " s: " << name_of(violation.rule) << ", "
-        << text_of(violation.rule) << "\n  " << violation.what << '\n';
+    out << as << " breaks a rule at step " << violation.step << ", " << violation.at.s
+        << " s: " << name_of(violation.rule) << ", " << text_of(violation.rule) << "\n  " << violation.what << '\n';
     constexpr size_t max_lines = 30;
     std::deque<std::string> last;
     World world(scenario);
     world.trace().set_sink([&](Event what, uint64_t who, const std::string& line) {
-        // Of the calls concerned; where none is, what befell the site and the proxies.
+        // Events of the calls concerned; if there are none, faults and events of the site and the proxies.
         const bool concerned = std::find(violation.calls.begin(), violation.calls.end(), who) != violation.calls.end();
         const bool site_event = what == Event::fault_begins || what == Event::fault_ends || what == Event::told ||
                           what == Event::asked || what == Event::signal || what == Event::started ||
@@ -33,7 +33,7 @@
     });
     while (world.step()) {}
     for (const auto& line : last) out << "    " << line << '\n';
-    out << "  again: myrtleroute_lab " << as << " --trace -\n";
+    out << "  full trace: myrtleroute_lab " << as << " --trace -\n";
 }
 
 }  // namespace myrtleroute::lab
--- a/src/lab/queue.hpp
+++ b/src/lab/queue.hpp
@@ -1,5 +1,5 @@
-// The virtual clock: events in the order of their time, ties in the order in which they were asked for. Time
-// passes only from one event to the next.
+// Event queue and virtual clock: runs events in the order of their time, and those of the same time in the order in
+// which they were scheduled. Time advances only from one event to the next.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -15,12 +15,13 @@
     explicit Queue(Time start) : now_(start) {}
     Time now() const { return now_; }
     uint64_t steps() const { return steps_; }
+    // Schedules an event for that time, at once if it has passed.
     void at(Time when, std::function<void()> what) {
         events_.push_back({std::max(when, now_), next_++, std::move(what)});
         std::push_heap(events_.begin(), events_.end());
     }
     void in(Span after, std::function<void()> what) { at(now_ + after, std::move(what)); }
-    bool step(Time until) {   // false: nothing more up to then
+    bool step(Time until) {   // runs the next event; false: there is none up to then
         if (events_.empty() || events_.front().at > until) {
             now_ = std::max(now_, until);
             return false;
--- a/src/lab/random_stream.hpp
+++ b/src/lab/random_stream.hpp
@@ -1,5 +1,5 @@
-// Draws of the lab. Each concern has a stream of its own from the seed, so that leaving out a fault or a call
-// changes as little as possible of the rest.
+// Random numbers of the lab. Each component has its own stream derived from the seed, so that leaving out a fault or
+// a call changes as little as possible of the rest of a run.
 #pragma once
 #include <cmath>
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace myrtleroute::lab {
 
-// SplitMix64 (Steele, Lea, Flood 2014): spreads neighbouring seeds and streams.
+// SplitMix64 (Steele, Lea, Flood 2014): makes neighbouring seeds and stream numbers give unrelated streams.
 constexpr uint64_t mix(uint64_t x) {
     x += 0x9e3779b97f4a7c15ULL;
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -16,6 +16,7 @@
     return x ^ (x >> 31);
 }
 
+// `stream` selects one of the independent sequences of a seed.
 class RandomStream {
 public:
     RandomStream(uint64_t seed, uint64_t stream) : pcg_(mix(seed ^ mix(stream))) {}
--- a/src/lab/registry.cpp
+++ b/src/lab/registry.cpp
@@ -76,11 +76,11 @@
     Handle socket;
     wire::HttpMachine machine;
     std::string target;
-    bool is_watch = false;      // for something new
-    uint64_t from = 0;       // of the registry's changes
+    bool is_watch = false;   // is answered when the list changes
+    uint64_t from = 0;       // revision that the proxy has
     Time until;
     struct SentList {
-        uint64_t end_offset;       // bytes on this socket
+        uint64_t end_offset;   // total bytes on this socket when it is sent whole
         bool whole;
         std::vector<Oracle::ListedServer> servers;
     };
@@ -133,7 +133,7 @@
     registry_changed();
 }
 
-// Each change is heard of as late as the fault says, also once that is over.
+// While late_list is active, each change becomes visible after the delay of that fault.
 uint64_t Discovery::visible_revision() const {
     return registry_.rev_at(site_.queue.now() - Span{is_active(FaultKind::late_list) ? list_delay_ : 0});
 }
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -16,7 +16,8 @@
     MYRTLEROUTE_LAB_FAULTS(X)
 #undef X
 };
-constexpr int drawn_kinds = static_cast<int>(FaultKind::wrong_list);   // drawn for every day; wrong lists by themselves
+// The kinds drawn for every run; wrong_list is drawn separately.
+constexpr int drawn_kinds = static_cast<int>(FaultKind::wrong_list);
 
 constexpr int max_proxies = 64, max_servers = 256;
 constexpr double max_seconds = 3600, max_rate = 10000;
@@ -51,11 +52,11 @@
     RandomStream random(seed, 0x5343454e);
     Scenario s;
     s.seed = seed;
-    // From idle to a little more than the servers can do.
+    // From idle to slightly more than the capacity of the servers.
     s.calls_per_second =
         random.bernoulli(0.2) ? random.between(0.5, 8) : random.between(8, 130) * random.between(0.3, 2);
     s.disturbed_share = random.bernoulli(0.6) ? random.between(0.05, 1) : 0;
-    // Mostly three to fourteen faults, a third of them upon one before; on one day in twenty-five every kind.
+    // Mostly 3 to 14 faults, a third of them overlapping an earlier one; in 1 run of 25 a fault of every kind.
     const bool every_kind = random.bernoulli(0.04);
     const int count = every_kind ? drawn_kinds : 3 + random.below(12);
     for (int i = 0; i < count; ++i) {
@@ -76,8 +77,8 @@
         }
         s.faults.push_back(f);
     }
-    // One day in twelve is a crowd's: many proxies with few calls each, and servers that come back cold, which
-    // each of them would find idle.
+    // 1 run of 12 has many proxies with few calls each, and servers that restart cold: to each single proxy such a
+    // server looks idle.
     RandomStream crowd(seed, 0x43524f57);
     if (crowd.bernoulli(1.0 / 12)) {
         s.proxies = 24 + crowd.below(25);
@@ -85,7 +86,7 @@
         for (const auto kind : {FaultKind::dies, FaultKind::replaced})
             s.faults.push_back({kind, {crowd.between(2, 15)}, {crowd.between(0.5, 4)}, crowd.below(s.servers), crowd.uniform()});
     }
-    // One day in six only draining binds, and on most of these the list is wrong for a time.
+    // In 1 run of 6 only draining excludes servers, and in most of these the list is wrong for a time.
     RandomStream lists(seed, 0x4c495354);
     s.drain_binds_alone = lists.bernoulli(1.0 / 6);
     for (int i = 0; s.drain_binds_alone && i < 2 && lists.bernoulli(0.8); ++i)
@@ -117,7 +118,8 @@
             const auto* range = node.as_array();
             const auto first = range && range->size() == 2 ? (*range)[0].value<int64_t>() : std::nullopt;
             const auto last = first ? (*range)[1].value<int64_t>() : std::nullopt;
-            if (!last || *first < 0 || *last < *first) fail_at(path, node.source(), "must be [first, last]");
+            if (!last || *first < 0 || *last < *first)
+                fail_at(path, node.source(), "left_out: each range must be [first, last]");
             s.omitted_calls.emplace_back(*first, *last);
         }
     }
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -1,5 +1,5 @@
-// A day in the lab as it is drawn from a seed or written down: its size, its load and its faults. All else of
-// it is drawn from the seed while it is played.
+// A scenario of the lab, drawn from a seed or read from a TOML file: number of processes, load and faults. Everything
+// else is drawn from the seed during the run.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,42 +12,42 @@
 
 namespace myrtleroute::lab {
 
-// Each kind: name, whom it strikes, what it does. `how` (0 to 1) sets its strength.
+// Kinds of faults: name, target, effect. The key `how` (0 to 1) of a fault sets its strength.
 #define MYRTLEROUTE_LAB_FAULTS(X)                                                                            \
     X(slow, server, "answers up to 12 times slower")                                                         \
-    X(hung, server, "takes calls and connections and does nothing until it is over")                         \
+    X(hung, server, "accepts connections and calls and does nothing until the fault is over")                \
     X(failing, server, "answers 500 or a bare 503 at once; half of the calls have run")                      \
-    X(full, server, "turns calls away, provably not run")                                                    \
-    X(no_connections, server, "accepts nothing, its queue of connections is full")                           \
-    X(dies, server, "its process is killed and comes back cold, at the same address under the same uid")     \
-    X(dies_after_effect, server, "dies between a call's effect and its answer, then as above")               \
-    X(replaced, server, "dies, and another comes up at its address under a new uid")                         \
-    X(cut, server, "its machine is cut off; what was sent arrives when it is back")                          \
-    X(vanishes, server, "its machine is cut off and has forgotten all connections when it is back")          \
-    X(drains, server, "is listed as draining, then gone, then back")                                         \
+    X(full, server, "rejects calls, provably not run")                                                       \
+    X(no_connections, server, "accepts no connection, its backlog is full")                                  \
+    X(dies, server, "its process is killed and restarts cold, at the same address and with the same uid")    \
+    X(dies_after_effect, server, "killed between a call's effect and its answer, then restarts cold")        \
+    X(replaced, server, "its process is killed, and another starts at its address with a new uid")           \
+    X(cut, server, "its machine is unreachable; what was sent arrives afterwards")                           \
+    X(vanishes, server, "its machine is unreachable and afterwards has lost all connections")                \
+    X(drains, server, "is listed as draining, then as gone, then as ready again")                            \
     X(resets, server, "resets connections before, within and after calls")                                   \
-    X(spoilt, server, "answers nonsense, lengths that do not fit, or half an answer")                        \
-    X(talkative, server, "sends noise or a second answer behind the answer, and 1xx ahead of it")            \
-    X(reports, server, "its load reports can't be read")                                                     \
-    X(edge, server, "answers at the very instant at which the proxy gives the shot up")                      \
+    X(spoilt, server, "answers garbage, wrong lengths or half an answer")                                    \
+    X(talkative, server, "sends garbage or a second answer after the answer, and 1xx before it")             \
+    X(reports, server, "its load reports can't be parsed")                                                   \
+    X(edge, server, "answers at the moment at which the proxy times the attempt out")                        \
     X(far, server, "everything to and from it takes up to 80 ms longer")                                     \
-    X(costly, all, "calls are up to 8 times as heavy as they were")                                          \
+    X(costly, all, "calls need up to 8 times the work")                                                      \
     X(burst, all, "up to 6 times the calls")                                                                 \
-    X(leavers, proxy, "clients leave in the middle of their calls, some as the answer comes")                \
+    X(leavers, proxy, "clients disconnect during their calls, some as the answer arrives")                   \
     X(halves, proxy, "clients send half a call, then nothing, or close")                                     \
-    X(strangers, proxy, "connections that say nothing, nonsense, or one call twice")                         \
-    X(silent_list, discovery, "takes calls and answers none")                                                \
-    X(late_list, discovery, "tells changes up to 5 s late")                                                  \
+    X(strangers, proxy, "connections that send nothing, garbage or half a call")                             \
+    X(silent_list, discovery, "accepts requests and answers none")                                           \
+    X(late_list, discovery, "publishes changes up to 5 s late")                                              \
     X(no_list, discovery, "answers 503, or resets")                                                          \
-    X(nonsense, discovery, "answers what is no list, or half a list")                                        \
-    X(down, discovery, "nobody listens")                                                                     \
-    X(moves, all, "a new configuration names another discovery, and SIGHUP says so")                         \
-    X(bad_file, proxy, "SIGHUP finds a file that is at fault")                                               \
+    X(nonsense, discovery, "answers something that is no list, or half a list")                              \
+    X(down, discovery, "refuses connections")                                                                \
+    X(moves, all, "a new configuration names another discovery, announced by SIGHUP")                        \
+    X(bad_file, proxy, "SIGHUP finds an invalid configuration file")                                         \
     X(descriptors, proxy, "the process may open hardly any more descriptors")                                \
-    X(pause, proxy, "the process is stopped; its clock jumps when it goes on")                               \
-    X(restart, proxy, "SIGTERM, and a new start with the list as it was then")                               \
-    X(killed, proxy, "SIGKILL with calls out, and a new start with a list that is old")                      \
-    X(wrong_list, all, "the list calls up to all servers gone, then names them again as they are")
+    X(pause, proxy, "the process is stopped; its clock jumps when it continues")                             \
+    X(restart, proxy, "SIGTERM, and a new start with the list as of SIGTERM")                                \
+    X(killed, proxy, "SIGKILL with open calls, and a new start with an old list")                            \
+    X(wrong_list, all, "the list shows up to all servers as gone, then as they are again")
 
 enum class FaultKind {
 #define X(name, target, text) name,
@@ -67,28 +67,30 @@
 
 struct Fault {
     FaultKind kind{};
-    Span at, duration;       // from the start of the day
-    int target = 0;          // which server or proxy
+    Span at, duration;   // at: from the start of the run
+    int target = 0;      // index of the server or proxy
     double strength = 0.5;
 };
 
 struct Scenario {
     uint64_t seed = 0;
-    Span duration{30};       // of the load; what is out then is still watched until all is quiet
+    Span duration{30};   // of the load; the run goes on until all calls are over and all proxies have stopped
     int proxies = 4, servers = 8;
     double calls_per_second = 25;   // to each proxy
-    double disturbed_share = 0;             // share of reads, writes and segments that are cut short
-    bool drain_binds_alone = false;     // only draining binds: what the list calls gone may still be sent to
+    double disturbed_share = 0;   // of reads, writes and segments: cut short, split or stalled
+    // Only draining excludes a server: one that the list shows as gone may still get calls.
+    bool drain_binds_alone = false;
     std::vector<Fault> faults;
-    std::vector<std::pair<uint64_t, uint64_t>> omitted_calls;   // calls that are not made: first, last
+    std::vector<std::pair<uint64_t, uint64_t>> omitted_calls;   // numbers of calls that are not made: first, last
 };
 
-struct ScenarioError : std::runtime_error {   // file:line:column, key, what is wrong
+struct ScenarioError : std::runtime_error {   // file:line:column, key and what is wrong
     using std::runtime_error::runtime_error;
 };
 
+// The same seed always gives the same scenario.
 Scenario draw_scenario(uint64_t seed);
 Scenario read_scenario(const std::string& path);
-std::string write_scenario(const Scenario& scenario);   // as read_scenario takes it
+std::string write_scenario(const Scenario& scenario);   // as TOML for read_scenario()
 
 }  // namespace myrtleroute::lab
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -113,10 +113,10 @@
         listener_->max_backlog = 128;
         socket_changed(*listener_);
     }
-    start_jobs();   // what hung goes on
+    start_jobs();   // jobs that hung continue
 }
 
-// The process is gone: the system closes for it, or the machine has forgotten all about it.
+// The process ends: the system closes its sockets or, with connections_lost, the machine has lost all their state.
 void Server::crash(bool connections_lost) {
     up_ = false;
     ++incarnation_;
@@ -170,7 +170,8 @@
     const auto bytes = site_.net.read_all(socket);
     std::string_view left = bytes;
     if (connection.busy || connection.malformed_sent) left = {};
-    if (!left.empty() && is_active(FaultKind::resets) && random_.bernoulli(strength(FaultKind::resets) * 0.1)) return close_connection(socket.number, true);
+    if (!left.empty() && is_active(FaultKind::resets) && random_.bernoulli(strength(FaultKind::resets) * 0.1))
+        return close_connection(socket.number, true);
     while (!left.empty() && !connection.machine.done() && !connection.machine.fault())
         left.remove_prefix(connection.machine.feed(left));
     if (connection.machine.done()) {
@@ -191,7 +192,8 @@
     auto* call = site_.oracle.call(number);
     auto* s = site_.oracle.attempt(number, *connection.socket);
     if (!call || !s)
-        return site_.oracle.report_violation(Rule::sound, {number}, "a server is asked for what nobody shot");
+        return site_.oracle.report_violation(Rule::sound, {number},
+                                             "a server got a request that belongs to no attempt");
     connection.busy = true;
     RandomStream random(site_.scenario.seed, number * 8 + call->attempts.size());
     const Span work{call->kind().work * (0.3 + random.exponential(0.7)) * cost_factor_};
@@ -208,15 +210,16 @@
         bool ran = random.bernoulli(0.5);
         if (ran) ran = site_.oracle.executed(number, slot_);
         site_.oracle.set_execution(number, *s, ran ? Execution::executed : Execution::unknown);
-        return reply(connection, random.bernoulli(0.3) ? 503 : 500, "");   // a 503 that does not say it has not run
+        // A 503 without X-Not-Processed: the call may have run.
+        return reply(connection, random.bernoulli(0.3) ? 503 : 500, "");
     }
     site_.oracle.set_execution(number, *s, Execution::queued);
     queued_jobs_.push_back(job);
     this->start_jobs();
 }
 
-// A cold server is pushed over by more work than a multiple of what it can do in the window, from its start
-// on; that breaks the rule if proxies that know of its start sent two thirds of it. Slack: a few calls.
+// A cold server is overloaded if it gets more work within the window than tip_multiple times its capacity in that time,
+// plus a few calls of slack. The rule is broken if proxies that know of its start sent two thirds of that work.
 void Server::add_cold_work(uint64_t number, Span work) {
     if (capacity_share() >= 1) return;
     const auto* call = site_.oracle.call(number);
@@ -233,15 +236,16 @@
     overloaded_until_ = now + Span{3};
     cold_work_.clear();
     if (known >= all * 2 / 3)
-        site_.oracle.report_violation(Rule::cold_servers, {number}, "server " + std::to_string(slot_) + " has " + std::to_string(all) +
-                                                              " s of work within its window");
+        site_.oracle.report_violation(
+            Rule::cold_servers, {number},
+            "server " + std::to_string(slot_) + " has " + std::to_string(all) + " s of work within the cold window");
 }
 
 void Server::start_jobs() {
     while (up_ && !is_active(FaultKind::hung) && running_count_ < cores() && !queued_jobs_.empty()) {
         Job job = queued_jobs_.front();
         queued_jobs_.pop_front();
-        // Where nobody waits any more, some run all the same.
+        // Jobs whose connection is closed are mostly dropped; some run nevertheless.
         if (!connected(job) && random_.bernoulli(0.7)) {
             site_.oracle.set_execution(job.call, attempt(job), Execution::unknown);
             continue;
@@ -287,15 +291,18 @@
     std::string body = "done " + std::to_string(job.call) + " by " + uid_ + (duplicate ? " before" : "");
     if (random.bernoulli(0.02)) body.append(static_cast<size_t>(random.between(1000, 60000)), '.');
     std::string fields;
-    if (is_active(FaultKind::reports) && random.bernoulli(strength(FaultKind::reports))) fields = "X-Server-Load: TEXT inflight=, queue=x\r\n";
-    else fields = "X-Server-Load: TEXT inflight=" + std::to_string(running_count_) + ", queue=" + std::to_string(queued_jobs_.size()) + "\r\n";
+    if (is_active(FaultKind::reports) && random.bernoulli(strength(FaultKind::reports)))
+        fields = "X-Server-Load: TEXT inflight=, queue=x\r\n";
+    else
+        fields = "X-Server-Load: TEXT inflight=" + std::to_string(running_count_) +
+                 ", queue=" + std::to_string(queued_jobs_.size()) + "\r\n";
     auto text = wire::answer(200, body, true, fields);
     if (is_active(FaultKind::spoilt) && random.bernoulli(strength(FaultKind::spoilt) * 0.5)) {
         connection.malformed_sent = true;
         switch (random.below(5)) {
             case 0: text = "\x01\x02 this is no answer\r\n\r\n"; break;
             case 1: text = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nContent-Length: 12\r\n\r\n" + body; break;
-            case 2: text.resize(text.size() - 3); break;    // and nothing more
+            case 2: text.resize(text.size() - 3); break;   // the end is never sent
             case 3: text = "HTTP/1.1 200 OK\r\n\r\n" + body; break;
             default: text = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + body; break;
         }
@@ -303,7 +310,7 @@
         return;
     }
     if (is_active(FaultKind::resets) && random.bernoulli(strength(FaultKind::resets) * 0.2)) {
-        // Half an answer may have no length: where its connection is reset, nothing tells that it is not whole.
+        // A truncated answer may have no length: only the reset shows that it is incomplete.
         if (random.bernoulli(0.3)) text = "HTTP/1.1 200 OK\r\n\r\n" + body;
         text.resize(random.bernoulli(0.5) ? 0 : text.size() - body.size() / 2);
         send(connection, text);
@@ -315,7 +322,7 @@
             text = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + text;
         } else if (random.bernoulli(0.3) || site_.net.disturbed_share > 0 || machine_.delay > 0) {
             text += more;
-        } else {   // a moment later, but sooner than a connection may be used again
+        } else {   // shortly after, but before the connection may be reused
             site_.queue.in({random.between(0.0005, 0.003)},
                            [this, more, socket = job.socket, incarnation = incarnation_] {
                                const auto it = connections_.find(socket);
--- a/src/lab/shrink.cpp
+++ b/src/lab/shrink.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Takes parts out of a list of things as long as the rule still breaks: halves first, then ever smaller ones
-// (Zeller and Hildebrandt 2002, ddmin, complements only).
+// Removes parts of the list while the rule still breaks: halves first, then ever smaller parts (delta debugging:
+// Zeller and Hildebrandt 2002, ddmin, complements only).
 template <class Item, class Predicate>
 std::vector<Item> minimize(std::vector<Item> items, const Predicate& breaks) {
     for (size_t part = (items.size() + 1) / 2; part > 0 && !items.empty(); part = part == 1 ? 0 : (part + 1) / 2)
@@ -25,7 +25,7 @@
 
 using Range = std::pair<uint64_t, uint64_t>;
 
-// What is left out is what is between those that are kept.
+// Returns the ranges of call numbers between the kept ones: the calls to omit.
 std::vector<Range> complement(const std::vector<Range>& kept, int proxies) {
     std::vector<Range> out;
     for (int p = 0; p < proxies; ++p) {
@@ -53,7 +53,7 @@
         const auto result = run_scenario(s);
         return result.violation && result.violation->rule == rule;
     };
-    // No load is needed after the break.
+    // No load is needed after the violation.
     auto shorter = scenario;
     shorter.duration = std::min(scenario.duration, first.violation->at - Time{99.5});
     if (shorter.duration > Span{0.1} && breaks(shorter)) scenario = shorter;
@@ -63,7 +63,7 @@
         return breaks(s);
     });
     progress << scenario.faults.size() << " faults are left after " << runs << " runs" << std::endl;
-    // Calls, in ranges that get smaller as fewer are left.
+    // Calls: first in ranges of `grain` numbers, then one by one.
     std::vector<Range> kept;
     constexpr uint64_t grain = 16;
     const auto most = run_scenario(scenario).summary.calls + 200;
@@ -82,7 +82,8 @@
         std::vector<Range> single;
         for (const auto& [from, to] : kept)
             for (uint64_t n = from; n <= to; ++n) single.emplace_back(n, n);
-        if (breaks(with(single))) kept = minimize(single, [&](const std::vector<Range>& fewer) { return breaks(with(fewer)); });
+        if (breaks(with(single)))
+            kept = minimize(single, [&](const std::vector<Range>& fewer) { return breaks(with(fewer)); });
         scenario = with(kept);
         progress << kept.size() << " calls are left after " << runs << " runs" << std::endl;
     }
--- a/src/lab/site.hpp
+++ b/src/lab/site.hpp
@@ -1,5 +1,5 @@
-// What the stand-ins of a day share: clock, network, trace, oracle, the site's products and where things live.
-// The figures are the lab's own; they stand for no deployment.
+// Shared by all simulated processes of a run: clock, network, trace, oracle, the products of the site and the
+// addresses. The numbers belong to the lab and describe no real deployment.
 #pragma once
 #include <array>
 
@@ -14,8 +14,8 @@
 struct LabProduct {
     const char* name;
     Idempotency repeat;
-    double value, slo, timeout, window, work;   // seconds; `work` is the mean of an API call's
-    double share;                               // of the calls
+    double value, slo, timeout, window, work;   // s, except value; work is the mean CPU time of a call
+    double share;                               // of all calls
 };
 constexpr std::array<LabProduct, 4> products{{
     {"look", Idempotency::idempotent, 1, 0.35, 1.2, 0, 0.012, 0.4},
@@ -24,9 +24,9 @@
     {"book", Idempotency::non_idempotent, 6, 0.6, 2, 0, 0.02, 0.2},
 }};
 
-constexpr double unix_time_at_zero = 1.7e9;      // Unix time at 0 of the virtual clock; a day starts at 100 s
+constexpr double unix_time_at_zero = 1.7e9;   // Unix time at 0 of the virtual clock; a run starts at 100 s
 
-// The guarantees of the lab's site, as the proxies are told them.
+// Guarantees of the simulated site, as configured in the proxies.
 constexpr Span drain_grace{3}, cold_window{2}, warm_after{9}, answer_margin{0.05}, ask_within{8};
 constexpr double start_capacity = 0.2, tip_multiple = 2;
 constexpr int max_attempts = 3, zones = 2;
@@ -35,8 +35,8 @@
                    client_ip = (10u << 24) + (3u << 16);
 constexpr uint16_t port = 5000;
 
-std::string endpoint(uint32_t ip);
-// The configuration file of a proxy: `known` is a list in discovery's form.
+std::string endpoint(uint32_t ip);   // "a.b.c.d:port"
+// Configuration file of a proxy; `known` is its initial server list in the JSON of discovery.
 std::string configuration(const Scenario& scenario, int proxy, uint64_t seed, uint32_t discovery, const std::string& known);
 
 class Oracle;
--- a/src/lab/summary.hpp
+++ b/src/lab/summary.hpp
@@ -1,4 +1,4 @@
-// What a day in the lab came to: figures that can be added up over days.
+// Counters of a run; those of several runs can be added up.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -9,19 +9,19 @@
 namespace myrtleroute::lab {
 
 #define MYRTLEROUTE_LAB_HARD(X)                                                                              \
-    X(answer_before_time_out, "an answer read in the instant of its time-out")                               \
-    X(time_out_before_answer, "a time-out closing on an answer that was there or under way")                 \
+    X(answer_before_time_out, "an answer read at the moment of its timeout")                                 \
+    X(time_out_before_answer, "a timeout closing on an answer that had arrived or was in flight")            \
     X(cancel_crosses_answer, "another close, as by a cancel, crossing an answer")                            \
-    X(leaves_as_answered, "a client's end and the answer to its call come in the same millisecond")          \
-    X(drain_before_connect, "a drain told while a connect with a call to that server was under way")         \
+    X(leaves_as_answered, "a client's disconnect and the answer to its call in the same millisecond")        \
+    X(drain_before_connect, "a drain published while a connect for a call to that server was in progress")   \
     X(dies_after_last_byte, "a server dead between a non-idempotent call's last byte and its answer")        \
-    X(resent_while_first_runs, "an idempotent call resent while its earlier shot still runs")                \
-    X(restart_with_calls_out, "a proxy killed with calls out, started with a list that is old")              \
-    X(moves_while_watching, "discovery moved by SIGHUP while a watch hangs")                                 \
-    X(stops_with_calls_out, "SIGTERM with calls out")                                                        \
+    X(resent_while_first_runs, "an idempotent call resent while its earlier attempt still runs")             \
+    X(restart_with_calls_out, "a proxy killed with open calls, restarted with an old list")                  \
+    X(moves_while_watching, "discovery moved by SIGHUP during a watch")                                      \
+    X(stops_with_calls_out, "SIGTERM with open calls")                                                       \
     X(call_crosses_close, "a call sent on a connection that the proxy was closing, sent again")              \
-    X(broken_before_last_byte, "a connection broken before the last byte of a call was written")             \
-    X(all_at_once, "a day with every kind of fault")
+    X(broken_before_last_byte, "a connection closed before the last byte of a call was written")             \
+    X(all_at_once, "a run with every kind of fault")
 
 enum class Hard {
 #define X(name, text) name,
--- a/src/lab/sweep.cpp
+++ b/src/lab/sweep.cpp
@@ -18,7 +18,8 @@
     std::mutex mutex;
     Summary total;
     uint64_t finished = 0;
-    std::map<uint64_t, RunResult> results;      // in order of the seeds, whoever played them
+    // By seed, so that the output doesn't depend on the order in which threads finish.
+    std::map<uint64_t, RunResult> results;
     const auto worker = [&] {
         for (uint64_t n; (n = next++) < options.seeds;) {
             auto result = run_scenario(draw_scenario(options.from + n));
@@ -43,7 +44,8 @@
     for (const auto& [seed, result] : results) {
         if (!result.violation) continue;
         ++by_rule[name_of(result.violation->rule)];
-        if (++violations <= options.max_reports) report(out, draw_scenario(seed), *result.violation, "replay --seed " + std::to_string(seed));
+        if (++violations <= options.max_reports)
+            report(out, draw_scenario(seed), *result.violation, "replay --seed " + std::to_string(seed));
         else if (violations <= 100)
             out << "replay --seed " << seed << " breaks " << name_of(result.violation->rule) << '\n';
     }
--- a/src/lab/toml_table.hpp
+++ b/src/lab/toml_table.hpp
@@ -1,5 +1,5 @@
-// What reads tables of a TOML file that somebody wrote by hand: an unknown key, a missing one or a value out of
-// bounds is told with file, line, column, key and what is allowed.
+// Strict reader of hand-written TOML files: an unknown key, a missing one or a value out of range throws ScenarioError
+// with file, line, column, key and what is allowed.
 #pragma once
 #include <toml++/toml.h>
 
@@ -15,12 +15,14 @@
 
 namespace myrtleroute::lab {
 
+// Throws ScenarioError: path:line:column: what.
 [[noreturn]] inline void fail_at(const std::string& path, const toml::source_region& at, const std::string& what) {
     std::ostringstream text;
     text << path << ':' << at.begin.line << ':' << at.begin.column << ": " << what;
     throw ScenarioError(text.str());
 }
 
+// One table of a file. `known` lists its keys. A reader returns `fallback` if its key is missing.
 class Table {
 public:
     Table(const std::string& path, const toml::table& table, std::initializer_list<std::string_view> known)
@@ -54,7 +56,7 @@
         if (!node->is_boolean()) fail(key, "must be true or false");
         return **node->as_boolean();
     }
-    // Tables under one key, `[[key]]`; none where it is not there.
+    // The tables of an array of tables, `[[key]]`; empty if the key is missing.
     std::vector<const toml::table*> tables(std::string_view key) const {
         std::vector<const toml::table*> all;
         const auto* node = table_.get(key);
--- a/src/lab/trace.hpp
+++ b/src/lab/trace.hpp
@@ -1,5 +1,5 @@
-// What happened, event by event: a digest always, lines of text where somebody reads them. Two runs are the
-// same run exactly if their digests are.
+// Records every event of a run: always into a digest, and as lines of text if a sink is set. Two runs with the same
+// digest had the same events.
 #pragma once
 #include <xxhash.h>
 
@@ -14,7 +14,7 @@
 
 namespace myrtleroute::lab {
 
-// Who, a and b of an event, by its kind: see docs/lab.md.
+// The meaning of who, a and b for each event is documented in docs/lab.md.
 #define MYRTLEROUTE_LAB_EVENTS(X)                                                                            \
     X(fault_begins) X(fault_ends) X(call_sent) X(call_taken) X(call_left) X(call_again) X(answer_written)    \
     X(answer_read) X(shot_begins) X(shot_written) X(shot_closed) X(shot_arrived) X(shot_runs)                \
@@ -48,7 +48,7 @@
              << names[static_cast<size_t>(what)] << ' ' << who << ' ' << a << ' ' << b;
         sink_(what, who, line.str());
     }
-    void log(const std::string& line) {   // of a proxy's log; no part of the digest
+    void log(const std::string& line) {   // a line of a proxy's log; not in the digest
         if (sink_) sink_(Event::noise, ~0ULL, line);
     }
 
--- a/src/lab/virtual_home.cpp
+++ b/src/lab/virtual_home.cpp
@@ -56,7 +56,7 @@
     return false;
 }
 
-// As poll(2) tells of stream sockets on Linux.
+// Returns the events that poll(2) reports for a stream socket in this state on Linux.
 short VirtualHome::poll_events(const Socket& s) const {
     if (s.state == State::listening) return s.waiting.empty() ? 0 : POLLIN;
     if (s.state == State::connecting) return 0;
@@ -83,7 +83,7 @@
 }
 
 int VirtualHome::allocate_descriptor(Handle socket) {
-    size_t fd = 3;   // the first three are the process's own
+    size_t fd = 3;   // 0 to 2 are the standard streams
     while (fd < table_.size() && (table_[fd] || static_cast<int>(fd) == signal_fd_)) ++fd;
     if (open_ + 3 >= descriptors) {
         errno = EMFILE;
--- a/src/lab/virtual_home.hpp
+++ b/src/lab/virtual_home.hpp
@@ -1,6 +1,6 @@
-// A proxy's home in the lab: descriptors over the virtual network, the virtual clock, signals and files as the
-// world gives them. It never blocks: a wait with nothing to tell notes until when the proxy would sleep, and
-// the world takes its next round then, or when something is heard.
+// The system calls of a simulated process: descriptors on the virtual network, the virtual clock, and signals and files
+// that the world provides. It never blocks: a wait without events records until when the process would sleep; the
+// world runs its next round at that time, or when on_event is called.
 #pragma once
 #include <map>
 
@@ -14,21 +14,21 @@
     VirtualHome(Queue& queue, Net& net, Machine& machine, std::function<void()> on_event)
         : queue_(queue), net_(net), machine_(machine), on_event_(std::move(on_event)) {}
 
-    // For the world.
+    // Used by the world.
     std::map<std::string, std::string> variables, files;
     static constexpr size_t rlimit = 256;
-    size_t descriptors = rlimit;                // that the process may hold now: less if others are open
-    bool is_waiting() const { return is_waiting_; }     // after a round: nothing to do before `until`
+    size_t descriptors = rlimit;                      // limit that holds now
+    bool is_waiting() const { return is_waiting_; }   // after a round: nothing to do before waits_until()
     Time waits_until() const { return until_; }
     void signal(int number);
-    void end_process();                         // as the system does when it is gone
-    size_t open() const { return open_; }       // descriptors that are held
-    size_t server_connections() const;                  // of them
+    void end_process();                     // closes all descriptors, as the system does when a process ends
+    size_t open() const { return open_; }   // number of open descriptors
+    size_t server_connections() const;      // open descriptors of this kind
     size_t pending_server_connections() const;
     size_t accepted() const;
     bool connecting_to(uint32_t ip) const;
 
-    // For the proxy.
+    // Used by the process.
     Time now() override { return queue_.now(); }
     double unix_time() override;
     int wait(pollfd* polled, size_t n, int ms) override;
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -10,13 +10,12 @@
 
 namespace {
 
-// After the load: until its calls are over, until connections that stand idle are closed, and until all have
-// ended.
+// After the load ends: until its calls are over, until idle connections are closed, and until all processes have ended.
 constexpr Span calls_end{5}, idle_time{14}, shutdown_time{5};
-constexpr Span max_stop_time{4.2};          // from SIGTERM to the end
-constexpr uint64_t max_rounds = 3000;  // in 0.1 s: hundreds are many
+constexpr Span max_stop_time{4.2};      // from SIGTERM to the end of the process
+constexpr uint64_t max_rounds = 3000;   // per 0.1 s; hundreds are already many
 
-class LogSink : public std::streambuf {   // a proxy's log, into the trace where that is read
+class LogSink : public std::streambuf {   // adds a proxy's log to the trace if that has a sink
 public:
     LogSink(Trace& trace, int proxy) : trace_(trace), proxy_("proxy " + std::to_string(proxy) + ": ") {}
 
@@ -49,15 +48,20 @@
     bool scheduled = false;
     Time next_round, busy_until, paused_until;
     bool stop_requested = false;
-    Time list_known_at;                 // what it will know at its next start
-    Time rounds_counted_since;             // rounds since then
+    Time list_known_at;          // its next start gets the server list as of then
+    Time rounds_counted_since;   // `rounds` counts from here
     uint64_t rounds = 0;
     ptrdiff_t held_bytes = 0;
 };
 
 World::World(const Scenario& scenario)
-    : scenario_(scenario), queue_(Time{100}), net_(queue_, scenario.seed), oracle_(queue_, trace_, scenario_),
-      site_{scenario_, queue_, net_, trace_, oracle_}, random_(scenario.seed, 0x574f524c), load_ends_at_(Time{100} + scenario.duration) {
+    : scenario_(scenario),
+      queue_(Time{100}),
+      net_(queue_, scenario.seed),
+      oracle_(queue_, trace_, scenario_),
+      site_{scenario_, queue_, net_, trace_, oracle_},
+      random_(scenario.seed, 0x574f524c),
+      load_ends_at_(Time{100} + scenario.duration) {
     net_.set_tap(oracle_);
     net_.disturbed_share = scenario.disturbed_share;
     if (net_.disturbed_share > 0 && random_.bernoulli(0.5))
@@ -125,7 +129,7 @@
     const auto rev = std::max<uint64_t>(registry_.rev_at(at), static_cast<uint64_t>(scenario_.servers));
     const auto entries = registry_.listed_at(rev);
     servers = Registry::to_listed(entries);
-    // Numbered as by the discovery that takes calls; lists of another are of no use there.
+    // The revision is that of the active discovery service; revisions of another one are meaningless to it.
     return Registry::to_json(rev + 1 + current_discovery_ * 5000, true, entries);
 }
 
@@ -156,7 +160,8 @@
     const auto environment = [&](const char* name) { return i.home->variable(name); };
     const HeapCounter held(i.held_bytes);
     i.proxy = std::make_unique<run::Proxy>(run::read_config(*i.home, environment), *i.home, i.log);
-    if (!i.proxy->start()) return oracle_.report_violation(Rule::no_crash, {}, "proxy " + std::to_string(i.number) + " can't start");
+    if (!i.proxy->start())
+        return oracle_.report_violation(Rule::no_crash, {}, "proxy " + std::to_string(i.number) + " can't start");
     schedule_round(i, queue_.now());
 }
 
@@ -171,8 +176,8 @@
     });
 }
 
-// One round of its loop. The next comes after what a round takes; the later ones when it has slept enough or
-// hears of something.
+// Runs one round of the proxy's loop. The next one follows after the duration of a round if there is more to do,
+// otherwise when its wait ends or an event arrives.
 void World::run_round(Instance& i) {
     i.scheduled = false;
     if (i.paused_until > queue_.now()) return schedule_round(i, i.paused_until);
@@ -188,7 +193,7 @@
     if (!continues) {
         if (!i.stop_requested)
             return oracle_.report_violation(Rule::ends_in_time, {},
-                                            "proxy " + std::to_string(i.number) + " ended by itself");
+                                            "proxy " + std::to_string(i.number) + " ended without SIGTERM");
         process_ended(i);
         return queue_.in({0.2}, [this, &i, at = i.list_known_at] { start(i, at); });
     }
@@ -197,13 +202,14 @@
     schedule_round(i, i.home->is_waiting() ? i.home->waits_until() : i.busy_until);
 }
 
-// What it holds is what the system holds for it.
+// Compares the proxy's own counts with those of the system.
 void World::check(Instance& i) {
     auto& state = i.proxy->state();
     const auto compare = [&](Rule rule, const std::string& what, size_t has, size_t is) {
         if (has != is)
-            oracle_.report_violation(rule, {}, "proxy " + std::to_string(i.number) + " counts " + std::to_string(has) + ' ' + what +
-                                         ", there are " + std::to_string(is));
+            oracle_.report_violation(rule, {},
+                                     "proxy " + std::to_string(i.number) + " counts " + std::to_string(has) + ' ' +
+                                         what + ", there are " + std::to_string(is));
     };
     compare(Rule::beliefs, "descriptors", state.loop.connections(), i.home->open());
     size_t lines = 0, idle = 0, waiting = 0;
@@ -213,10 +219,10 @@
     });
     compare(Rule::beliefs, "connections to servers", lines, i.home->server_connections());
     const auto busy = static_cast<size_t>(oracle_.busy_connections(i.number)) + i.home->pending_server_connections();
-    compare(Rule::beliefs, "connections to servers with something out", lines - idle, busy);
+    compare(Rule::beliefs, "busy connections to servers", lines - idle, busy);
     state.calls.each([&](memory::Held& call) { waiting += call.client != nullptr; });
     const auto open = static_cast<size_t>(oracle_.open_calls(i.number));
-    // An answer counts when it is written whole.
+    // The oracle counts an answer when it is written whole.
     if (open < waiting || open > waiting + state.loop.unwritten())
         compare(Rule::beliefs, "calls without an answer", waiting, open);
     if (queue_.now() - i.rounds_counted_since > Span{0.1}) {
@@ -224,11 +230,14 @@
         i.rounds = 0;
     }
     if (i.rounds > max_rounds)
-        oracle_.report_violation(Rule::no_busy_loop, {}, "proxy " + std::to_string(i.number) + " went round " +
-                                                   std::to_string(i.rounds) + " times in 0.1 s");
-    oracle_.summary.max_held_bytes = std::max(oracle_.summary.max_held_bytes, static_cast<uint64_t>(std::max<ptrdiff_t>(0, i.held_bytes)));
+        oracle_.report_violation(Rule::no_busy_loop, {}, "proxy " + std::to_string(i.number) + " ran " +
+                                                   std::to_string(i.rounds) + " rounds in 0.1 s");
+    oracle_.summary.max_held_bytes =
+        std::max(oracle_.summary.max_held_bytes, static_cast<uint64_t>(std::max<ptrdiff_t>(0, i.held_bytes)));
     if (i.held_bytes > static_cast<ptrdiff_t>(state.config.memory_mb << 20))
-        oracle_.report_violation(Rule::bounded_memory, {}, "proxy " + std::to_string(i.number) + " holds " + std::to_string(i.held_bytes));
+        oracle_.report_violation(
+            Rule::bounded_memory, {},
+            "proxy " + std::to_string(i.number) + " holds " + std::to_string(i.held_bytes) + " bytes");
 }
 
 void World::request_stop(Instance& i) {
@@ -247,12 +256,12 @@
         const Time later = oracle_.deadline(i.number, by - max_stop_time, max_stop_time);
         if (later > queue_.now()) return check_stop(i, starts, later);
         oracle_.report_violation(Rule::ends_in_time, {},
-                                 "proxy " + std::to_string(i.number) + " goes on after SIGTERM");
+                                 "proxy " + std::to_string(i.number) + " still runs after SIGTERM");
     });
 }
 
 void World::process_ended(Instance& i) {
-    oracle_.proxy_killed(i.number);
+    oracle_.process_ending(i.number);
     i.home->end_process();
     i.proxy.reset();
     oracle_.proxy_ended(i.number);
@@ -282,7 +291,8 @@
             discoveries_[current_discovery_]->open();
             for (auto& each : instances_) {
                 if (!each->proxy || each->stop_requested) continue;
-                if (discoveries_[current_discovery_ ^ 1]->is_watched_by(each->number)) oracle_.summary.met(Hard::moves_while_watching);
+                if (discoveries_[current_discovery_ ^ 1]->is_watched_by(each->number))
+                    oracle_.summary.met(Hard::moves_while_watching);
                 configure(*each);
                 site_.record(Event::signal, static_cast<uint64_t>(each->number), SIGHUP);
                 each->home->signal(SIGHUP);
@@ -290,12 +300,14 @@
             break;
         case FaultKind::bad_file:
             if (!i.proxy) break;
-            i.home->files["config.json"] = fault.strength < 0.3 ? "" : "{\"listen\":" + std::string(fault.strength < 0.6 ? "7}" : "");
+            i.home->files["config.json"] =
+                fault.strength < 0.3 ? "" : "{\"listen\":" + std::string(fault.strength < 0.6 ? "7}" : "");
             i.home->signal(SIGHUP);
             break;
         case FaultKind::descriptors:
             oracle_.set_descriptors_limited(i.number);
-            if (i.home) i.home->descriptors = std::max<size_t>(16, i.home->open() + static_cast<size_t>(fault.strength * 10));
+            if (i.home)
+                i.home->descriptors = std::max<size_t>(16, i.home->open() + static_cast<size_t>(fault.strength * 10));
             break;
         case FaultKind::pause: {
             const Span lasts{std::min(fault.duration.s, 0.05 + fault.strength * 1.2)};
@@ -305,7 +317,7 @@
             break;
         }
         case FaultKind::wrong_list:
-            registry_.hide(queue_.now(), 0.3 + fault.strength);   // the upper three tenths of `how`: all of them
+            registry_.hide(queue_.now(), 0.3 + fault.strength);   // all servers from a strength of 0.7 on
             list_changed();
             break;
         case FaultKind::restart: request_stop(i); break;
@@ -341,8 +353,8 @@
     list_changed();
 }
 
-// All calls are over and what stood idle is closed: nothing may be left but the listener, the signals, the
-// watch and probes. Then all are told to stop.
+// All calls are over and idle connections are closed: only the listener, the signal descriptor, the watch and probes
+// may be left. Then all proxies get SIGTERM.
 void World::check_nothing_left() {
     stopping_ = true;
     for (auto& i : instances_) {
@@ -350,7 +362,9 @@
         auto& state = i->proxy->state();
         const auto check_at_most = [&](const char* what, size_t n, size_t most) {
             if (n > most)
-                oracle_.report_violation(Rule::nothing_left, {}, "proxy " + std::to_string(i->number) + " still has " + std::to_string(n) + ' ' + what);
+                oracle_.report_violation(
+                    Rule::nothing_left, {},
+                    "proxy " + std::to_string(i->number) + " still has " + std::to_string(n) + ' ' + what);
         };
         check_at_most("calls", state.calls.size(), 0);
         check_at_most("descriptors", i->home->open(), 3 + static_cast<size_t>(scenario_.servers));
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -1,6 +1,6 @@
-// One day in the lab: whole proxies, the very code of the program, on the virtual clock and network, among
-// stand-ins for clients, servers and discovery, under the scenario's faults, with the rules checked after
-// every step. The same scenario gives the same day, step by step.
+// One run of the lab: whole proxies (the code of the real program) on a virtual clock and network, with simulated
+// clients, servers and discovery, under the faults of a scenario. The rules are checked after every step. The same
+// scenario always gives the same run, step by step.
 #pragma once
 #include <iostream>
 #include <memory>
@@ -19,10 +19,10 @@
     explicit World(const Scenario& scenario);
     ~World();
     Trace& trace() { return trace_; }
-    bool step();                       // false: the day is over, or a rule is broken
+    bool step();   // false: the run is over, or a rule is broken
     uint64_t steps() const { return queue_.steps(); }
     const std::optional<Violation>& violation() const { return oracle_.violation(); }
-    const Summary& summary();          // of the day so far
+    const Summary& summary();   // of the run so far
 
 private:
     struct Instance;
@@ -32,11 +32,11 @@
     void run_round(Instance& i);
     void schedule_round(Instance& i, Time at);
     void check(Instance& i);
-    void configure(Instance& i);       // writes its file anew
+    void configure(Instance& i);   // writes its configuration file
     void request_stop(Instance& i);
     void check_stop(Instance& i, uint64_t starts, Time by);
-    void process_ended(Instance& i);            // its process
-    void check_nothing_left();                      // long after the load
+    void process_ended(Instance& i);
+    void check_nothing_left();   // after the load and all idle timeouts
     std::string server_list(Time at, std::vector<Oracle::ListedServer>& servers) const;
     void list_changed();
 
@@ -49,7 +49,7 @@
     RandomStream random_;
     Registry registry_;
     std::vector<std::unique_ptr<Discovery>> discoveries_;
-    size_t current_discovery_ = 0;             // that takes calls
+    size_t current_discovery_ = 0;   // index of the one that accepts requests
     std::vector<std::unique_ptr<Server>> servers_;
     std::vector<std::unique_ptr<Application>> applications_;
     std::vector<std::unique_ptr<Instance>> instances_;
