--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -1,4 +1,5 @@
-// The lab itself: its network behaves as TCP does to programs, its days replay, its files are read strictly.
+// Tests of the lab itself: its network behaves as TCP does to programs, runs are reproducible, scenario files are read
+// strictly, and the oracle detects each broken rule.
 #include <catch2/catch.hpp>
 #include <cerrno>
 #include <cstdio>
@@ -33,7 +34,7 @@
         const Time until = queue.now() + Span{seconds};
         while (queue.step(until)) {}
     }
-    std::string read(Socket& s) {   // bytes, "end", "again", or the error
+    std::string read(Socket& s) {   // the bytes, "end", "again" or the error
         char bytes[100];
         const auto n = net.read(s, bytes, sizeof bytes);
         if (n > 0) return std::string(bytes, static_cast<size_t>(n));
@@ -41,7 +42,7 @@
     }
 };
 
-// A file that is gone with the case.
+// A temporary file, removed at the end of the test.
 struct File {
     std::string path = "lab-test-" + std::to_string(reinterpret_cast<uintptr_t>(this)) + ".toml";
     explicit File(const std::string& text) { std::ofstream(path) << text; }
@@ -50,11 +51,11 @@
 
 }  // namespace
 
-TEST_CASE("the virtual network gives what TCP gives") {
+TEST_CASE("the virtual network behaves as TCP does to programs") {
     Stream s;
     REQUIRE(s.server);
     REQUIRE(s.read(*s.server) == "again");
-    SECTION("bytes come in order, then the end; a half-close leaves the other way open") {
+    SECTION("bytes arrive in order, then the end; a half-close leaves the other direction open") {
         s.net.write(*s.client, "one");
         s.net.write(*s.client, "two");
         s.net.end_sending(*s.client);
@@ -65,7 +66,7 @@
         s.run(1);
         CHECK(s.read(*s.client) == "back");
     }
-    SECTION("a close with bytes unread resets") {
+    SECTION("a close with unread input sends a reset") {
         s.net.write(*s.client, "unread");
         s.run(1);
         s.net.close(*s.server);
@@ -73,7 +74,7 @@
         CHECK(s.read(*s.client) == "reset");
         CHECK(s.read(*s.client) == "end");
     }
-    SECTION("bytes for a closed end are reset, what came before can still be read") {
+    SECTION("data for a closed socket is reset; what arrived before can still be read") {
         s.net.write(*s.server, "last");
         s.net.close(*s.server);
         s.run(1);
@@ -82,12 +83,12 @@
         CHECK(s.read(*s.client) == "last");
         CHECK(s.read(*s.client) == "reset");
     }
-    SECTION("nobody listens: refused") {
+    SECTION("a connect without a listener is refused") {
         const auto refused = s.net.connect(s.near, s.observer, 98);
         s.run(1);
         CHECK(s.read(*refused) == "refused");
     }
-    SECTION("a machine cut off says nothing, and what was sent comes when it is back") {
+    SECTION("an unreachable machine is silent, and what was sent arrives when it is back") {
         s.far.unreachable_until = s.queue.now() + Span{5};
         s.net.write(*s.client, "held");
         const auto pending = s.net.connect(s.near, s.observer, 99);
@@ -98,7 +99,7 @@
         CHECK(s.read(*s.server) == "held");
         CHECK(pending->state == Socket::State::up);
     }
-    SECTION("a machine that has forgotten resets") {
+    SECTION("a machine that has lost its connections answers data with a reset") {
         s.net.vanish(*s.server);
         s.run(1);
         CHECK(s.read(*s.client) == "again");
@@ -106,7 +107,7 @@
         s.run(1);
         CHECK(s.read(*s.client) == "reset");
     }
-    SECTION("a window holds, and there is room again once it is read") {
+    SECTION("a full window refuses writes until the peer reads") {
         s.net.window = 10;
         CHECK(s.net.write(*s.client, "0123456789abcdef") == 10);
         CHECK(s.net.write(*s.client, "abcdef") == -1);
@@ -114,7 +115,7 @@
         CHECK(s.read(*s.server) == "0123456789");
         CHECK(s.net.write(*s.client, "abcdef") == 6);
     }
-    SECTION("a full queue of connections is not heard until there is room") {
+    SECTION("a connect to a full backlog waits until there is room") {
         s.listener->max_backlog = 0;
         const auto pending = s.net.connect(s.near, s.observer, 99);
         s.run(0.5);
@@ -125,19 +126,19 @@
     }
 }
 
-TEST_CASE("the same seed gives the same day, and another another") {
+TEST_CASE("the same seed gives the same run, another seed a different one") {
     const auto once = run_scenario(draw_scenario(3)), again = run_scenario(draw_scenario(3)),
                other = run_scenario(draw_scenario(4));
     CHECK(once.digest == again.digest);
     CHECK(once.steps == again.steps);
     CHECK(once.digest != other.digest);
-    uint64_t lines = 0;   // reading the trace changes nothing
+    uint64_t lines = 0;   // reading the trace doesn't change the run
     CHECK(run_scenario(draw_scenario(3), 0, [&](const std::string&) { ++lines; }).digest == once.digest);
     CHECK(lines > 1000);
     CHECK(run_scenario(draw_scenario(3), 500).steps == 500);
 }
 
-TEST_CASE("a scenario is written and read again as it was") {
+TEST_CASE("a scenario that is written and read again is unchanged") {
     for (uint64_t seed = 0; seed < 40; ++seed) {
         auto s = draw_scenario(seed);
         s.omitted_calls = {{3, 9}, {call_numbers_per_proxy + 1, call_numbers_per_proxy + 1}};
@@ -146,7 +147,7 @@
     }
 }
 
-TEST_CASE("a bad scenario: one line with file, place and key") {
+TEST_CASE("an invalid scenario file gives one line with file, position and key") {
     const auto [text, place, what] = GENERATE(table<std::string, std::string, std::string>({
         {"", ":1:1: ", "seed must be"},
         {"seed = -1", ":1:8: ", "seed must be"},
@@ -173,8 +174,8 @@
     CHECK(message.find('\n') == message.npos);
 }
 
-TEST_CASE("the oracle sees each rule broken") {
-    // It is told what a proxy that breaks the rule would write.
+TEST_CASE("the oracle detects each broken rule") {
+    // The test writes what a proxy that breaks the rule would write.
     Queue queue{Time{1}};
     Trace trace;
     Scenario scenario;
@@ -192,7 +193,8 @@
     oracle.proxy_started(0, list);
     const auto proxy_listener = net.listen(proxy, observer, address_of(proxy_ip + 1, port));
     std::vector<Handle> server_listeners;
-    for (uint32_t i = 0; i < 3; ++i) server_listeners.push_back(net.listen(server_machine, observer, address_of(server_ip + 1 + i, port)));
+    for (uint32_t i = 0; i < 3; ++i)
+        server_listeners.push_back(net.listen(server_machine, observer, address_of(server_ip + 1 + i, port)));
     const auto client = net.connect(client_machine, observer, address_of(proxy_ip + 1, port));
     run(0.1);
     const auto at_proxy = net.accept(*proxy_listener);
@@ -202,11 +204,12 @@
         run(0.1);
         net.read_all(*at_proxy);
     };
-    std::vector<Handle> connections;   // held, as a proxy would
+    std::vector<Handle> connections;   // kept open, as a proxy does
     const auto send_attempt = [&](uint64_t number, uint32_t server) {
         connections.push_back(net.connect(proxy, observer, address_of(server_ip + 1 + server, port)));
         run(0.1);
-        net.write(*connections.back(), "POST /api HTTP/1.1\r\nHost: api\r\nX-Request-ID: " + std::to_string(number) + "\r\nX-Timeout: 900000u\r\nContent-Length: 0\r\n\r\n");
+        net.write(*connections.back(), "POST /api HTTP/1.1\r\nHost: api\r\nX-Request-ID: " + std::to_string(number) +
+                                           "\r\nX-Timeout: 900000u\r\nContent-Length: 0\r\n\r\n");
         return connections.back();
     };
     const auto answer = [&](int status) {
@@ -217,7 +220,7 @@
         CHECK((oracle.violation() && oracle.violation()->rule == rule));
     };
     constexpr int look = 0, hold = 2, book = 3;   // idempotent, deduplicated by zone, non-idempotent
-    SECTION("one shot, one answer: none") {
+    SECTION("one attempt and one answer break no rule") {
         call(1, book);
         send_attempt(1, 0);
         oracle.executed(1, 0);
@@ -227,43 +230,58 @@
     }
     SECTION("no answer") { call(1, look); run(3); check_violation(Rule::in_time); }
     SECTION("two answers") { call(1, look); answer(429); answer(429); check_violation(Rule::one_answer); }
-    SECTION("a close without one") { call(1, look); net.close(*at_proxy); check_violation(Rule::one_answer); }
-    SECTION("a shot after it") { call(1, look); answer(429); send_attempt(1, 0); check_violation(Rule::no_shot_after); }
-    SECTION("fulfilled, but never run") {
+    SECTION("a close without an answer") { call(1, look); net.close(*at_proxy); check_violation(Rule::one_answer); }
+    SECTION("an attempt after the answer") {
+        call(1, look);
+        answer(429);
+        send_attempt(1, 0);
+        check_violation(Rule::no_shot_after);
+    }
+    SECTION("a 200 for a call that never ran") {
         call(1, look);
         send_attempt(1, 0);
         answer(200);
         check_violation(Rule::right_answer);
     }
-    SECTION("another's answer") {
+    SECTION("the answer of another call") {
         call(1, look);
         oracle.response_read(1, 200, "done 2 by s0");
         check_violation(Rule::right_answer);
     }
-    SECTION("two shots out") {
+    SECTION("two open attempts") {
         call(1, look);
         send_attempt(1, 0);
         send_attempt(1, 1);
         check_violation(Rule::no_second_copy);
     }
-    SECTION("a booking that may have run, again") {
+    SECTION("a second attempt of a non-idempotent call that may have run") {
         call(1, book);
         net.close(*send_attempt(1, 0));
         send_attempt(1, 1);
         check_violation(Rule::no_effect_twice);
     }
-    SECTION("a keyed call that may have run, outside of its group, or of its window") {
+    SECTION("a second attempt of a deduplicated call in another zone or after its window") {
         const auto [elsewhere, wait] = GENERATE(table<uint32_t, double>({{1, 0.0}, {2, 3.1}}));
         call(1, hold);
         net.close(*send_attempt(1, 0));
-        oracle.proxy_paused(0, queue.now(), queue.now() + Span{10});   // so that it is not late
+        oracle.proxy_paused(0, queue.now(), queue.now() + Span{10});   // so that the answer is not late
         run(wait);
         send_attempt(1, elsewhere);
         check_violation(Rule::no_effect_twice);
     }
-    SECTION("an effect, and again") { call(1, book); oracle.executed(1, 0); oracle.executed(1, 1); check_violation(Rule::no_effect_twice); }
-    SECTION("rate-limited, though it may have run") { call(1, book); net.close(*send_attempt(1, 0)); answer(429); check_violation(Rule::no_false_promise); }
-    SECTION("a shot beyond the grace of a drain") {
+    SECTION("a second effect") {
+        call(1, book);
+        oracle.executed(1, 0);
+        oracle.executed(1, 1);
+        check_violation(Rule::no_effect_twice);
+    }
+    SECTION("a rate-limit reply for a call that may have run") {
+        call(1, book);
+        net.close(*send_attempt(1, 0));
+        answer(429);
+        check_violation(Rule::no_false_promise);
+    }
+    SECTION("an attempt after the grace period of a drain") {
         list[1].ready = false;
         oracle.list_received(0, false, {list[1]});
         run(3.1);
@@ -271,8 +289,8 @@
         send_attempt(1, 1);
         check_violation(Rule::drains);
     }
-    SECTION("the list not asked for") { run(12); check_violation(Rule::listens); }
-    SECTION("what can't be read") {
+    SECTION("the list is not requested in time") { run(12); check_violation(Rule::listens); }
+    SECTION("a malformed answer") {
         call(1, look);
         net.write(*at_proxy, "\r\nwhat?\r\n");
         check_violation(Rule::sound);
