--- a/src/lab/application.cpp
+++ b/src/lab/application.cpp
@@ -137,7 +137,7 @@
 }
 
 void Application::send(Connection& connection) {
-    if (connection.socket->state != Socket::State::up || connection.sent) return;
+    if (connection.socket->state != Socket::State::established || connection.sent) return;
     // Written in as many parts as the window requires.
     const auto n = site_.net.write(*connection.socket, std::string_view(connection.request).substr(connection.written));
     if (n < 0) return;   // no room, or the connection failed; a socket event follows either way
@@ -234,9 +234,9 @@
         const auto it = connections_.find(socket);
         if (it == connections_.end()) return;
         const auto& s = *it->second->socket;
-        if (s.state == Socket::State::up && s.other && s.other->observer && !it->second->stray_answered) {
+        if (s.state == Socket::State::established && s.peer && s.peer->observer && !it->second->stray_answered) {
             const Time since = site_.oracle.descriptors_limited(proxy_)
-                                   ? std::max(due - first_response_timeout, s.other->accepted)
+                                   ? std::max(due - first_response_timeout, s.peer->accepted_at)
                                    : due - first_response_timeout;
             const Time later = site_.oracle.deadline(proxy_, since, first_response_timeout);
             if (later > site_.queue.now()) return check_first_response(socket, later);
--- a/src/lab/net.hpp
+++ b/src/lab/net.hpp
@@ -38,14 +38,14 @@
 };
 
 struct Socket : std::enable_shared_from_this<Socket> {
-    enum class State { listening, connecting, up, reset };
+    enum class State { listening, connecting, established, reset };
     uint64_t number = 0;
     State state = State::connecting;
-    Machine* here = nullptr;
+    Machine* machine = nullptr;
     SocketObserver* observer = nullptr;
     uint64_t local = 0, remote = 0;   // address_of(ip, port); local is 0 on the connecting side
-    Time accepted{};                  // when the listening process accepted it
-    Handle other;
+    Time accepted_at{};               // when the listening process accepted it
+    Handle peer;
     // Input that has arrived.
     std::string in;
     bool fin_in = false;
@@ -58,11 +58,11 @@
     };
     std::deque<Segment> in_flight;
     size_t bytes_in_flight = 0;
-    Time last{};          // arrival time of the last segment; later ones never arrive earlier
-    std::string unsent;   // output of Net::send() that waits for room
+    Time last_arrival{};   // arrival time of the last segment; later ones never arrive earlier
+    std::string unsent;    // output of Net::send() that waits for room
     bool fin_out = false, closed = false, write_blocked = false;
     // For listeners: connections not yet accepted.
-    std::deque<Handle> waiting;
+    std::deque<Handle> backlog;
     size_t max_backlog = 128;
 };
 
--- a/src/lab/oracle.cpp
+++ b/src/lab/oracle.cpp
@@ -149,9 +149,9 @@
 
 LabAttempt* Oracle::attempt(uint64_t number, const Socket& servers_end) {
     auto* c = call(number);
-    if (!c || !servers_end.other) return nullptr;
+    if (!c || !servers_end.peer) return nullptr;
     for (auto it = c->attempts.rbegin(); it != c->attempts.rend(); ++it)
-        if (it->socket == servers_end.other->number) return &*it;
+        if (it->socket == servers_end.peer->number) return &*it;
     return nullptr;
 }
 
@@ -270,7 +270,7 @@
     auto& c = connections_[s.number];
     if (!c) {
         c = std::make_unique<Connection>(s.local == 0);
-        c->proxy = s.here->number;
+        c->proxy = s.machine->number;
         const auto ip = static_cast<uint32_t>(s.remote >> 16);
         if (ip >= server_ip && ip < discovery_ip) c->server = static_cast<int>(ip - server_ip) - 1;
     }
@@ -279,8 +279,8 @@
 
 void Oracle::was_written(Socket& s, std::string_view bytes) {
     const auto ip = static_cast<uint32_t>(s.remote >> 16);
-    if (s.local == 0 && ip >= discovery_ip) return discovery_request(s.here->number, true);
-    if (s.local != 0 && s.other && stray_connections_.count(s.other->number)) return;
+    if (s.local == 0 && ip >= discovery_ip) return discovery_request(s.machine->number, true);
+    if (s.local != 0 && s.peer && stray_connections_.count(s.peer->number)) return;
     auto& c = connection(s);
     while (!bytes.empty()) {
         if (!c.machine.begun()) {
@@ -356,9 +356,9 @@
 
 void Oracle::response_written(Connection& c, const Socket& s) {
     const int status = c.reader.status;
-    const auto latest_call = s.other ? on_client_.find(s.other->number) : on_client_.end();
+    const auto latest_call = s.peer ? on_client_.find(s.peer->number) : on_client_.end();
     auto* found = latest_call == on_client_.end() ? nullptr : call(latest_call->second);
-    if (!found || found->finished || found->client != s.other->number) {
+    if (!found || found->finished || found->client != s.peer->number) {
         // Input that is no call may be rejected. Any other answer while no call is open is a second one to the
         // previous call.
         if (found && found->finished && (status == 200 || status == 502 || status == 429))
@@ -391,8 +391,8 @@
 }
 
 void Oracle::connect_started(Socket& s) {
-    if (static_cast<uint32_t>(s.remote >> 16) >= discovery_ip) discovery_request(s.here->number, true);
-    record(Event::connected, static_cast<uint64_t>(s.here->number), s.remote >> 16, s.number);
+    if (static_cast<uint32_t>(s.remote >> 16) >= discovery_ip) discovery_request(s.machine->number, true);
+    record(Event::connected, static_cast<uint64_t>(s.machine->number), s.remote >> 16, s.number);
 }
 
 void Oracle::was_read(Socket& s, std::string_view bytes) {
@@ -410,11 +410,11 @@
         const auto& attempt = call(c.call)->attempts[static_cast<size_t>(c.attempt)];
         if (std::abs((queue_.now() - attempt.deadline).s) < 0.0015) summary.met(Hard::answer_before_time_out);
     }
-    if (s.local == 0 || !s.other) return;
-    const auto latest_call = on_client_.find(s.other->number);
+    if (s.local == 0 || !s.peer) return;
+    const auto latest_call = on_client_.find(s.peer->number);
     if (latest_call == on_client_.end()) return;
     auto& call = *this->call(latest_call->second);
-    if (call.taken || call.finished || call.client != s.other->number || s.bytes_read < call.client_end) return;
+    if (call.taken || call.finished || call.client != s.peer->number || s.bytes_read < call.client_end) return;
     call.taken = true;
     // Where the proxy was short of descriptors to accept with, the time of the call counts from when it was read.
     if (proxies_[call.proxy].descriptors_limited) call.arrived = queue_.now();
@@ -425,12 +425,12 @@
 
 void Oracle::bytes_arrived(Socket& s) {
     const auto ip = static_cast<uint32_t>(s.remote >> 16);
-    if (s.local == 0 && ip >= discovery_ip && on_discovery_bytes) return on_discovery_bytes(s.here->number, s);
-    if (s.local == 0 || !s.other) return;
-    const auto latest_call = on_client_.find(s.other->number);
+    if (s.local == 0 && ip >= discovery_ip && on_discovery_bytes) return on_discovery_bytes(s.machine->number, s);
+    if (s.local == 0 || !s.peer) return;
+    const auto latest_call = on_client_.find(s.peer->number);
     if (latest_call == on_client_.end()) return;
     auto& call = *this->call(latest_call->second);
-    if (call.arrived.s >= 0 || call.client != s.other->number || s.bytes_received < call.client_end) return;
+    if (call.arrived.s >= 0 || call.client != s.peer->number || s.bytes_received < call.client_end) return;
     call.arrived = queue_.now();
     const Time due = call.arrived + Span{call.kind().timeout} + answer_margin + slack * 2;
     queue_.at(due, [this, number = call.number] { check_deadline(number); });
@@ -449,11 +449,11 @@
 
 void Oracle::closing(Socket& s) {
     if (s.local == 0 && static_cast<uint32_t>(s.remote >> 16) >= discovery_ip)
-        return discovery_request(s.here->number, false);
-    const auto latest_call = s.other && s.local != 0 ? on_client_.find(s.other->number) : on_client_.end();
+        return discovery_request(s.machine->number, false);
+    const auto latest_call = s.peer && s.local != 0 ? on_client_.find(s.peer->number) : on_client_.end();
     if (latest_call != on_client_.end()) {
         auto& call = *this->call(latest_call->second);
-        if (call.client == s.other->number && call.taken && !call.finished) {
+        if (call.client == s.peer->number && call.taken && !call.finished) {
             finish(call);
             if (proxies_[call.proxy].ending) {
                 ++summary.lost_to_kills;
--- a/src/lab/registry.cpp
+++ b/src/lab/registry.cpp
@@ -150,7 +150,7 @@
 
 bool Discovery::is_watched_by(int proxy) const {
     for (const auto& [number, call] : calls_)
-        if (call->is_watch && call->socket->other && call->socket->other->here->number == proxy) return true;
+        if (call->is_watch && call->socket->peer && call->socket->peer->machine->number == proxy) return true;
     return false;
 }
 
@@ -216,7 +216,7 @@
 void Discovery::send(Call& call, const std::string& text) { site_.net.send(*call.socket, text); }
 
 bool Discovery::bytes_arrived(int proxy, const Socket& proxys_end) {
-    const auto it = proxys_end.other ? calls_.find(proxys_end.other->number) : calls_.end();
+    const auto it = proxys_end.peer ? calls_.find(proxys_end.peer->number) : calls_.end();
     if (it == calls_.end()) return false;
     auto& sent_lists = it->second->sent_lists;
     while (!sent_lists.empty() && proxys_end.bytes_received >= sent_lists.front().end_offset) {
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -339,7 +339,7 @@
     connection.busy = false;
     site_.oracle.attempt_answered(s);
     send(connection, text, arrives);
-    if (connection.socket->other && on_response) on_response(job.call, connection.socket->other->last);
+    if (connection.socket->peer && on_response) on_response(job.call, connection.socket->peer->last_arrival);
 }
 
 void Server::reply(Connection& connection, int status, const std::string& body, const std::string& fields) {
--- a/src/lab/virtual_home.cpp
+++ b/src/lab/virtual_home.cpp
@@ -58,7 +58,7 @@
 
 // Returns the events that poll(2) reports for a stream socket in this state on Linux.
 short VirtualHome::poll_events(const Socket& s) const {
-    if (s.state == State::listening) return s.waiting.empty() ? 0 : POLLIN;
+    if (s.state == State::listening) return s.backlog.empty() ? 0 : POLLIN;
     if (s.state == State::connecting) return 0;
     if (s.state == State::reset) return POLLIN | POLLOUT | POLLRDHUP | POLLHUP | (s.error ? POLLERR : 0);
     short events = 0;
@@ -112,7 +112,7 @@
 
 int VirtualHome::accept(int fd) {
     const HeapCounterPause pause;
-    if (at(fd).waiting.empty()) {
+    if (at(fd).backlog.empty()) {
         errno = EAGAIN;
         return -1;
     }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -97,7 +97,7 @@
         CHECK(pending->state == Socket::State::connecting);
         s.run(2);
         CHECK(s.read(*s.server) == "held");
-        CHECK(pending->state == Socket::State::up);
+        CHECK(pending->state == Socket::State::established);
     }
     SECTION("a machine that has lost its connections answers data with a reset") {
         s.net.vanish(*s.server);
@@ -122,7 +122,7 @@
         CHECK(pending->state == Socket::State::connecting);
         s.listener->max_backlog = 1;
         s.run(2);
-        CHECK(pending->state == Socket::State::up);
+        CHECK(pending->state == Socket::State::established);
     }
 }
 
--- a/tests/system/proxy_world.hpp
+++ b/tests/system/proxy_world.hpp
@@ -34,7 +34,7 @@
     void reset() { net_.reset(*socket_); }
     // What has come since the last call.
     std::string take() { return std::exchange(received, {}); }
-    bool up() const { return socket_->state == lab::Socket::State::up; }
+    bool up() const { return socket_->state == lab::Socket::State::established; }
 
     std::string received;
     bool ended = false, broken = false;   // the other side sends no more; the connection was reset
