--- a/src/lab/application.hpp
+++ b/src/lab/application.hpp
@@ -14,7 +14,7 @@
     void fault_begins(const Fault& fault);
     void fault_ends(const Fault& fault);
     void set_load_factor(double factor) { load_factor_ = factor; }
-    void response_expected(uint64_t call, Time when);   // at the proxy
+    void response_expected(uint64_t call, Time when);   // a server's response reaches the proxy then
     void stop();                                        // makes no more calls and closes idle connections
     void socket_changed(Socket& socket) override;
 
--- a/src/lab/net.hpp
+++ b/src/lab/net.hpp
@@ -79,6 +79,7 @@
 
 constexpr uint64_t address_of(uint32_t ip, uint16_t port) { return static_cast<uint64_t>(ip) << 16 | port; }
 
+// All calls take effect on the virtual clock of `queue`; `seed` determines all latencies and disturbances.
 class Net {
 public:
     Net(Queue& queue, uint64_t seed) : queue_(queue), random_(seed, 0x4e4554) {}
@@ -99,7 +100,7 @@
     void reset(Socket& s);                      // sends a reset to the peer
     void vanish(Socket& s);                     // loses all state without a word to the peer; later data is reset
     size_t room(const Socket& s) const;         // bytes that a write would take now
-    Machine* machine_at(uint64_t address) const;
+    Machine* machine_at(uint64_t address) const;   // machine of the listener; null: none
     uint64_t resets() const { return resets_; }
 
 private:
--- a/src/lab/oracle.hpp
+++ b/src/lab/oracle.hpp
@@ -111,6 +111,7 @@
     void discovery_request(int proxy, bool open);   // whether a request to discovery is open
     std::function<void(int proxy, Socket&)> on_discovery_bytes;
     std::function<bool(int proxy, int server)> is_connecting;   // whether a connect to it is in progress
+    // Whether the proxy has a list in which the server started then or later.
     bool knows_start(int proxy, int server, Time launched) const;
 
     // Reported by the world about proxies.
--- a/src/lab/server.hpp
+++ b/src/lab/server.hpp
@@ -32,9 +32,9 @@
     bool is_active(FaultKind kind) const { return active_[static_cast<size_t>(kind)] > 0; }
     double strength(FaultKind kind) const { return strength_[static_cast<size_t>(kind)]; }
     int cores() const { return 2 * (1 + slot_ / 2 % 2); }   // matches its capacity_hint in the list
-    double capacity_share() const;
+    double capacity_share() const;   // of the full capacity: below 1 while it is cold
     void list(Entry::State state);
-    void crash(bool connections_lost = false);
+    void crash(bool connections_lost = false);   // ends the process
     void drop(Job& job);
     void restart_after(Span after, bool new_uid);
     void request_received(Connection& connection);
@@ -68,9 +68,9 @@
     struct ColdWork {
         Time at;
         double work;
-        bool known;
+        bool known;   // sent by a proxy that knows of the last start
     };
-    std::deque<ColdWork> cold_work_;
+    std::deque<ColdWork> cold_work_;   // received within the last cold_window
     std::array<int, static_cast<size_t>(FaultKind::kinds)> active_{};
     std::array<double, static_cast<size_t>(FaultKind::kinds)> strength_{};
 };
--- a/src/lab/trace.hpp
+++ b/src/lab/trace.hpp
@@ -27,6 +27,7 @@
 #undef X
 };
 
+// `set_sink` is optional; without a sink only the digest is kept.
 class Trace {
 public:
     using Sink = std::function<void(Event, uint64_t who, const std::string& line)>;
--- a/src/lab/virtual_home.hpp
+++ b/src/lab/virtual_home.hpp
@@ -17,7 +17,7 @@
     // Used by the world.
     std::map<std::string, std::string> variables, files;
     static constexpr size_t rlimit = 256;
-    size_t descriptors = rlimit;                      // limit that holds now
+    size_t descriptors = rlimit;                      // limit that holds now; lower if other descriptors are assumed open
     bool is_waiting() const { return is_waiting_; }   // after a round: nothing to do before waits_until()
     Time waits_until() const { return until_; }
     void signal(int number);
@@ -26,7 +26,7 @@
     size_t server_connections() const;      // open descriptors of this kind
     size_t pending_server_connections() const;
     size_t accepted() const;
-    bool connecting_to(uint32_t ip) const;
+    bool connecting_to(uint32_t ip) const;   // whether a connect to that address is in progress
 
     // Used by the process.
     Time now() override { return queue_.now(); }
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -31,11 +31,11 @@
     void start(Instance& i, Time list_known_at);
     void run_round(Instance& i);
     void schedule_round(Instance& i, Time at);
-    void check(Instance& i);
+    void check(Instance& i);   // after a round: counts, rounds and memory
     void configure(Instance& i);   // writes its configuration file
     void request_stop(Instance& i);
     void check_stop(Instance& i, uint64_t starts, Time by);
-    void process_ended(Instance& i);
+    void process_ended(Instance& i);   // closes its sockets and deletes its proxy
     void check_nothing_left();   // after the load and all idle timeouts
     std::string server_list(Time at, std::vector<Oracle::ListedServer>& servers) const;
     void list_changed();
