--- a/src/lab/toml_table.hpp
+++ b/src/lab/toml_table.hpp
@@ -43,7 +43,8 @@
         if (!node->is_string()) fail(key, "must be a text");
         return **node->as_string();
     }
-    std::string one_of(std::string_view key, const std::string& fallback, std::initializer_list<std::string_view> allowed) const {
+    std::string one_of(std::string_view key, const std::string& fallback,
+                       std::initializer_list<std::string_view> allowed) const {
         const auto value = text(key, fallback);
         if (std::find(allowed.begin(), allowed.end(), value) != allowed.end()) return value;
         std::string all;
--- a/src/lab/virtual_home.hpp
+++ b/src/lab/virtual_home.hpp
@@ -17,7 +17,7 @@
     // Used by the world.
     std::map<std::string, std::string> variables, files;
     static constexpr size_t rlimit = 256;
-    size_t descriptors = rlimit;                      // limit that holds now; lower if other descriptors are assumed open
+    size_t descriptors = rlimit;   // limit that holds now; lower if others are assumed open
     bool is_waiting() const { return is_waiting_; }   // after a round: nothing to do before waits_until()
     Time waits_until() const { return until_; }
     void signal(int number);
