--- a/src/roles/log.hpp
+++ b/src/roles/log.hpp
@@ -1,14 +1,14 @@
-// Log lines of the system's roles, by easylogging++, on standard error.
+// Logging of the roles, through easylogging++ to standard output.
 #pragma once
 #include <sstream>
 #include <string>
 
 namespace myrtleroute {
 
-// Sets the least level that is written: debug, info, warning or error.
+// Sets the minimum level that is written: debug, info, warning or error.
 void start_log(int argc, const char* const* argv, const std::string& level);
 
-// A line that is written when it goes out of scope.
+// A log line, written when the object is destroyed.
 class LogLine {
 public:
     enum class Level { debug, info, warning, error };
--- a/src/roles/main.cpp
+++ b/src/roles/main.cpp
@@ -1,4 +1,5 @@
-// The program of the router fleet: `myrtlerouted ROLE`, where the settings file is named by MYRTLEROUTE_SETTINGS.
+// Main program of the router fleet, `myrtlerouted ROLE`. The settings file is given by MYRTLEROUTE_SETTINGS or
+// --settings.
 #include <tclap/CmdLine.h>
 
 #include <csignal>
@@ -57,7 +58,7 @@
     return proxy::Proxy(settings, home, random_seed(), reread).run();
 }
 
-// Checks a configuration or a settings file and prints every finding.
+// Validates a configuration or a settings file and prints every finding.
 int check(const std::string& path) {
     const auto text = read_file(path);
     if (!text) {
@@ -92,7 +93,7 @@
 }   // namespace
 
 int main(int argc, char** argv) {
-    std::signal(SIGHUP, SIG_IGN);   // until a role hears signals itself: the settings are still to be read
+    std::signal(SIGHUP, SIG_IGN);   // ignored until the role handles it; the settings are still to be read then
     try {
         TCLAP::CmdLine command("Router fleet for a language model. Roles run until SIGTERM.", ' ', version);
         std::vector<std::string> words{"proxy", "control", "check"};
@@ -110,7 +111,7 @@
                                            command);
         command.add(role);
         command.add(file);
-        command.setExceptionHandling(false);   // a fault of the command line has an exit status of its own
+        command.setExceptionHandling(false);   // command line errors have their own exit status
         command.parse(argc, argv);
         start_log(argc, argv, level.getValue());
         if (role.getValue() == "check") return check(file.getValue());
--- a/src/roles/metrics_answer.hpp
+++ b/src/roles/metrics_answer.hpp
@@ -1,4 +1,5 @@
-// What either role answers to a request at the address of its figures, whatever carries the request.
+// The response to a request at the metrics address, the same for both roles and independent of the HTTP server in
+// use.
 #pragma once
 #include <functional>
 #include <string>
@@ -11,8 +12,8 @@
     std::string body;
 };
 
-// 200 and the text for a GET of the path that the settings name, with or without a query; anything else is 404.
-// `render` is called only where its text is the answer.
+// Returns 200 and the text for a GET of the configured path, with or without a query, and 404 otherwise. `render`
+// is called only if its text is sent.
 inline MetricsResponse respond_to_scrape(std::string_view method, std::string_view target, std::string_view path,
                                          const std::function<std::string()>& render) {
     const auto asked = target.substr(0, target.find('?'));
--- a/src/roles/proxy/admission.cpp
+++ b/src/roles/proxy/admission.cpp
@@ -8,10 +8,10 @@
 namespace myrtleroute::proxy {
 namespace {
 
-constexpr Span hurry_every{0.05};   // asks for leases that are wanted soon
+constexpr Span hurry_every{0.05};   // interval of lease requests while units are urgently needed
 constexpr double rounding = 1e-9;
 
-// What a request costs of its tenant's limit, in the limit's unit.
+// The units that a request consumes: 1, or its tokens if the tenant's limit counts tokens.
 double cost_of(const Request& request) {
     const auto& tenant = *request.tenant;
     const double told = request.prompt.tokens_in + request.prompt.tokens_out;
@@ -19,9 +19,9 @@
     return told > 0 ? told : tenant.uncached_tokens;
 }
 
-// How long a request waits for units: served then, it is still in time.
+// The longest wait for units that leaves enough time to answer within the target latency.
 Span patience_for(const configuration::Route& route) {
-    constexpr double waited_part = 0.4;   // of the latency that is aimed at
+    constexpr double waited_part = 0.4;   // fraction of the target latency
     constexpr Span least{0.05}, most{0.3};
     return std::clamp(route.target_latency * waited_part, least, most);
 }
@@ -74,7 +74,7 @@
 
 void Admission::fleet_told(const messages::FleetStatus& told) {
     if (told.current && !control_is_current_) {
-        leases_.expedite();   // there is a leader again
+        leases_.expedite();   // a leader is available again
         ask();
     }
     control_is_current_ = told.current;
--- a/src/roles/proxy/admission.hpp
+++ b/src/roles/proxy/admission.hpp
@@ -1,5 +1,5 @@
-// Lets requests through within their tenants' limits: units that were lent to this proxy are used as requests are let
-// through, and are asked for where they lack. A request may wait for a moment for the reply.
+// Admits requests within their tenants' rate limits. A request consumes units that the control role has leased to
+// this proxy; further units are requested when they run short, and a request may wait briefly for the reply.
 #pragma once
 #include <functional>
 #include <string>
@@ -16,32 +16,32 @@
 class Admission {
 public:
     struct Events {
-        std::function<void(const leases::LeaseRequest&)> ask;   // to the control role, where there is a connection
-        // What has become of a request that waited.
+        std::function<void(const leases::LeaseRequest&)> ask;   // sends to the control role, if connected
+        // Outcome of a request that had to wait.
         std::function<void(CallId)> granted;
         std::function<void(CallId, const leases::Decision&)> refused;
     };
-    static constexpr uint64_t cookie = (1ULL << 62) + 1;   // of its wakes
+    static constexpr uint64_t cookie = (1ULL << 62) + 1;   // of this class's timers
 
-    // `life`: of this process, another one each time.
+    // `life`: identifies this process, different after each restart.
     Admission(Context& context, uint64_t life, Events events);
 
-    // Units are used at the moment at which the request is let through: the client has sent it, and no host has it yet.
-    // Where it waits, one of the events tells later.
+    // Consumes units at the moment of admission, when the request is complete and no host has it yet. If the
+    // request has to wait, one of the events reports the outcome later.
     leases::Decision decide(const Request& request);
-    // Asks for units at once, for requests that have begun to wait.
+    // Requests units immediately, for requests that have started to wait.
     void wait();
-    void withdraw(const Request& request);   // it waits no longer
-    // What was decided after a wait.
+    void withdraw(const Request& request);   // the client has left
+    // Record the outcome of a wait.
     void note_granted(const Request& request);
     void note_refused(const Request& request, const leases::Decision& decision);
 
-    void configured();   // there is another route table
+    void configured();   // a new route table is in use
     void connected(bool is_up);
     void fleet_told(const messages::FleetStatus& told);
     void apply(const leases::LeaseReply& reply);
     void woke();
-    void ask();   // where an ask is due
+    void ask();   // sends a lease request if one is due
     void refresh_figures();
 
 private:
@@ -53,7 +53,7 @@
     QuotaReport report_;
     Invariant& used_units_were_lent_;
     metrics::Counter without_room_;
-    Time wakes_at_ = long_ago;   // a wake for requests that wait is set for this time
+    Time wakes_at_ = long_ago;   // time of the timer set for waiting requests
     bool control_is_current_ = false;
 };
 
--- a/src/roles/proxy/context.hpp
+++ b/src/roles/proxy/context.hpp
@@ -1,4 +1,4 @@
-// What the parts of the proxy share.
+// State shared by the components of the proxy role.
 #pragma once
 #include <memory>
 
@@ -16,16 +16,16 @@
 struct Context {
     configuration::NodeSettings settings;
     run::Home& home;
-    run::Log log;   // of the loop
+    run::Log log;   // used by the loop
     run::Loop loop;
     Pcg chance;
     metrics::Registry metrics;
     Invariants invariants{metrics, [](const std::string& line) {
                               log_error() << line;
                           }};
-    std::shared_ptr<const routing::RouteTable> table;   // null until a configuration is known
-    size_t proxies = 1;                                 // in the fleet, as last told
-    routing::FleetSize fleet_size;                      // the most that there may be
+    std::shared_ptr<const routing::RouteTable> table;   // null until a configuration is received
+    size_t proxies = 1;                                 // in the fleet, as last reported
+    routing::FleetSize fleet_size;                      // upper estimate of the number of proxies
     Time started;
 
     Context(configuration::NodeSettings node, run::Home& system, uint64_t seed)
--- a/src/roles/proxy/cut_report.hpp
+++ b/src/roles/proxy/cut_report.hpp
@@ -1,5 +1,5 @@
-// What a proxy tells of answers that it cuts after they have begun: counters by cause, and lines in the log. It decides
-// nothing.
+// Reports responses that the proxy aborts after they have started: a counter and a rate-limited log line for each
+// cause. Has no influence on decisions.
 #pragma once
 #include <array>
 #include <functional>
@@ -12,30 +12,31 @@
 
 namespace myrtleroute::proxy {
 
-// Why an answer was cut.
+// Why a response was aborted.
 enum class CutCause {
-    host_failed,    // its host broke off, and no other one could go on
-    out_of_time,    // the request's deadline, or its route's time-out, was reached
-    process_ends,   // the grace after SIGTERM was over
+    host_failed,    // the host failed, and no other host could resume the response
+    out_of_time,    // the request's deadline or its route's timeout was reached
+    process_ends,   // the grace period after SIGTERM had ended
 };
 constexpr std::array cut_causes{CutCause::host_failed, CutCause::out_of_time, CutCause::process_ends};
 
-// As in labels and log lines.
+// The name used in metric labels and log lines.
 std::string_view to_string(CutCause cause);
 
 class CutReport {
 public:
     using Log = std::function<void(const std::string& line)>;
 
-    // `log` takes the lines, at most one a second for each cause.
+    // `log` receives at most one line a second for each cause.
     CutReport(metrics::Registry& registry, Log log);
 
-    // The answer to the request with this X-Request-Id was cut, so long after the request was taken.
+    // Records that the response to the request with this X-Request-Id was aborted; `after`: time since the request
+    // arrived.
     void note(CutCause cause, std::string_view request_id, Span after, Time now);
 
 private:
     Log log_;
-    // By cause.
+    // Indexed by cause.
     std::array<metrics::Counter, cut_causes.size()> answers_;
     std::array<LogRateLimiter, cut_causes.size()> lines_;
 };
--- a/src/roles/proxy/front.cpp
+++ b/src/roles/proxy/front.cpp
@@ -14,13 +14,13 @@
 using memory::Why;
 
 constexpr size_t most_in = 64 * 1024, most_out = 2 << 20;
-constexpr size_t crowded_at = 256 * 1024;   // bytes that wait for a client before its host is slowed
+constexpr size_t crowded_at = 256 * 1024;   // output bytes pending for a client before its host is throttled
 constexpr int accepts_a_round = 64;
 constexpr Span accept_again{0.02};
-constexpr Span come_back{0.02};   // a request that comes too late for this process may go to another one at once
+constexpr Span come_back{0.02};   // Retry-After of late requests: another proxy may take them at once
 constexpr Span body_within{30}, unread_within{20}, linger{1}, probe_idle{30};
-// A resting connection ends so much later than its client may take it up: a request, or the end, may be held up on a full
-// link for that long.
+// An idle connection is closed this much later than the announced idle timeout, since a request or the close may be
+// delayed that long on a congested link.
 constexpr Span held_up{3};
 
 const char* reason(int status) {
@@ -118,7 +118,8 @@
 void Front::came(Connection& connection) {
     if (is_listener(connection)) return accept(static_cast<Listener&>(connection));
     auto& client = static_cast<Client&>(connection);
-    if (client.lingers && client.listens) return end(client, Why::told_to_close);   // a reset over what has come
+    // Resets the connection because of the unread bytes.
+    if (client.lingers && client.listens) return end(client, Why::told_to_close);
     if (client.ended || client.error) return end(client, client.ended ? Why::peer_closed : Why::peer_reset);
     if (client.lingers) return client.in.drop(client.in.size());
     read(client);
@@ -128,7 +129,7 @@
     return context_.table ? context_.table->configuration().limits : configuration::Limits{};
 }
 
-// A connection may be older than the configuration: each request is read within the limits in force as it begins.
+// A connection may predate the configuration: each request is read with the limits in force when it starts.
 void Front::begin_reading(Client& client) {
     const auto limits = this->limits();
     client.http = wire::HttpMachine(wire::HttpMachine::Side::ask, client.reader,
@@ -170,8 +171,8 @@
     events_.request(client, client.reader);
 }
 
-// Tells the client whether, and for how long, it may take the connection up again (RFC 9112, section 9.6; the field
-// Keep-Alive is of RFC 2068, section 19.7.1.1, in whole seconds).
+// Announces whether and for how long the connection may be reused (RFC 9112, section 9.6; Keep-Alive: RFC 2068,
+// section 19.7.1.1, in whole seconds).
 std::string Front::connection_fields(Client& client) const {
     if (client.last) return "Connection: close\r\n";
     client.told_rest = Span{std::ceil(idle_limit().s)};
@@ -203,7 +204,7 @@
 
 void Front::begin(Client& client, int status, const std::vector<Field>& fields) {
     client.last = client.last || stopping_ || client.reader.old;
-    client.chunked = !client.reader.old;   // to an old client the answer ends with its connection
+    client.chunked = !client.reader.old;   // for HTTP/1.0 the end of the connection ends the response
     auto text = head(status, fields);
     if (client.chunked) text.append("Transfer-Encoding: chunked\r\n");
     text.append(connection_fields(client)).append("\r\n");
@@ -223,7 +224,8 @@
     rest(client);
 }
 
-// A reset where the answer has a length of its own by chunks: what is missing can't be taken for an end.
+// Resets the connection, also for a chunked response, so that a truncated response can't be taken for a complete
+// one.
 void Front::abort(Client& client) {
     client.request = nullptr;
     end(client, Why::bad_answer);
@@ -231,7 +233,7 @@
 
 bool Front::crowded(const Client& client) const { return client.out.size() > crowded_at; }
 
-// The answer is given; what is left of it is written, and then the next request may come.
+// The response is complete; the rest of it is written, then the next request may be read.
 void Front::rest(Client& client) {
     client.request = nullptr;
     if (std::exchange(client.busy, false) && !client.is_probe) report_.request_ended(RequestEnd::answered);
@@ -250,8 +252,8 @@
         return;
     }
     if (client.lingers) return;
-    // An answer whose head went out before the stop did not say that its connection ends. Once the listeners are
-    // closed nothing more is to come on it, unless it has come already.
+    // A response whose head was sent before the shutdown did not announce a close. Once the listeners are closed
+    // the connection takes no more requests, except one that has already arrived.
     const bool surplus = closed_ && !client.http.begun() && client.in.empty() && context_.home.still_quiet(client.fd);
     if (client.last) return part(client, ConnectionEnd::last_answer);
     if (surplus) return part(client, ConnectionEnd::stopping);
@@ -260,10 +262,11 @@
     if (!client.in.empty()) read(client);
 }
 
-// Our side ends first, and the connection is closed once the last answer has had time to be read: closing resets it where
-// bytes are unread. A request that crosses the end stays unread, so that its client knows that nothing was done. On a
-// connection that rested it shows that the last answer has been read, and the reset comes at once. What is left of a refused
-// request is read, since a client may write all of it before it reads the answer.
+// Lingering close: half-closes, then closes once the client has had time to read the last response. Closing with
+// unread bytes resets the connection. A request that crosses the half-close stays unread, so that the reset shows
+// its client that it was not executed. On an idle connection such a request proves that the last response has been
+// read, so the reset is sent immediately. The rest of a request that was refused early is read and discarded, since
+// a client may write all of it before it reads the response.
 void Front::part(Client& client, ConnectionEnd cause) {
     client.parted_as = cause;
     client.parted_at = context_.now();
@@ -304,7 +307,7 @@
     if (request) events_.client_left(*request);
 }
 
-// Before the connection is closed.
+// Called before the connection is closed.
 void Front::note_end(Client& client, Why why) {
     if (client.is_probe) return;
     const bool by_client = why == Why::peer_closed || why == Why::peer_reset;
--- a/src/roles/proxy/front.hpp
+++ b/src/roles/proxy/front.hpp
@@ -1,4 +1,4 @@
-// The clients' side: takes requests from connections, one at a time on each, and writes the answers.
+// Client-facing HTTP/1.1 server: reads requests, one at a time on each connection, and writes the responses.
 #pragma once
 #include <deque>
 #include <functional>
@@ -12,13 +12,13 @@
 
 namespace myrtleroute::proxy {
 
-// Reads a request's head and body.
+// Collects a request's head and body.
 class RequestReader : public wire::HttpReader {
 public:
     std::string method, target, content;
     std::vector<Field> fields;
     bool head_done = false;
-    bool old = false;   // HTTP/1.0
+    bool old = false;   // the client speaks HTTP/1.0
 
     int start(std::string_view verb, std::string_view path, std::string_view version) override;
     int field(std::string_view name, std::string_view value) override;
@@ -33,28 +33,29 @@
 class Front : public memory::Owner {
 public:
     struct Events {
-        std::function<void(Client&, RequestReader&)> request;   // a whole one; answered by one of the calls below
+        // A complete request; answered by one of the calls below.
+        std::function<void(Client&, RequestReader&)> request;
         std::function<void(Request&)> client_left;
-        std::function<void(Request&)> drained;   // all that was to be written is
-        std::function<bool()> ready;             // what /ready answers
+        std::function<void(Request&)> drained;   // the output buffer is empty again
+        std::function<bool()> ready;             // result of the readiness probe
     };
     Front(Context& context, Events events);
-    bool open(std::string& fault);   // false: it can't listen; the fault names the key and the address
+    bool open(std::string& fault);   // false: can't listen; `fault` names the settings key and the address
 
-    // Whole answers. `fields` are lines with their ends.
+    // Complete responses.
     void answer(Client& client, int status, const std::vector<Field>& fields, std::string_view body);
     void refuse(Client& client, int status, Span retry_after = {});
-    // An answer piece by piece.
+    // A response sent in chunks.
     void begin(Client& client, int status, const std::vector<Field>& fields);
     void piece(Client& client, std::string_view bytes);
     void finish(Client& client);
-    void abort(Client& client);                 // cuts the answer off, so that it can't pass for a whole one
-    bool crowded(const Client& client) const;   // it reads more slowly than it is sent to
+    void abort(Client& client);                 // resets the connection, so that the client sees the truncation
+    bool crowded(const Client& client) const;   // the client reads more slowly than its host sends
 
-    // Answers are the last of their connections from now on. A request that comes after `take_until` is refused: its
-    // answer might not be whole before the process ends.
+    // From now on every response closes its connection. A request that arrives after `take_until` is refused, since
+    // its response might not be complete before the process ends.
     void stop(Time take_until);
-    void close_listeners();   // takes what has come, then no more connections
+    void close_listeners();   // accepts the connections already queued, then no more
     size_t connections() const { return open_; }
 
     void came(memory::Connection& connection) override;
@@ -67,9 +68,9 @@
     bool is_listener(const memory::Connection& connection) const;
     void accept(Listener& listener);
     void read(Client& client);
-    void begin_reading(Client& client);   // of a request
+    void begin_reading(Client& client);   // prepares the parser for a new request
     configuration::Limits limits() const;
-    void begin_request(Client& client);   // it has to be answered from now on
+    void begin_request(Client& client);   // from now on the request must be answered
     void take(Client& client);
     std::string connection_fields(Client& client) const;
     Span idle_limit() const;
@@ -99,15 +100,15 @@
     RequestReader reader;
     wire::HttpMachine http;
     Request* request = nullptr;
-    const bool is_probe;                                    // it asks for readiness
-    bool busy = false;                                      // a request is being answered
-    bool chunked = true;                                    // the answer under way is
-    bool last = false;                                      // the connection ends with the answer
-    bool lingers = false;                                   // our side is closed
-    ConnectionEnd parted_as = ConnectionEnd::client_left;   // why our side is closed
-    Span told_rest;   // for how long its client may let it rest, as told with the last answer; 0 = not told
+    const bool is_probe;                                    // from the listener for readiness probes
+    bool busy = false;                                      // a request is in progress
+    bool chunked = true;                                    // the current response uses chunked encoding
+    bool last = false;                                      // the connection is closed after the current response
+    bool lingers = false;                                   // half-closed: only the peer may still send
+    ConnectionEnd parted_as = ConnectionEnd::client_left;   // why it was half-closed
+    Span told_rest;   // the idle timeout announced with the last response; 0 = none
     Time rests_since, parted_at;
-    bool drains = false;   // the rest of a request that was refused before it was whole is read and dropped
+    bool drains = false;   // the rest of a request that was refused early is read and discarded
 };
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/front_report.hpp
+++ b/src/roles/proxy/front_report.hpp
@@ -1,5 +1,5 @@
-// What a proxy tells of its clients' connections: why they end, whether bytes lay unread on them then, and what became of
-// every request that was read. Counters, and lines in the log. It decides nothing.
+// Reports how client connections end, whether unread bytes were pending then, and how each request ended: counters
+// and rate-limited log lines. Has no influence on decisions.
 #pragma once
 #include <array>
 #include <functional>
@@ -15,21 +15,21 @@
 // Why a client's connection ended.
 enum class ConnectionEnd {
     client_left,     // the client closed or reset it
-    idle,            // it had rested for as long as a connection may
-    last_answer,     // its last answer had said that it ends
-    stopping,        // the process was told to stop
-    answer_unread,   // the client didn't take its answer
-    answer_cut,      // the answer under way could not go on
+    idle,            // the idle timeout passed
+    last_answer,     // the last response announced the close
+    stopping,        // the process is shutting down
+    answer_unread,   // the client did not read its response in time
+    answer_cut,      // the response in progress was aborted
 };
 constexpr std::array connection_ends{ConnectionEnd::client_left,   ConnectionEnd::idle,
                                      ConnectionEnd::last_answer,   ConnectionEnd::stopping,
                                      ConnectionEnd::answer_unread, ConnectionEnd::answer_cut};
 
-// What became of a request that was read whole.
+// How a completely read request ended.
 enum class RequestEnd { answered, client_left, cut };
 constexpr std::array request_ends{RequestEnd::answered, RequestEnd::client_left, RequestEnd::cut};
 
-// As in labels and log lines.
+// The names used in metric labels and log lines.
 std::string_view to_string(ConnectionEnd cause);
 std::string_view to_string(RequestEnd end);
 
@@ -37,24 +37,24 @@
 public:
     using Log = std::function<void(const std::string& line)>;
 
-    // `log` takes the lines, at most one a second for each cause.
+    // `log` receives at most one line a second for each cause.
     FrontReport(metrics::Registry& registry, Log log);
 
     void request_read();
     void request_ended(RequestEnd end);
     void connection_ended(ConnectionEnd cause);
-    // A connection was closed over bytes that nobody had read, so long after the proxy had ended its side, and so long after
-    // its last answer or its begin.
+    // A connection was closed with unread bytes pending. `since_half_close`: time since the proxy half-closed it;
+    // `idle_for`: how long it had been idle before that.
     void closed_over_unread(ConnectionEnd cause, Span ended_for, Span rested, Time now);
 
-    // Requests read whose end has not been told.
+    // Requests read whose end has not been reported.
     double under_way() const;
 
 private:
     Log log_;
     metrics::Counter read_;
     std::array<metrics::Counter, request_ends.size()> ended_;
-    // By cause.
+    // Indexed by cause.
     std::array<metrics::Counter, connection_ends.size()> connections_, unread_;
     std::array<LogRateLimiter, connection_ends.size()> lines_;
 };
--- a/src/roles/proxy/hosts.cpp
+++ b/src/roles/proxy/hosts.cpp
@@ -14,14 +14,14 @@
 using memory::Why;
 
 constexpr size_t most_in = 64 * 1024, most_out = 6 << 20;
-constexpr size_t most_answer = 64 << 20;         // of a stream; what is held at a time is bounded by the client's ring
-constexpr size_t buffered_answer = 256 * 1024;   // a larger one is passed on before it is whole
+constexpr size_t most_answer = 64 << 20;         // of a stream; memory is bounded by the client's output buffer
+constexpr size_t buffered_answer = 256 * 1024;   // a larger response is forwarded before it is complete
 constexpr Span connect_within{1}, probe_within{2};
-constexpr double keep_share = 0.7;   // of the time that a host keeps an idle connection
+constexpr double keep_share = 0.7;   // idle connections close after this fraction of the host's keep-alive
 constexpr Span kept_untold{4};
 constexpr Span remembered_gone{60};
-constexpr double running_weight = 0.3;   // of a request that a host tells of, against one that waits there
-constexpr size_t most_idle = 24;         // connections to one host
+constexpr double running_weight = 0.3;   // of a running request in a host's reported load; a waiting one weighs 1
+constexpr size_t most_idle = 24;         // idle connections kept for each host
 
 }   // namespace
 
@@ -54,7 +54,7 @@
       shed_(bound_reached_counter(context.metrics, "connections")) {}
 
 HostRecord& Hosts::record(const registry::Host& host) {
-    const ServerId id = fnv1a(host.id) | 1;   // never 0
+    const ServerId id = fnv1a(host.id) | 1;   // never 0, which means no host
     auto& slot = hosts_[id];
     if (!slot) {
         slot = std::make_unique<HostRecord>();
@@ -93,7 +93,8 @@
     dispatch(*connection, try_for);
 }
 
-// The latest used of the idle connections that the host has not closed, or else a new one.
+// Takes the most recently used idle connection that the host has not closed, or opens a new one. Null on failure,
+// with the reason in `otherwise`.
 HostConnection* Hosts::connection_to(HostRecord& host, Outcome& otherwise) {
     if (auto* idle = idle_connection(host)) return idle;
     if (context_.loop.connections() >= context_.most_connections() && !shed()) return nullptr;
@@ -172,7 +173,7 @@
         const bool in_head = !connection.reader.head_done;
         connection.in.drop(connection.http.feed(connection.in.front()));
         if (in_head && connection.reader.head_done) head_came(connection);
-        if (connection.http.done() && connection.foreign) {   // an answer in excess; ours may come behind it
+        if (connection.http.done() && connection.foreign) {   // a surplus response; the expected one may follow
             connection.http.next();
             connection.reader = {};
             connection.foreign = false;
@@ -200,11 +201,12 @@
     events_.heard(host.service, host.id);
     auto load = std::string_view(reader.load);
     const auto running = wire::decimal(wire::next_part(load)), waiting = wire::decimal(wire::next_part(load));
-    // A request counts as running from its first token; before, it costs its host the most.
+    // A request counts as running from its first token. Before that it costs the host most, so waiting requests
+    // weigh more.
     if (running && waiting) events_.reported(host.service, host.id, running_weight * *running + *waiting);
 }
 
-// Passes on what has come of a success that is not held back until it is whole.
+// Forwards the received part of a successful response, unless it is held back until complete.
 void Hosts::take_body(HostConnection& connection) {
     if (!connection.request || connection.reader.content.empty()) return;
     auto& request = *connection.request;
@@ -247,7 +249,7 @@
     tell(call, number, Outcome::fulfilled);
 }
 
-// The connection is free for the next request, if it can be.
+// Returns the connection to the idle pool, or closes it if it can't be reused.
 void Hosts::release(HostConnection& connection) {
     auto& host = *connection.host;
     const bool keeps = connection.http.keeps() && connection.in.empty() && !connection.ended && !connection.error &&
@@ -265,7 +267,7 @@
     connection.host_place = host.idle.insert(host.idle.begin(), &connection);
     const Span kept = connection.keep_alive > 0 ? Span{connection.keep_alive * keep_share} : kept_untold;
     context_.loop.set(connection, context_.now() + kept);
-    context_.loop.flush(connection);   // it is read again
+    context_.loop.flush(connection);   // resumes reading
 }
 
 void Hosts::tell(CallId call, int number, Outcome outcome) { ended_.push_back({call, number, outcome, 0, 0, false}); }
@@ -342,7 +344,8 @@
         unused(connection);
         return context_.loop.end(connection, Why::idle);
     }
-    // A machine that was cut off says nothing, and what stands idle to it is reset when it is back.
+    // A host that has been cut off from the network sends nothing, and its idle connections are reset once it is
+    // back.
     if (connection.host->heard < connection.sent) close_idle(*connection.host);
     const bool may_have_run = !connection.connecting && connection.out.empty();
     ends(connection, may_have_run ? Outcome::timed_out : Outcome::connect_failed,
--- a/src/roles/proxy/hosts.hpp
+++ b/src/roles/proxy/hosts.hpp
@@ -1,4 +1,4 @@
-// The hosts' side: carries out attempts, cancellations and probes on connections that are kept for each host.
+// Upstream HTTP/1.1 client: performs attempts, cancellations and probes on pooled connections to the hosts.
 #pragma once
 #include <deque>
 #include <functional>
@@ -17,28 +17,30 @@
 
 struct HostConnection;
 
-// A host as the proxy keeps it.
+// The proxy's state for one host.
 struct HostRecord {
     ServerId id = 0;
     registry::Host host;
     sockaddr_in address{};
-    size_t service = static_cast<size_t>(-1);   // number of its pool; of none, where no requests go there
+    // Number of its service pool; the default means that no requests go to this host.
+    size_t service = static_cast<size_t>(-1);
     std::string probe_path;
-    std::list<HostConnection*> idle;   // the latest used first
-    // Connections to it; they hold the counter themselves, since at the end of the process they outlive this record.
+    std::list<HostConnection*> idle;   // most recently used first
+    // Open connections to the host. The connections share the counter because they outlive this record when the
+    // process ends.
     std::shared_ptr<int> connections = std::make_shared<int>(0);
-    Time heard = long_ago;   // its last whole answer
+    Time heard = long_ago;   // time of its last complete response
     Time gone_since = long_ago;
 };
 
-// Reads an answer's head; its body collects until it is taken.
+// Collects a response's head; the body accumulates in `content` until it is taken.
 class ReplyReader : public wire::HttpReader {
 public:
     int status = 0;
     std::vector<Field> fields;
     std::string request_id, load, content;
     bool not_executed = false, head_done = false;
-    double keep_alive = 0;   // seconds, 0 = not told
+    double keep_alive = 0;   // seconds, 0 = not announced
 
     int start(std::string_view version, std::string_view code, std::string_view reason) override;
     int field(std::string_view name, std::string_view value) override;
@@ -52,33 +54,34 @@
 class Hosts : public memory::Owner {
 public:
     struct Events {
-        std::function<void(Request&, HostConnection&)> began;   // a success that is passed on as it comes
+        // A successful response that is forwarded as it arrives.
+        std::function<void(Request&, HostConnection&)> began;
         std::function<void(Request&, HostConnection*, const std::string&)>
-            piece;   // bytes of it, for streams whole events
+            piece;   // bytes of it; for event streams whole events only
         std::function<void(Request&, const Reply&, bool streamed)>
-            answered;                                  // whole; before the attempt's end is told
-        std::function<void(Request&, Reply)> failed;   // a host's own failure
+            answered;                                  // a complete response, reported before the end of the attempt
+        std::function<void(Request&, Reply)> failed;   // a 5xx response of the host
         std::function<void(size_t service, ServerId)> heard;
         std::function<void(size_t service, ServerId, double held)> reported;
-        std::function<void(HostRecord&)> misdirected;   // the address is another host's by now
-        // The end of an attempt or a probe, told outside of what caused it.
+        std::function<void(HostRecord&)> misdirected;   // the address now belongs to another host
+        // The end of an attempt or a probe. Reported by `settle`, never from within the call that caused it.
         std::function<void(CallId, int number, Outcome)> attempt_ended;
         std::function<void(size_t service, ServerId, bool answered)> probe_ended;
         std::function<bool(Request&, int number)> may_begin;
     };
     Hosts(Context& context, Events events);
 
-    HostRecord& record(const registry::Host& host);   // made where it is not known yet
+    HostRecord& record(const registry::Host& host);   // created if unknown
     HostRecord* find(ServerId id);
-    void forget_gone();   // those that are gone and have no connection
+    void forget_gone();   // removes hosts that are gone and have no connection
 
     void send(Request& request, ServerId host, Span try_for);
-    void cancel(Request& request, int number);   // its end is told as cancelled
-    void abandon(Request& request);              // all its attempts; their ends are told as cancelled
+    void cancel(Request& request, int number);   // reported as cancelled
+    void abandon(Request& request);              // cancels all its attempts
     void probe(ServerId host);
     void close_idle(HostRecord& host);
-    void resume_reading(Request& request);   // its client has room again
-    void settle();                           // tells the ends
+    void resume_reading(Request& request);   // the client's buffer has room again
+    void settle();                           // reports the ends
     bool settled() const { return ended_.empty(); }
 
     void up(memory::Connection& connection) override;
@@ -112,7 +115,7 @@
     Events events_;
     metrics::Counter idle_beyond_, shed_;
     std::unordered_map<ServerId, std::unique_ptr<HostRecord>> hosts_;
-    std::list<HostConnection*> idle_;   // the latest used first
+    std::list<HostConnection*> idle_;   // most recently used first
     std::deque<Ended> ended_;
 };
 
@@ -130,17 +133,17 @@
     bool busy() const { return request || is_probe; }
 
     HostRecord* host;
-    std::shared_ptr<int> connections;   // of the host
+    std::shared_ptr<int> connections;   // counter shared with the host's record
     ReplyReader reader;
     wire::HttpMachine http;
     Request* request = nullptr;
-    int number = 0;   // of the attempt
+    int number = 0;   // number of the attempt
     bool is_probe = false;
-    bool foreign = false;    // the answer under way is to an earlier request
-    bool streamed = false;   // its answer is passed on as it comes
+    bool foreign = false;    // the current response belongs to an earlier request
+    bool streamed = false;   // the response is forwarded as it arrives
     Time sent, until;
     bool idle = false;
-    double keep_alive = 0;   // seconds that the host keeps it idle, 0 = not told
+    double keep_alive = 0;   // seconds that the host keeps it open while idle, 0 = not announced
     std::list<HostConnection*>::iterator place, host_place;
 };
 
--- a/src/roles/proxy/metrics_listener.cpp
+++ b/src/roles/proxy/metrics_listener.cpp
@@ -19,8 +19,8 @@
 constexpr size_t most_connections = 8;
 constexpr size_t most_in = 4096, most_out = 2 << 20;   // bytes
 constexpr wire::HttpLimits limits{2048, 8192, 1024};
-constexpr Span answered_within{5};   // from the first byte to the last
-constexpr Span linger{1};            // for the other end to close, once the answer is written
+constexpr Span answered_within{5};   // for the whole exchange
+constexpr Span linger{1};            // for the peer to close after the response
 constexpr Span accept_again{0.1};
 
 std::string head(const MetricsResponse& answer) {
@@ -37,7 +37,7 @@
 
 }   // namespace
 
-// Only the request line matters.
+// Only the request line is used.
 struct MetricsListener::Reader : wire::HttpReader {
     std::string method, target;
     int start(std::string_view verb, std::string_view path, std::string_view) override {
@@ -56,7 +56,7 @@
     Reader reader;
     wire::HttpMachine http;
     bool answered = false;
-    bool lingers = false;   // our side is closed
+    bool lingers = false;   // half-closed
 };
 
 void MetricsListener::open() {
@@ -124,7 +124,7 @@
     if (scrape.open() && scrape.out.empty()) went(scrape);
 }
 
-// Our side ends first: closing with bytes unread would reset the connection and the answer with it.
+// Half-closes first: closing with unread bytes would reset the connection and discard the response.
 void MetricsListener::went(Connection& connection) {
     auto& scrape = static_cast<Scrape&>(connection);
     if (!scrape.answered || scrape.lingers) return;
--- a/src/roles/proxy/metrics_listener.hpp
+++ b/src/roles/proxy/metrics_listener.hpp
@@ -1,7 +1,7 @@
-// Serves the proxy's figures over HTTP, on the proxy's loop, at a port of their own.
+// Serves the proxy's metrics over HTTP on a port of their own, from the proxy's event loop.
 //
-// A connection carries one request. A few connections are held at a time, each for a few seconds at most, so that
-// nothing that reads figures can take room from clients.
+// Each connection carries one request. Few connections are open at a time, each for a few seconds at most, so that
+// scrapers can't take connections from clients.
 #pragma once
 #include <functional>
 #include <string>
@@ -13,13 +13,13 @@
 
 class MetricsListener : public memory::Owner {
 public:
-    // `render` gives the text of the figures as they are now.
+    // `render` returns the current metrics as text.
     MetricsListener(Context& context, std::function<std::string()> render)
         : context_(context), render_(std::move(render)) {}
 
-    // Listens where the settings say, or nowhere where they say nothing. A port that can't be listened at is logged.
+    // Listens at the address in the settings, if there is one. A failure to listen is logged.
     void open();
-    void close();   // takes no more connections; those that are open end as they would
+    void close();   // accepts no more connections; open ones finish
 
     void came(memory::Connection& connection) override;
     void went(memory::Connection& connection) override;
@@ -37,7 +37,7 @@
     Context& context_;
     std::function<std::string()> render_;
     memory::Connection* listener_ = nullptr;
-    size_t open_ = 0;   // connections
+    size_t open_ = 0;   // open connections
 };
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 constexpr Span tick_every{0.2};
-constexpr double until_ready = 0.25;           // of that time, while the proxy is not ready
-constexpr uint64_t tick_cookie = 1ULL << 62;   // pools' are below 2^61
+constexpr double until_ready = 0.25;           // fraction of the tick interval while not ready
+constexpr uint64_t tick_cookie = 1ULL << 62;   // the pools' cookies are below 2^61
 constexpr int exit_fault = 2;
 constexpr Span refused_again{0.2};
-constexpr Span usual_start{1};    // from the start of a process until it knows the configuration and the hosts
-constexpr Span come_back{0.02};   // a request that this process would not live to answer may go to another one at once
+constexpr Span usual_start{1};    // typical time from process start until configuration and hosts are known
+constexpr Span come_back{0.02};   // Retry-After near the process's end: another proxy may take it at once
 constexpr Span shutdown_every{0.05};
 
 struct Signals : memory::Connection {
@@ -193,11 +193,11 @@
     admission_.wait();
 }
 
-// When a client may come back that is refused since this process knows too little yet, or no longer enough.
+// Retry-After for clients refused because this process has no configuration yet, or no valid lease on it.
 Span Proxy::until_started() const { return std::max(refused_again, usual_start - (context_.now() - context_.started)); }
 
-// A stream may take until its deadline, and once it has begun it can't be ended otherwise than by cutting it. What is not
-// a stream gets a failure at the end, where its host has not answered by then.
+// A stream may last until its deadline, and once started it can only be ended by aborting it. Any other request
+// gets an error response at the end of the grace period if its host has not answered.
 bool Proxy::outlasts_process(const Request& request) const {
     return shutdown_.begun() && request.streams() && request.deadline > shutdown_.answers_end();
 }
@@ -316,7 +316,7 @@
     if (auto* held = requests_.find(call)) requests_.forget_if_over(*held);
 }
 
-// What never reached a host says nothing about it, nor does a refusal of one that is full.
+// Attempts that never reached a host say nothing about it, and neither does a refusal by a full host.
 void Proxy::watch_attempt(const Request& request, int number, Outcome outcome) {
     auto* pool = services_.find(request.service);
     const auto& times = request.times[static_cast<size_t>(number)];
@@ -431,7 +431,8 @@
                << " clients connected";
 }
 
-// Ready no more at once; after the platform has seen it, no new connections; then the rest is answered.
+// Readiness fails immediately; once the platform has noticed, no new connections are accepted; then the remaining
+// requests are answered.
 void Proxy::stop() {
     if (shutdown_.begun()) return;
     shutdown_.begin(context_.now());
--- a/src/roles/proxy/proxy.hpp
+++ b/src/roles/proxy/proxy.hpp
@@ -1,4 +1,5 @@
-// The proxy role: clients in front, hosts behind, the configuration and the fleet as the control role tells them.
+// The proxy role: serves clients, forwards requests to hosts, and follows the configuration and the fleet state
+// that it receives from the control role.
 #pragma once
 #include <functional>
 #include <optional>
@@ -20,44 +21,45 @@
 
 class Proxy : public memory::Owner {
 public:
-    // `reread`: the settings file as it is now, nothing where it is at fault.
+    // `reread`: loads the settings file again; nothing if the file is invalid.
     Proxy(configuration::NodeSettings settings, run::Home& home, uint64_t seed,
           std::function<std::optional<configuration::NodeSettings>()> reread);
-    int run();   // until SIGTERM or SIGINT; the process's exit code
+    int run();   // runs until SIGTERM or SIGINT; returns the exit code of the process
 
-    // The parts of `run`, for a driver of its own.
-    bool start();   // false: it can't listen, and the log says why
-    void round();   // waits until something is due or has come, and hands it on
+    // The steps of `run`, for callers with a loop of their own.
+    bool start();   // false: can't listen; the reason has been logged
+    void round();   // waits for events and handles them
     bool over() const { return over_; }
 
 private:
     // Clients.
     void arrived(Client& client, RequestReader& reader);
-    bool outlasts_process(const Request& request) const;   // its answer might not be whole before the end
-    void admit(Request& request);                          // to the pool of its service
+    // Whether its response might not be complete before the process ends.
+    bool outlasts_process(const Request& request) const;
+    void admit(Request& request);   // passes it to the pool of its service
     void turn_away(Client& client, const Request& request, const leases::Decision& decision);
-    void turn_away(CallId call, const leases::Decision& decision);   // after it has waited
+    void turn_away(CallId call, const leases::Decision& decision);   // after a wait for units
     void client_left(Request& request);
     void refuse(CallId call, Span retry_after);
     void fail(CallId call);
-    void cut(Client& client, const Request& request, CutCause cause);   // an answer that has begun
-    void give_up(Request& request);   // whose answer has not begun: its client gets a failure
+    void cut(Client& client, const Request& request, CutCause cause);   // aborts a response that has started
+    void give_up(Request& request);   // answers a request whose response has not started with an error
 
     // Hosts.
     void began(Request& request, HostConnection& connection);
     void piece(Request& request, HostConnection* connection, const std::string& bytes);
     void answered(Request& request, const Reply& reply, bool streamed);
     void attempt_ended(CallId call, int number, Outcome outcome);
-    void watch_attempt(const Request& request, int number, Outcome outcome);   // for rollouts
+    void watch_attempt(const Request& request, int number, Outcome outcome);   // statistics for rollouts
     void tell_ballots();
-    size_t open_at_serving(const std::string& service);   // requests under way there
+    size_t open_at_serving(const std::string& service);   // requests in progress at the serving hosts
 
     // The control role.
     void configured(const messages::ConfigurationUpdate& told);
-    void ask_for_configuration_lease();   // where an ask is due
+    void ask_for_configuration_lease();   // sends a request if one is due
     void fleet_told(const messages::FleetStatus& told);
 
-    // What the parts tell.
+    // Callbacks of the components.
     Front::Events front_events();
     Hosts::Events host_events();
     ServicePool::Events pool_events();
@@ -65,7 +67,7 @@
     Subscription::Events subscription_events();
 
     // The process.
-    std::string figures();   // as text, as they are now
+    std::string figures();   // renders the current metrics
     void came(memory::Connection& connection) override;
     void broke(memory::Connection&, int) override {}
     void due(memory::Connection& connection) override;
@@ -73,9 +75,9 @@
     void tick();
     void settle();
     void stop();
-    void answer_waiting();                       // requests whose answer has not begun
-    void end();                                  // answers that are not whole are cut
-    void log_progress(const char* step) const;   // of the stop
+    void answer_waiting();                       // requests whose response has not started
+    void end();                                  // aborts responses that are not complete
+    void log_progress(const char* step) const;   // of the shutdown
     bool ready() const;
     Span until_started() const;
 
--- a/src/roles/proxy/quota_report.cpp
+++ b/src/roles/proxy/quota_report.cpp
@@ -17,7 +17,7 @@
 constexpr const char* held_units = "myrtleroute_quota_held_units";
 constexpr const char* overload_ratio = "myrtleroute_quota_overload_ratio";
 
-// Seconds since then, infinite where it never was.
+// Seconds since `then`; infinite if it never happened.
 double age(Time then, Time now) { return then <= long_ago ? std::numeric_limits<double>::infinity() : (now - then).s; }
 
 metrics::Labels labels_of(const std::string& tenant) { return {{"tenant", tenant}}; }
--- a/src/roles/proxy/quota_report.hpp
+++ b/src/roles/proxy/quota_report.hpp
@@ -1,8 +1,8 @@
-// What a proxy tells of tenants' quotas, in figures and in its log: what it granted and refused, and what it had been
-// told of the fleet when it did. It decides nothing.
+// Reports tenants' quotas in metrics and log lines: units granted and refused, and the fleet state known at the
+// time. Has no influence on decisions.
 //
-// Figures exist for tenants of the configuration that something is known of, and are forgotten with them. They are in
-// the tenant's unit: tokens or requests.
+// Metrics exist for tenants of the configuration that have had activity, and are removed with them. Units are
+// tokens or requests, as the tenant's limit counts.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -26,34 +26,34 @@
 public:
     using Log = std::function<void(const std::string& line)>;
 
-    // `log` takes the lines about refusals.
+    // `log` receives the lines about refusals.
     QuotaReport(metrics::Registry& registry, Log log);
 
-    // The tenants that the configuration names; figures of others are forgotten.
+    // Sets the tenants of the configuration; metrics of all others are removed.
     void configured(const std::vector<configuration::Tenant>& tenants);
 
-    // What the control role told of the fleet.
+    // Records a fleet report of the control role.
     void fleet_told(const messages::FleetStatus& told, Time now);
 
-    // A request of the tenant that cost so many units. Tenants that the configuration does not name are passed over.
+    // Records a granted request and its units. Tenants that the configuration does not name are ignored.
     void note_granted(std::string_view tenant, double units);
-    // `leases`: by which it was refused.
+    // `leases`: the lease state that led to the refusal.
     void note_refused(std::string_view tenant, double units, leases::RefusalCause cause, const leases::Holder& leases,
                       Time now);
 
-    // Brings the figures up to date that change by themselves. Before they are rendered.
+    // Updates the metrics that change with time. Called before rendering.
     void refresh(const leases::Holder& leases, Time now);
 
 private:
     struct Figures {
         metrics::Counter granted_units, refused_units;
-        std::array<metrics::Counter, leases::refusal_causes.size()> refused_requests;   // by cause
-        metrics::Gauge held;                                                            // units lent and not used
-        metrics::Gauge overload;                       // what all proxies are asked for, as a multiple of the limit
-        double granted_since = 0, refused_since = 0;   // units, since the tenant's last line in the log
+        std::array<metrics::Counter, leases::refusal_causes.size()> refused_requests;   // indexed by cause
+        metrics::Gauge held;                                                            // units leased and not consumed
+        metrics::Gauge overload;                       // demand on all proxies as a multiple of the limit
+        double granted_since = 0, refused_since = 0;   // units since the tenant's last log line
     };
     Figures make_figures(const std::string& tenant);
-    Figures* figures_of(std::string_view tenant);   // null where the configuration does not name it
+    Figures* figures_of(std::string_view tenant);   // null if the configuration does not name the tenant
     void forget(const std::string& tenant);
     void log_refusal(std::string_view tenant, Figures& figures, leases::RefusalCause cause,
                      const leases::Holder& leases, Time now);
@@ -65,7 +65,7 @@
     std::map<std::string, Figures, std::less<>> figures_;
     metrics::Gauge proxies_, current_, told_age_, reply_age_;
     Time told_at_ = long_ago;
-    std::array<LogRateLimiter, leases::refusal_causes.size()> lines_;   // by cause
+    std::array<LogRateLimiter, leases::refusal_causes.size()> lines_;   // indexed by cause
 };
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/request.hpp
+++ b/src/roles/proxy/request.hpp
@@ -1,4 +1,4 @@
-// A client's request on its way: what it asks for, what it is entitled to and what has become of it.
+// A client request in progress: its content, its route and tenant, and the state of its attempts.
 #pragma once
 #include <memory>
 #include <string>
@@ -16,24 +16,24 @@
 
 using Field = std::pair<std::string, std::string>;
 
-// The value of a header field, empty where there is none.
+// The value of a header field; empty if missing.
 inline std::string_view field_value(const std::vector<Field>& fields, std::string_view name) {
     for (const auto& [known, value] : fields)
         if (wire::same(known, name)) return value;
     return {};
 }
 
-// An answer of a host, whole or as far as it has come.
+// A response of a host, complete or in part.
 struct Reply {
     int status = 0;
-    std::vector<Field> fields;   // those that are passed on
+    std::vector<Field> fields;   // those that are forwarded
     std::string body;
 };
 
 struct Client;
 struct HostConnection;
 
-// When a host was sent a request, and what has come of a streamed answer since.
+// Timing of one attempt: when it was sent, and when chunks of a streamed response arrived.
 struct AttemptTimes {
     ServerId host = 0;
     Time sent, first_piece, last_piece;
@@ -47,24 +47,24 @@
 struct Request {
     CallId id = 0;
     std::string method, target;
-    std::vector<Field> fields;   // as the client sent them, without those of its connection
+    std::vector<Field> fields;   // as sent by the client, without hop-by-hop fields
     std::string body;
 
     std::shared_ptr<const routing::RouteTable> table;   // keeps `route` and `tenant` valid
     const configuration::Route* route = nullptr;
     const configuration::Tenant* tenant = nullptr;
-    size_t service = 0;   // number of the pool that serves it, once the request is within its tenant's limit
+    size_t service = 0;   // number of the pool that serves it, set once it is admitted
     bool admitted = false;
     routing::Prompt prompt;
-    Time arrived, deadline;   // the latter: the client has given up, or the route's time-out is over
+    Time arrived, deadline;   // deadline: the earlier of the client's deadline and the route's timeout
 
-    Client* client = nullptr;                // null once it has its answer, or has left
-    std::vector<HostConnection*> attempts;   // by number; null once one has ended
-    int open_attempts = 0;                   // whose end is still to be told to the balancer
-    std::vector<AttemptTimes> times;         // of the attempts, by number
-    bool answering = false;                  // the head of the answer has gone out
+    Client* client = nullptr;                // null once it is answered or has disconnected
+    std::vector<HostConnection*> attempts;   // by attempt number; null once ended
+    int open_attempts = 0;                   // attempts whose end has not been reported to the balancer
+    std::vector<AttemptTimes> times;         // by attempt number
+    bool answering = false;                  // the response head has been sent
     routing::EventStream events;
-    Reply last_failure;   // a host's own failure, for when nothing better comes; status 0 = none
+    Reply last_failure;   // the last error response of a host, used if no attempt succeeds; status 0 = none
 
     bool streams() const { return route->kind == configuration::RouteKind::streaming; }
 };
--- a/src/roles/proxy/request_intake.cpp
+++ b/src/roles/proxy/request_intake.cpp
@@ -8,10 +8,10 @@
 namespace myrtleroute::proxy {
 namespace {
 
-constexpr double answer_margin = 0.01;   // of the time left, so that an answer still reaches the client
+constexpr double answer_margin = 0.01;   // fraction of the client's deadline reserved for returning the response
 constexpr int least_urgent = 9;
 
-// Fields that the proxy sets itself, or keeps to itself.
+// Fields that the proxy sets itself or does not forward.
 bool is_own_field(std::string_view name) {
     constexpr std::string_view names[] = {"Authorization",       "X-Tenant-Id", "X-Deadline-Ms",
                                           "X-Expected-Instance", "Priority",    "Last-Event-Id"};
@@ -25,7 +25,7 @@
     return wire::trim(value.substr(scheme.size()));
 }
 
-// The tenant's rank goes before the route's.
+// The tenant's priority takes precedence over the route's.
 int priority_of(const Request& request) {
     const bool by_tenant = request.tenant && request.tenant->priority >= 0;
     return std::clamp(by_tenant ? request.tenant->priority : request.route->priority, 0, least_urgent);
--- a/src/roles/proxy/request_table.hpp
+++ b/src/roles/proxy/request_table.hpp
@@ -1,5 +1,5 @@
-// The requests that a proxy holds: from their arrival until they are answered and their attempts have ended. Bounded in number
-// and in the bytes of their bodies.
+// The requests in progress, from arrival until they are answered and all their attempts have ended. Bounded by
+// count and by the total size of bodies.
 #pragma once
 #include <cstddef>
 #include <memory>
@@ -16,19 +16,19 @@
 public:
     struct Bounds {
         size_t requests = 8192;
-        size_t body_bytes = 0;   // of all bodies together
+        size_t body_bytes = 0;   // total size of all bodies
     };
     RequestTable(Bounds bounds, metrics::Registry& registry, Invariants& invariants);
 
-    // Whether one more may be held, with a body of that size. Where not, it is counted.
+    // Returns whether one more request with a body of that size may be held. Counts a refusal if not.
     bool has_room(size_t body_bytes);
-    // A number that no other request of this process has had.
+    // Returns a number unique within this process.
     CallId next_number() { return next_number_++; }
     Request& hold(std::unique_ptr<Request> request);
-    Request* find(CallId number);   // null: it is over
-    // Forgets it where its client has its answer, or has left, and no attempt is open.
+    Request* find(CallId number);   // null if finished
+    // Removes the request if it is answered or its client has left, and no attempt is open.
     void forget_if_over(Request& request);
-    // The same, at the next `sweep`: whoever calls this may be called by one that goes on to use the request.
+    // Does the same at the next `sweep`, for callers whose own caller still uses the request.
     void note_answered(CallId number) { answered_.push_back(number); }
     void sweep();
 
@@ -44,7 +44,7 @@
     std::unordered_map<CallId, std::unique_ptr<Request>> requests_;
     std::vector<CallId> answered_;   // since the last sweep
     CallId next_number_ = 1;
-    size_t held_bytes_ = 0;   // of bodies
+    size_t held_bytes_ = 0;   // total size of bodies held
 };
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/service_directory.cpp
+++ b/src/roles/proxy/service_directory.cpp
@@ -16,16 +16,18 @@
 
 constexpr Span retire_every{1};
 constexpr Span never{1e18};
-// From the first candidate until some are chosen: most have been heard of by then, and all proxies choose the same.
+// Delay from the first known candidate until some are chosen: by then most candidates are known, and all proxies
+// choose the same ones.
 constexpr Span candidates_gather{1};
 constexpr Span candidates_turn{3};
-constexpr double least_room = 0.5;   // candidates, of the hosts that serve, for all requests to move there
+constexpr double least_room = 0.5;   // candidates per serving host needed before all requests move to them
 
 bool is_loaded(size_t turn) { return turn % 2 == 1; }
 
 }   // namespace
 
-// Heartbeats reach control nodes alone, which tell who is lost: a host's silence says nothing here.
+// Only control nodes receive heartbeats, and they report lost hosts. Silence of a host means nothing here, so this
+// table never expires hosts as lost.
 registry::HostTableOptions ServiceDirectory::table_options() {
     registry::HostTableOptions options;
     options.lost_after = never;
@@ -94,7 +96,8 @@
     update_candidates();
 }
 
-// The hosts that served end at once. One that starts later with the same version is none of them.
+// The replaced hosts get no more requests from now on. A host that later starts with the old version is not in this
+// list.
 void ServiceDirectory::complete(const Rollout& rollout) {
     pools_.promote({rollout.service, rollout.target_version});
     for (const auto& host : table_.all())
@@ -111,7 +114,8 @@
     const auto group = replaced_.count(host.id) ? Group::excluded : rollout::group_of(rollout, host.version);
     if (group == Group::candidate) {
         auto* pool = pools_.find(hosts_.record(host).service);
-        if (pool && !pool->is_candidate()) exclude(host);   // it was known before the order was
+        // It was known as a serving host before the rollout started.
+        if (pool && !pool->is_candidate()) exclude(host);
         const auto known = candidates_.find(host.service);
         const bool takes_part = known != candidates_.end() && known->second.chosen.count(host.id) > 0;
         if (pool && pool->is_candidate() && takes_part) tell(*pool, host);
@@ -139,7 +143,7 @@
     if (host.state == HostState::gone) hosts_.close_idle(record);
 }
 
-// Those that are ready, in an order that is the same at every proxy and takes zones in turn.
+// The ready candidates, in an order that is the same at every proxy and alternates between zones.
 std::vector<const registry::Host*> ServiceDirectory::candidates_of(const Rollout& rollout) const {
     std::map<std::string, std::vector<std::pair<uint64_t, std::string>>> zones;
     for (const auto& host : table_.all()) {
@@ -159,7 +163,7 @@
     return candidates;
 }
 
-// Called after whatever was told, and in ticks: who takes part depends on all hosts of the service, and on the time.
+// Called after every update and on ticks: the choice depends on all hosts of the service and on the time.
 void ServiceDirectory::update_candidates() {
     for (const auto& rollout : watcher_.rollouts().all)
         if (rollout.in_progress()) update_candidates(rollout);
@@ -193,13 +197,14 @@
     known.chosen = std::move(chosen);
 }
 
-// While candidates are observed few take part at a time, in turns, so that many have been seen in the end.
+// While candidates are observed only a few take part at a time, in turns, so that many have been observed in the
+// end.
 std::set<std::string> ServiceDirectory::choose_candidates(const Rollout& rollout,
                                                           const std::vector<const registry::Host*>& ready, size_t turn,
                                                           size_t serving) const {
     const auto wanted = std::min(watcher_.candidate_count(rollout, serving, is_loaded(turn)), ready.size());
     std::set<std::string> chosen;
-    // Each turn begins elsewhere, as far from the one before as an unloaded turn takes.
+    // Each turn starts a fixed step after the previous one: the number of candidates of an unloaded turn.
     const auto step = watcher_.candidate_count(rollout, serving, false);
     for (size_t i = 0; i < wanted; ++i) chosen.insert(ready[(turn * step + i) % ready.size()]->id);
     return chosen;
@@ -220,7 +225,8 @@
     pools_.placed(static_cast<int>(fleet.proxy_index), static_cast<int>(fleet.proxy_count));
 }
 
-// A pool is in use while the configuration names its service, a host belongs to it or a request is under way there.
+// A pool is in use while the configuration names its service, a host belongs to it, or a request in progress uses
+// it.
 void ServiceDirectory::tick(const RequestTable& requests) {
     update_candidates();
     if (context_.now() - retired_at_ < retire_every) return;
--- a/src/roles/proxy/service_directory.hpp
+++ b/src/roles/proxy/service_directory.hpp
@@ -1,5 +1,5 @@
-// The services as this proxy serves them: for each the pool, told of the hosts and of what the configuration says of them,
-// as the control role tells it; while a rollout is in progress also a pool of its candidates.
+// The services that this proxy routes to. Keeps a pool for each service, updated with the hosts and the
+// configuration received from the control role, and during a rollout a second pool with its candidates.
 #pragma once
 #include <map>
 #include <optional>
@@ -19,7 +19,7 @@
 
 class ServiceDirectory {
 public:
-    // `events`: of each pool.
+    // `events`: callbacks of every pool.
     ServiceDirectory(Context& context, Hosts& hosts, rollout::Watcher& watcher, ServicePool::Events events)
         : context_(context),
           hosts_(hosts),
@@ -27,38 +27,38 @@
           pools_(context, std::move(events)),
           table_(table_options()) {}
 
-    // The pool that the next request of a service goes to. Null: there is no room for it.
+    // The pool for the next request of a service; null if there are too many pools.
     ServicePool* choose(const std::string& service);
-    // Whether candidates that were sent a request then had more load than hosts that serve.
+    // Whether candidates that received a request at that time carried more load than serving hosts.
     bool were_loaded(const std::string& service, Time sent) const;
-    // By the pool's number. Null: it has gone.
+    // Finds a pool by number; null if it has been removed.
     ServicePool* find(size_t number) { return pools_.find(number); }
 
-    void configured();   // there is another route table
+    void configured();   // a new route table is in use
     void hosts_told(const messages::HostsUpdate& told);
     void rollouts_told(const messages::RolloutsUpdate& told);
     void placed(const messages::FleetStatus& fleet);
-    // Retires pools of services that nothing uses; called several times a second.
+    // Removes pools of services that are no longer used; called several times a second.
     void tick(const RequestTable& requests);
 
     bool knows_hosts() const { return hosts_known_; }
     uint64_t evicted_hosts() const { return table_.evicted(); }
 
 private:
-    // Candidates of a rollout that requests go to, and since when there are any.
+    // The candidates of a rollout, and when the first one was known.
     struct Candidates {
         uint64_t rollout = 0;
         std::optional<Time> first_known;
-        size_t turn(Time now) const;    // they take part in turns, every other one of them loaded
-        std::set<std::string> chosen;   // ids of those that take part now
+        size_t turn(Time now) const;    // number of the current turn; every other turn is loaded
+        std::set<std::string> chosen;   // ids of the hosts in the current turn
     };
     static registry::HostTableOptions table_options();
-    // The pool of a service's hosts that serve, made where there is none; it knows its hosts from the start.
+    // The pool of a service's serving hosts, created with its known hosts if there is none.
     ServicePool* of(const std::string& service);
     void tell(const registry::Host& host);
     void tell(ServicePool& pool, const registry::Host& host);
     void exclude(const registry::Host& host);
-    void update_candidates();   // of rollouts in progress
+    void update_candidates();   // chooses the candidates of all rollouts in progress
     void update_candidates(const rollout::Rollout& rollout);
     std::set<std::string> choose_candidates(const rollout::Rollout& rollout,
                                             const std::vector<const registry::Host*>& ready, size_t turn,
@@ -73,8 +73,9 @@
     rollout::Watcher& watcher_;
     ServicePools pools_;
     registry::HostTable table_;
-    std::map<std::string, Candidates> candidates_;   // by service, of rollouts in progress
-    std::set<std::string> replaced_;                 // hosts that a completed rollout ends, while the table knows them
+    std::map<std::string, Candidates> candidates_;   // by service, for rollouts in progress
+    // Hosts replaced by a completed rollout, kept until they leave the host table.
+    std::set<std::string> replaced_;   // hosts re
     Time retired_at_ = long_ago;
     bool hosts_known_ = false;
 };
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -7,17 +7,19 @@
 namespace myrtleroute::proxy {
 namespace {
 
-// The balancer's cookies are calls' numbers, below 2^40 here, and a few with bit 60 set; the pool's number lies between.
+// A balancer's cookies are request numbers, below 2^40 here, or have bit 60 set. The pool's number is stored
+// between these bits.
 constexpr int pool_shift = 40;
 constexpr uint64_t pool_mask = ServicePool::numbers - 1;
 constexpr int most_attempts = 16;
 constexpr Span come_back{0.15};
-constexpr Time long_before{-1e9};   // a start so long ago that the host is warm
-// A host that has read the shared part of a prompt may be busier: by a call for each so many tokens.
+constexpr Time long_before{-1e9};   // a start time long past, so that the host counts as warmed up
+// A host that has cached the shared prefix of a prompt may be busier than others, by one request for every
+// `tokens_a_call` tokens.
 constexpr double tokens_a_call = 600, most_pull = 10;
-// What a prompt costs a host before its first token, up to a factor: the part of it that has to be read.
+// Estimated work before the first token, up to a constant factor: the part of the prompt that must be processed.
 constexpr double tokens_a_second = 1e5, least_tokens = 500, read_part = 0.7;
-constexpr double late_worth = 0.5;   // of a late answer; any above 0 lets it be tried for until the end
+constexpr double late_worth = 0.5;   // of a late response; any value above 0 lets attempts go on to the deadline
 
 Settings balancer_settings(const Context& context) {
     Settings settings;
@@ -31,7 +33,7 @@
     return settings;
 }
 
-// Whether calls of both may do the same.
+// Whether the two products lead to the same decisions.
 bool same_rules(const Product& a, const Product& b) {
     return a.slo == b.slo && a.client_timeout == b.client_timeout && a.repeat == b.repeat && a.attempts == b.attempts;
 }
@@ -67,7 +69,7 @@
     const double pull = std::min(most_pull, request.prompt.shared_tokens / tokens_a_call);
     balancer_->call_arrived(context_.now(), request.id, number, 0, request.deadline - context_.now(), work,
                             request.prompt.shared_key, false, pull);
-    const auto* decided = balancer_->product_of(request.id);   // null: it has its answer already
+    const auto* decided = balancer_->product_of(request.id);   // null: already answered
     decided_as_told_.check(!decided || same_rules(*decided, product),
                            [&] { return decided->name + " in place of " + product.name; });
 }
@@ -85,7 +87,7 @@
     const auto returns = returns_.find(id);
     const Time launched = long_before + Span{returns == returns_.end() ? 0.0 : returns->second};
     balancer_->list_began(context_.now(), false, false);
-    // One that drains or has left is never sent to again; one that is lost may be, until a connect fails as well.
+    // A draining or gone host never gets another request. A lost one may, until connecting to it fails as well.
     const auto list = [&](State state) {
         balancer_->server_listed(id, 0, 0, state, host.capacity, launched);
     };
--- a/src/roles/proxy/service_pool.hpp
+++ b/src/roles/proxy/service_pool.hpp
@@ -1,4 +1,4 @@
-// One service's decisions: the balancer with its pool, fed with hosts, requests and what becomes of them.
+// Load balancing for one service: feeds a Balancer with hosts, requests and results, and carries out its actions.
 #pragma once
 #include <compare>
 #include <functional>
@@ -15,10 +15,10 @@
 
 namespace myrtleroute::proxy {
 
-// The hosts of a service that serve, or the candidates of a rollout to that version.
+// Identifies a pool: the serving hosts of a service, or the candidates of a rollout to a version.
 struct PoolKey {
     std::string service;
-    std::string version;   // empty: those that serve
+    std::string version;   // empty: the serving hosts
     auto operator<=>(const PoolKey&) const = default;
 };
 
@@ -27,32 +27,33 @@
     struct Events {
         std::function<void(CallId, ServerId, Span)> send;
         std::function<void(CallId, int)> cancel;
-        std::function<void(CallId, Span)> refuse;   // it has not run: the client may come back after that time
-        std::function<void(CallId)> fail;           // nothing can be promised
+        std::function<void(CallId, Span)> refuse;   // not executed: the client may retry after that time
+        std::function<void(CallId)> fail;           // the request may have been executed
         std::function<void(ServerId)> probe;
         std::function<void(ServerId)> close_idle;
     };
-    static constexpr size_t numbers = 1 << 20;   // that pools may have
-    // `number`: of the pool, kept in the cookies of its wakes. `budget`: of repeats, of all pools of the service.
+    static constexpr size_t numbers = 1 << 20;   // possible pool numbers
+    // `number`: identifies the pool, also in the cookies of its timers. `budget`: the retry budget shared by all
+    // pools of the service.
     ServicePool(Context& context, PoolKey key, size_t number, uint64_t seed,
                 std::shared_ptr<routing::RetryBudget> budget, Events events);
 
     const PoolKey& key() const { return key_; }
     const std::string& name() const { return key_.service; }
     bool is_candidate() const { return !key_.version.empty(); }
-    void promoted() { key_.version.clear(); }   // its hosts are those that serve from now on
+    void promoted() { key_.version.clear(); }   // its hosts are the serving ones from now on
     const std::shared_ptr<routing::RetryBudget>& budget() const { return budget_; }
     size_t number() const { return number_; }
-    bool has_served() const { return has_served_; }   // it has had a request
+    bool has_served() const { return has_served_; }   // whether it has had a request
     Balancer& balancer() { return *balancer_; }
     void take(const Request& request);
     void told(const registry::Host& host, ServerId id);
-    void excluded(const registry::Host& host, ServerId id);   // no more requests go there until it is told as ready
+    void excluded(const registry::Host& host, ServerId id);   // until an update reports it as ready
     void woke(uint64_t cookie);
-    static size_t pool_of(uint64_t cookie);   // of a wake's cookie
+    static size_t pool_of(uint64_t cookie);   // number of the pool that a timer's cookie belongs to
     size_t ready_hosts() const { return ready_hosts_; }
 
-    std::string health_check;   // path
+    std::string health_check;   // path of the probe
     bool is_engine = false;
 
     void send(CallId call, ServerId server, Span try_for) override { events_.send(call, server, try_for); }
@@ -75,9 +76,10 @@
     std::shared_ptr<routing::RetryBudget> budget_;
     std::unique_ptr<Balancer> balancer_;
     Invariant& decided_as_told_;
-    std::map<ServerId, bool> ready_;   // hosts that are not gone, and whether they are ready
+    std::map<ServerId, bool> ready_;   // hosts that are neither lost nor gone, and whether they are ready
     size_t ready_hosts_ = 0;
-    // How often a host has come back after it was excluded; the balancer takes each time for another start of the host.
+    // How often a host has come back after an exclusion. The balancer treats each return as a new start of the
+    // host.
     std::map<ServerId, int> returns_;
     std::set<ServerId> excluded_;
 };
--- a/src/roles/proxy/service_pools.cpp
+++ b/src/roles/proxy/service_pools.cpp
@@ -7,7 +7,8 @@
 namespace myrtleroute::proxy {
 namespace {
 
-// Of a pool that has had requests, longer than any window of the retry budget, which it keeps.
+// `kept_unused` is for pools that have had requests. It is longer than any window of the retry budget, which the
+// pool holds.
 constexpr Span kept_unused{60}, kept_unserved{2};
 constexpr Span line_every{1};
 
@@ -39,7 +40,7 @@
     return pools_.emplace(number, Entry{std::move(pool), now}).first->second.pool.get();
 }
 
-// A service has one budget, whichever of its hosts requests go to.
+// All pools of a service share one retry budget.
 std::shared_ptr<routing::RetryBudget> ServicePools::budget_of(const std::string& service) {
     for (const auto& [number, entry] : pools_)
         if (entry.pool->name() == service) return entry.pool->budget();
--- a/src/roles/proxy/service_pools.hpp
+++ b/src/roles/proxy/service_pools.hpp
@@ -1,5 +1,5 @@
-// The pools of all services, by name and by number. A pool goes once nothing has used its service for a while; numbers are
-// given in turn, so that what was meant for a pool that has gone reaches no other.
+// The pools of all services, by key and by number. A pool is removed once its service has been unused for a while.
+// Numbers are assigned in rotation, so that late events for a removed pool don't reach another one.
 #pragma once
 #include <functional>
 #include <map>
@@ -15,21 +15,22 @@
 class ServicePools {
 public:
     static constexpr size_t most = 256;
-    static constexpr size_t none = static_cast<size_t>(-1);   // a number that no pool has
+    static constexpr size_t none = static_cast<size_t>(-1);   // not a valid number
 
-    // `events`: of each pool.
+    // `events`: callbacks of every pool.
     ServicePools(Context& context, ServicePool::Events events);
 
-    // The pool of that key, made where there is none. Null: there are as many as there may be; nobody else's serves.
+    // The pool with that key, created if missing. Null if the maximum number of pools exists: no other pool may
+    // serve in its place.
     ServicePool* of(const PoolKey& key);
-    // Null: there is none.
+    // Null if there is none.
     ServicePool* find(const PoolKey& key);
-    // The candidates of a rollout become the hosts that serve. The pool that they replace has no key any more, and goes once
-    // unused.
+    // Makes the candidates of a rollout the serving hosts. The pool that they replace loses its key, and is removed
+    // once unused.
     void promote(const PoolKey& candidates);
-    // Null: it has gone.
+    // Null if it has been removed.
     ServicePool* find(size_t number);
-    // Retires pools of services that are not in use, and have not been for a minute; for two seconds, if no request came.
+    // Removes pools that have been unused for a minute, or for two seconds if they never had a request.
     void retire_unused(const std::set<size_t>& used, Time now);
     void placed(int place, int proxies);
     size_t size() const { return pools_.size(); }
@@ -44,7 +45,7 @@
 
     Context& context_;
     ServicePool::Events events_;
-    std::map<size_t, Entry> pools_;   // by number
+    std::map<size_t, Entry> pools_;   // by pool number
     std::map<PoolKey, size_t> numbers_;
     size_t next_number_ = 0;
     metrics::Counter refused_;
--- a/src/roles/proxy/shutdown.cpp
+++ b/src/roles/proxy/shutdown.cpp
@@ -5,10 +5,11 @@
 namespace myrtleroute::proxy {
 namespace {
 
-constexpr Span unasked_after{2.3};        // the platform has seen two refusals of /ready by then
-constexpr double listening_share = 0.4;   // of a short grace
-constexpr Span on_its_way{0.3};           // what clients sent before they saw their connection end is taken until then
-// Kept back before the end of the grace, and of a short one at most these shares.
+constexpr Span unasked_after{2.3};        // the platform has seen two failed readiness checks by then
+constexpr double listening_share = 0.4;   // fraction of a short grace period
+constexpr Span on_its_way{0.3};           // margin for requests sent before the client noticed the close
+// Time reserved before the end of the grace period for writing failures and for the exit; in a short one at most
+// these shares of it.
 constexpr Span to_write_failures{0.6}, to_exit{0.15};
 constexpr double most_to_write_failures = 0.1, most_to_exit = 0.02;
 
--- a/src/roles/proxy/shutdown.hpp
+++ b/src/roles/proxy/shutdown.hpp
@@ -1,7 +1,8 @@
-// The steps of a proxy's end after SIGTERM, by its clock alone.
+// The steps of a proxy's shutdown after SIGTERM, as a function of time only.
 //
-// The platform asks for readiness once a second and sends new connections until two answers in a row were no 200, so the
-// listeners stay open for a while. Then what was taken is answered. All is over before the platform's SIGKILL.
+// The platform checks readiness once a second and sends new connections until two checks in a row have failed, so
+// the listeners stay open for a while. Then accepted requests are answered. Everything ends before the platform
+// sends SIGKILL.
 #pragma once
 #include "time.hpp"
 
@@ -12,21 +13,21 @@
     enum class Step {
         none,
         close_listeners,
-        answer_waiting,   // requests whose answer has not begun get a failure
-        cut,              // answers that have begun are cut, and the process ends
+        answer_waiting,   // requests whose response has not started get an error
+        cut,              // responses in progress are aborted, and the process ends
     };
 
-    // `grace`: from SIGTERM to SIGKILL.
+    // `grace`: time from SIGTERM to SIGKILL.
     explicit Shutdown(Span grace) : grace_(grace) {}
 
     void begin(Time now);
     bool begun() const { return begun_; }
-    // The step that is due, each told once. Asked until it is `cut`.
+    // Returns each due step once. Called repeatedly until it returns `cut`.
     Step next(Time now);
     Time listeners_end() const;
-    // A request that comes later than this is refused: no client that knows of the end sends one.
+    // A request that arrives later is refused: no client that has noticed the shutdown sends one.
     Time take_until() const;
-    // An answer that is not whole by then is cut.
+    // Responses that are not complete by then are aborted.
     Time answers_end() const;
 
 private:
--- a/src/roles/proxy/subscriber.cpp
+++ b/src/roles/proxy/subscriber.cpp
@@ -5,15 +5,16 @@
 namespace myrtleroute::proxy {
 namespace {
 
-constexpr Span silent_after{1.2};   // control nodes speak several times a second
-// A connection that does not come up is given up after this, longer each time until one does: a machine without power, or one
-// that starts a moment later than this one, says nothing, and the system tries again only after a second.
+constexpr Span silent_after{1.2};   // control nodes send several messages a second
+// Connect timeout, doubled after each failure. A powered-off machine, or one that starts slightly later than this
+// one, does not respond, and the kernel retries only after a second.
 constexpr Span least_open_within{0.2}, most_open_within{1};
-// A node without a majority is left after this, if another one may have one; longer each time until one has.
+// A node without a quorum is left after this time if another one may have one; doubled each time until a node has a
+// quorum.
 constexpr Span least_patience{0.5}, most_patience{2};
 constexpr double longer = 2;
-constexpr Span suspected{5};   // a zone in which a node was out of touch
-constexpr Span avoided{2.5};   // a node that failed is tried again after this, or when all have failed
+constexpr Span suspected{5};   // how long a zone is avoided after one of its nodes had no quorum
+constexpr Span avoided{2.5};   // time until a failed node is tried again, unless all have failed
 
 }   // namespace
 
@@ -30,12 +31,12 @@
 Subscriber::Node& Subscriber::know(const messages::ControlNode& told) {
     if (nodes_.size() >= most_nodes && !nodes_.count(told.peer)) forget_one();
     auto& known = nodes_[told.peer];
-    if (!told.zone.empty() || known.node.zone.empty()) known.node = told;   // seeds are told without their zones
+    if (!told.zone.empty() || known.node.zone.empty()) known.node = told;   // seeds have no zone
     known.named = ++words_;
     return known;
 }
 
-// The one that was named the longest ago, and is not connected to.
+// Evicts the node whose last mention is oldest, but not the current one.
 void Subscriber::forget_one() {
     auto oldest = nodes_.end();
     for (auto it = nodes_.begin(); it != nodes_.end(); ++it) {
@@ -85,7 +86,7 @@
         out_of_touch_since_ = now;
 }
 
-// The node that is left has not failed.
+// The node that is left is not marked as failed.
 void Subscriber::move(const messages::ControlNode& to, Time now) {
     const auto& node = know(to);
     if (to.peer == at_ || now - node.failed < avoided) return;
@@ -120,8 +121,9 @@
     outputs_.push_back(OpenLink{at_});
 }
 
-// Own machine, own zone, others; so that little crosses zones. What keeps one node from a majority, such as a cut, may keep
-// all nodes of its zone from it: they come last for a while, or a proxy would try them one after the other.
+// Prefers the own machine, then the own zone, to keep traffic within zones. A partition that separates one node
+// from the quorum may separate its whole zone, so such a zone comes last for a while; otherwise a proxy would try
+// its nodes one after the other.
 int Subscriber::distance(const Node& node, Time now) const {
     enum { own_machine, own_zone, other_zone, suspected_zone };
     if (is_suspected(node.node.zone, now)) return suspected_zone;
@@ -136,7 +138,7 @@
     });
 }
 
-// The nearest of those that have not failed lately; where all have, the one whose failure is the longest ago.
+// The nearest node that has not failed recently; if all have, the one whose failure is oldest.
 Subscriber::Node* Subscriber::choose(Time now) {
     Node* best = nullptr;
     std::pair<double, double> least;
--- a/src/roles/proxy/subscriber.hpp
+++ b/src/roles/proxy/subscriber.hpp
@@ -1,6 +1,6 @@
-// The proxy's side of a subscription, as a state machine: one control node at a time, the nearest that is in touch with
-// a majority, or the one that a control node names. It stays with a node that is out of touch while no other is known to be
-// better off. The driver owns the connection; it tells what becomes of it and carries out what `take_outputs` returns.
+// The proxy's subscription as a state machine: connects to one control node at a time, either the nearest one that
+// reaches a quorum or one that a control node names. It stays with a node without a quorum while no better one is
+// known. The driver owns the connection, reports its events and carries out the outputs.
 #pragma once
 #include <map>
 #include <string>
@@ -14,26 +14,26 @@
 
 namespace myrtleroute::proxy {
 
-// Opens a connection to a control node; there is none.
+// Open a connection to a control node; none is open.
 struct OpenLink {
     Endpoint to;
 };
 struct SendOnLink {
     messages::Message message;
 };
-// Ends the connection; its end is not told back.
+// Close the connection; the driver does not report the end.
 struct CloseLink {
     memory::Why why = memory::Why::told_to_close;
 };
-// What the control node has said.
+// A message received from the control node.
 struct MessageReceived {
     messages::Message message;
 };
 using SubscriberOutput = std::variant<OpenLink, SendOnLink, CloseLink, MessageReceived>;
 
 struct SubscriberOptions {
-    std::string node;      // name of this proxy
-    std::string address;   // of its machine
+    std::string node;      // node name of this proxy
+    std::string address;   // address of its machine
     std::string zone;
     uint64_t seed = 1;
 };
@@ -45,24 +45,24 @@
     explicit Subscriber(SubscriberOptions options);
 
     void add_seeds(const std::vector<messages::ControlNode>& seeds);
-    // The connection is up. `version`: of the configuration that this proxy has.
+    // The connection is established. `version`: of the configuration that this proxy has.
     void opened(uint64_t version, Time now);
-    void failed(Time now);   // the connection broke or did not come up
+    void failed(Time now);   // the connection broke or could not be established
     void received(const messages::Message& message, Time now);
-    void tick(Time now);   // several times a second
+    void tick(Time now);   // called several times a second
 
     std::vector<SubscriberOutput> take_outputs() { return std::exchange(outputs_, {}); }
     bool is_open() const { return link_ == Link::open; }
-    const Endpoint& at() const { return at_; }   // the control node that is or was connected to last
+    const Endpoint& at() const { return at_; }   // the current or last control node
     size_t nodes() const { return nodes_.size(); }
-    uint64_t forgotten() const { return forgotten_; }   // control nodes that gave way for want of room
+    uint64_t forgotten() const { return forgotten_; }   // control nodes evicted because the table was full
 
 private:
     struct Node {
         messages::ControlNode node;
-        Time failed = long_ago;         // last time that it was silent, unreachable or out of touch with a majority
-        Time out_of_touch = long_ago;   // last time that it was left for that last reason
-        uint64_t named = 0;   // when it was last named by settings or a control node, in the order of such words
+        Time failed = long_ago;         // last time that it was silent, unreachable or without a quorum
+        Time out_of_touch = long_ago;   // last time that it was left for having no quorum
+        uint64_t named = 0;             // order of its last mention by the settings or a control node
     };
     enum class Link { none, opening, open };
     Node* choose(Time now);
@@ -78,12 +78,12 @@
     SubscriberOptions options_;
     Pcg chance_;
     std::vector<SubscriberOutput> outputs_;
-    std::map<Endpoint, Node> nodes_;   // by peer endpoint
+    std::map<Endpoint, Node> nodes_;   // keyed by peer endpoint
     Link link_ = Link::none;
     Endpoint at_;
     Time heard_ = long_ago, out_of_touch_since_ = long_ago;
     Span open_within_;
-    Span patience_;   // with a node that is out of touch; longer each time that one was left for it
+    Span patience_;   // wait before leaving a node without a quorum; doubled each time
     uint64_t words_ = 0, forgotten_ = 0;
 };
 
--- a/src/roles/proxy/subscription.cpp
+++ b/src/roles/proxy/subscription.cpp
@@ -15,7 +15,7 @@
 using memory::Why;
 
 constexpr size_t most_in = 256 * 1024, most_out = 256 * 1024;
-constexpr int unacknowledged_ms = 1500;   // then the other end counts as dead
+constexpr int unacknowledged_ms = 1500;   // TCP_USER_TIMEOUT: afterwards the peer counts as dead
 
 }   // namespace
 
--- a/src/roles/proxy/subscription.hpp
+++ b/src/roles/proxy/subscription.hpp
@@ -1,4 +1,4 @@
-// The proxy's connection to the control role: drives a Subscriber over a socket.
+// The proxy's connection to the control role: runs a Subscriber over a socket.
 #pragma once
 #include <functional>
 #include <optional>
@@ -17,15 +17,15 @@
         std::function<void(const messages::FleetStatus&)> fleet;
         std::function<void(const leases::LeaseReply&)> leases;
         std::function<void(const leases::ConfigurationLeaseReply&)> configuration_lease;
-        std::function<void(bool)> connected;   // whether there is a connection to a control node now
-        std::function<uint64_t()> version;     // of the configuration that this proxy has
+        std::function<void(bool)> connected;   // whether a control node is connected now
+        std::function<uint64_t()> version;     // version of the current configuration
     };
     Subscription(Context& context, Events events);
-    void settings_changed();   // the seeds may be others
-    void tick();               // several times a second
+    void settings_changed();   // the seeds may have changed
+    void tick();               // called several times a second
     void stop();
     bool is_open() const { return subscriber_.is_open(); }
-    void ask(const messages::Message& ask);   // at once, where there is a connection
+    void ask(const messages::Message& ask);   // sent immediately if connected
 
     void up(memory::Connection& connection) override;
     void came(memory::Connection& connection) override;
@@ -46,7 +46,7 @@
     Subscriber subscriber_;
     metrics::Counter forgotten_nodes_;
     Link* link_ = nullptr;
-    Endpoint linked_to_;   // the control node at the other end
+    Endpoint linked_to_;   // the connected control node
     bool stopped_ = false;
 };
 
--- a/src/routing/event_stream.hpp
+++ b/src/routing/event_stream.hpp
@@ -1,6 +1,6 @@
-// An event stream (text/event-stream, HTML living standard 9.2) cut into whole events.
+// Splits a text/event-stream body (HTML living standard 9.2) into whole events.
 //
-// Only whole events are passed on, so that a stream that breaks off inside one can go on at another host.
+// Only whole events are forwarded, so that a stream that breaks inside an event can be resumed at another host.
 #pragma once
 #include <string>
 #include <string_view>
@@ -11,29 +11,29 @@
 public:
     explicit EventStream(std::string last_id = {}) : last_id_(std::move(last_id)) {}
 
-    // Takes bytes and returns the events that are whole by now, as they came.
+    // Adds received bytes and returns the events that they complete, byte for byte.
     std::string feed(std::string_view bytes) {
         pending_.append(bytes);
         size_t whole = 0;
         for (auto end = event_end(scanned_); end != pending_.npos; end = event_end(whole)) whole = end;
         std::string events = pending_.substr(0, whole);
         pending_.erase(0, whole);
-        scanned_ = pending_.size() > 3 ? pending_.size() - 3 : 0;   // an end may be cut in two
+        scanned_ = pending_.size() > 3 ? pending_.size() - 3 : 0;   // the blank line may be split between two reads
         note_ids(events);
         return events;
     }
-    // What has come behind the last whole event.
+    // The bytes after the last whole event.
     const std::string& rest() const { return pending_; }
-    // The id of the last whole event; where there was none, the one that the stream began behind.
+    // The id of the last whole event, or the id that the stream was resumed from if no event had one.
     const std::string& last_id() const { return last_id_; }
-    // The stream goes on at another host: half an event of the first one is dropped.
+    // Discards the partial event of the failed host before the stream is resumed at another one.
     void restart() {
         pending_.clear();
         scanned_ = 0;
     }
 
 private:
-    // Behind the first blank line from `from` on.
+    // The position after the first blank line at or after `from`; npos if there is none.
     size_t event_end(size_t from) const {
         for (auto at = pending_.find('\n', from); at != pending_.npos; at = pending_.find('\n', at + 1)) {
             if (at + 1 < pending_.size() && pending_[at + 1] == '\n') return at + 2;
--- a/src/routing/fleet_size.hpp
+++ b/src/routing/fleet_size.hpp
@@ -1,7 +1,8 @@
-// How many proxies there are, for parts of what all of them share: the most that was told lately.
+// An upper estimate of the number of proxies, used to divide budgets that all of them share: the largest number
+// reported recently.
 //
-// While control nodes are cut off from each other, or have just started, each knows of some proxies only. A part of a
-// shared budget that rests on such a number would be too large on every side.
+// During a network partition, or just after a start, each control node knows only some of the proxies. A share of a
+// budget computed from such a number would be too large on every side.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -23,13 +24,13 @@
     }
 
 private:
-    static constexpr Span remembered{30};   // longer than control nodes stay cut off
+    static constexpr Span remembered{30};   // longer than a partition of the control nodes lasts
     static constexpr size_t most_kept = 1024;
     struct Told {
         size_t proxies;
         Time at;
     };
-    std::deque<Told> told_;   // falling numbers, the oldest first
+    std::deque<Told> told_;   // decreasing numbers, oldest first
 };
 
 }   // namespace myrtleroute::routing
--- a/src/routing/prompt.hpp
+++ b/src/routing/prompt.hpp
@@ -1,4 +1,4 @@
-// What a generation tells of its prompt: tokens, and the parts that it shares with others.
+// The request headers that describe a prompt: its token counts, and the prefix that it shares with other prompts.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -10,12 +10,13 @@
 
 struct Prompt {
     double tokens_in = 0, tokens_out = 0;
-    uint64_t shared_key = 0;    // of the longest chain of parts that others may share, 0 = none
-    double shared_tokens = 0;   // in that chain
+    uint64_t shared_key = 0;    // hash of the longest prefix that other prompts may share, 0 = none
+    double shared_tokens = 0;   // tokens in that prefix
 };
 
-// `counts`: tokens of the prompt and the most generated, as 1460,80. `parts`: ID:TOKENS in order; the last one is the
-// request's own or its session's. Fields that are unsound count as missing.
+// Parses the two header values. `counts`: tokens of the prompt and the maximum to generate, as in 1460,80. `parts`:
+// ID:TOKENS of each part in order; the last part belongs to this request or its session alone. Malformed fields
+// count as missing.
 inline Prompt read_prompt(std::string_view counts, std::string_view parts) {
     Prompt prompt;
     prompt.tokens_in = wire::decimal(wire::next_part(counts)).value_or(0);
@@ -23,7 +24,7 @@
     uint64_t hash = fnv_basis;
     while (!parts.empty()) {
         const auto part = wire::next_part(parts);
-        if (parts.empty()) break;   // the last one
+        if (parts.empty()) break;   // the last part is not shared
         const auto colon = part.find(':');
         hash = fnv1a(part.substr(0, colon), hash);
         prompt.shared_key = hash ? hash : 1;
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -7,11 +7,11 @@
 namespace myrtleroute::routing {
 namespace {
 
-// Host names don't differ by case, and a port is no part of them.
+// Host names are case-insensitive, and the port is ignored.
 std::string host_key(std::string_view hostname) {
     std::string key;
     for (const char c : hostname.substr(0, hostname.find(':'))) key.push_back(wire::lower(c));
-    key.push_back('\n');   // can't stand in either part
+    key.push_back('\n');   // a separator that occurs in neither part
     return key;
 }
 
@@ -29,7 +29,7 @@
     std::string key = host_key(hostname);
     const size_t host_length = key.size();
     key.append(path);
-    // Prefixes end with a slash, so only what ends there is looked up, the longest first.
+    // Prefixes end with a slash, so only substrings that end with one are looked up, longest first.
     for (auto slash = key.rfind('/'); slash != key.npos && slash >= host_length; slash = key.rfind('/', slash - 1)) {
         key.resize(slash + 1);
         if (const auto found = routes_.find(key); found != routes_.end()) return found->second;
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -1,5 +1,5 @@
-// Looks up what a request is entitled to: its route by host and path, its tenant by key. Made anew for each
-// configuration and never changed, so requests under way keep the one that they began with.
+// Finds a request's route by host and path, and its tenant by API key. Immutable: each configuration gets a new
+// table, and requests in progress keep the one that they started with.
 #pragma once
 #include <memory>
 #include <string>
@@ -14,9 +14,9 @@
 public:
     explicit RouteTable(configuration::Configuration configuration);
 
-    // The route of that host with the longest prefix that begins the path; null where there is none.
+    // The route of that host with the longest matching path prefix; null if there is none.
     const configuration::Route* find(std::string_view hostname, std::string_view path) const;
-    // The tenant that holds the key; null where nobody does.
+    // The tenant that the API key belongs to; null if the key is unknown.
     const configuration::Tenant* tenant(std::string_view key) const;
     bool has_tenants() const { return !configuration_.tenants.empty(); }
     const configuration::Configuration& configuration() const { return configuration_; }
@@ -27,7 +27,7 @@
     std::unordered_map<std::string, const configuration::Tenant*> tenants_;   // by key
 };
 
-// The backend that a request goes to; `share` is drawn evenly from [0, 1).
+// Chooses a backend service by weight; `share` is uniformly distributed over [0, 1).
 const std::string& pick_backend(const configuration::Route& route, double share);
 
 }   // namespace myrtleroute::routing
