--- a/src/roles/main.cpp
+++ b/src/roles/main.cpp
@@ -34,7 +34,7 @@
 }
 
 ParseResult<configuration::NodeSettings> read_settings(const std::string& path) {
-    if (path.empty()) return Findings{{settings_variable, "is not set, and there is no --settings"}};
+    if (path.empty()) return Findings{{settings_variable, "is not set, and --settings is not given"}};
     const auto text = read_file(path);
     if (!text) return Findings{{path, "can't be read"}};
     return configuration::read_node_settings(*text, path);
@@ -50,7 +50,7 @@
     const auto reread = [path]() -> std::optional<configuration::NodeSettings> {
         auto checked = read_settings(path);
         if (auto* findings = std::get_if<Findings>(&checked)) {
-            log_error() << "settings stay as they were: " << join_findings(*findings);
+            log_error() << "settings not reloaded, the previous ones stay in use: " << join_findings(*findings);
             return {};
         }
         return std::get<configuration::NodeSettings>(std::move(checked));
@@ -98,16 +98,16 @@
         TCLAP::CmdLine command("Router fleet for a language model. Roles run until SIGTERM.", ' ', version);
         std::vector<std::string> words{"proxy", "control", "check"};
         TCLAP::ValuesConstraint<std::string> roles(words);
-        TCLAP::UnlabeledValueArg<std::string> role("command", "The role to run, or check: checks a file.", true, "",
-                                                   &roles);
-        TCLAP::UnlabeledValueArg<std::string> file("file", "What `check` reads: a settings file or a configuration.",
+        TCLAP::UnlabeledValueArg<std::string> role("command", "The role to run, or `check` to validate a file.", true,
+                                                   "", &roles);
+        TCLAP::UnlabeledValueArg<std::string> file("file", "The file to check: a settings file or a configuration.",
                                                    false, "", "path");
         const char* set = std::getenv(settings_variable);
-        TCLAP::ValueArg<std::string> settings("s", "settings", "Settings file; else MYRTLEROUTE_SETTINGS names it.",
+        TCLAP::ValueArg<std::string> settings("s", "settings", "Settings file; defaults to MYRTLEROUTE_SETTINGS.",
                                               false, set ? set : "", "path", command);
         std::vector<std::string> levels{"debug", "info", "warning", "error"};
         TCLAP::ValuesConstraint<std::string> known_levels(levels);
-        TCLAP::ValueArg<std::string> level("l", "log", "Least level of log lines.", false, "info", &known_levels,
+        TCLAP::ValueArg<std::string> level("l", "log", "Minimum level of log lines.", false, "info", &known_levels,
                                            command);
         command.add(role);
         command.add(file);
--- a/src/roles/proxy/admission.cpp
+++ b/src/roles/proxy/admission.cpp
@@ -47,7 +47,8 @@
 void Admission::note_granted(const Request& request) {
     report_.note_granted(request.tenant->name, cost_of(request));
     used_units_were_lent_.check(leases_.totals().used <= leases_.totals().received * (1 + rounding), [&] {
-        return std::to_string(leases_.totals().used) + " units used of " + std::to_string(leases_.totals().received);
+        return std::to_string(leases_.totals().used) + " units used, leased only " +
+               std::to_string(leases_.totals().received);
     });
 }
 
--- a/src/roles/proxy/cut_report.cpp
+++ b/src/roles/proxy/cut_report.cpp
@@ -28,8 +28,8 @@
     if (!left_out) return;
     std::ostringstream line;
     line.precision(3);
-    line << "answer to request " << request_id << " cut after " << std::fixed << after.s << " s: " << to_string(cause)
-         << "; " << *left_out << " more since the last such line";
+    line << "response to request " << request_id << " aborted after " << std::fixed << after.s
+         << " s: " << to_string(cause) << "; " << *left_out << " more since the last such line";
     log_(line.str());
 }
 
--- a/src/roles/proxy/front.cpp
+++ b/src/roles/proxy/front.cpp
@@ -321,7 +321,7 @@
                                    context_.now());
     if (!client.busy) return;
     read_requests_are_answered_.check(by_client || why == Why::bad_answer, [&] {
-        return "a connection ended during its request: " + std::string(memory::code(why));
+        return "a client connection ended during its request: " + std::string(memory::code(why));
     });
     report_.request_ended(by_client ? RequestEnd::client_left : RequestEnd::cut);
 }
--- a/src/roles/proxy/front_report.cpp
+++ b/src/roles/proxy/front_report.cpp
@@ -50,8 +50,8 @@
     if (!lines_[number].try_log(now)) return;
     std::ostringstream line;
     line.precision(3);
-    line << "a client's connection is closed over unread bytes: " << to_string(cause) << ", " << std::fixed
-         << ended_for.s << " s after its end, which came after " << rested.s << " s of rest; "
+    line << "client connection closed with unread bytes: " << to_string(cause) << ", " << std::fixed << ended_for.s
+         << " s after half-close, idle for " << rested.s << " s before; "
          << static_cast<unsigned long>(unread_[number].value()) << " so far";
     log_(line.str());
 }
--- a/src/roles/proxy/metrics_listener.cpp
+++ b/src/roles/proxy/metrics_listener.cpp
@@ -67,7 +67,7 @@
     const int fd = address ? context_.home.listen_at(*address) : -1;
     if (fd < 0) {
         log_error() << "metrics: can't listen at " << at.text() << ": "
-                    << (address ? std::strerror(errno) : "no address");
+                    << (address ? std::strerror(errno) : "not an IPv4 address");
         return;
     }
     listener_ = &context_.loop.adopt(std::make_unique<Listener>(*this, fd));
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -361,7 +361,7 @@
     if (context_.table && told.version <= context_.table->configuration().version) return;
     auto checked = configuration::read_configuration(told.body.text());
     if (const auto* findings = std::get_if<Findings>(&checked)) {
-        log_error() << "configuration " << told.version << ": " << join_findings(*findings);
+        log_error() << "configuration " << told.version << " rejected: " << join_findings(*findings);
         return;
     }
     context_.table = std::make_shared<routing::RouteTable>(std::get<configuration::Configuration>(std::move(checked)));
@@ -418,7 +418,7 @@
     while (const int number = context_.home.next_signal(connection.fd)) {
         if (number == SIGTERM || number == SIGINT) stop();
         if (number != SIGHUP) continue;
-        log_info() << "SIGHUP: the settings are read again";
+        log_info() << "SIGHUP: reloading the settings";
         if (auto settings = reread_()) {
             context_.settings.seeds = settings->seeds;
             subscription_.settings_changed();
@@ -427,8 +427,8 @@
 }
 
 void Proxy::log_progress(const char* step) const {
-    log_info() << step << ": " << requests_.size() << " requests under way, " << front_.connections()
-               << " clients connected";
+    log_info() << step << ": " << requests_.size() << " requests in progress, " << front_.connections()
+               << " client connections";
 }
 
 // Readiness fails immediately; once the platform has noticed, no new connections are accepted; then the remaining
@@ -437,7 +437,7 @@
     if (shutdown_.begun()) return;
     shutdown_.begin(context_.now());
     front_.stop(shutdown_.take_until());
-    log_progress("told to stop");
+    log_progress("shutdown started");
     context_.loop.set(*signals_, shutdown_.listeners_end());
 }
 
@@ -447,7 +447,7 @@
         case Shutdown::Step::close_listeners:
             front_.close_listeners();
             metrics_listener_.close();
-            log_progress("listeners are closed");
+            log_progress("listeners closed");
             break;
         case Shutdown::Step::answer_waiting: answer_waiting(); break;
         case Shutdown::Step::cut: return end();
@@ -462,7 +462,7 @@
 }
 
 void Proxy::end() {
-    log_progress("ends");
+    log_progress("exiting");
     for (auto* request : requests_.all())
         if (request->client) cut(*std::exchange(request->client, nullptr), *request, CutCause::process_ends);
     subscription_.stop();
--- a/src/roles/proxy/request_table.cpp
+++ b/src/roles/proxy/request_table.cpp
@@ -32,7 +32,8 @@
 void RequestTable::forget_if_over(Request& request) {
     if (request.client || request.open_attempts > 0) return;
     held_bytes_cover_bodies_.check(held_bytes_ >= request.body.size(), [&] {
-        return std::to_string(held_bytes_) + " bytes held, a body of " + std::to_string(request.body.size());
+        return std::to_string(held_bytes_) + " bytes of bodies counted, but a held body has " +
+               std::to_string(request.body.size());
     });
     held_bytes_ -= request.body.size();
     requests_.erase(request.id);
--- a/src/roles/proxy/service_directory.cpp
+++ b/src/roles/proxy/service_directory.cpp
@@ -193,7 +193,7 @@
     for (const auto& id : chosen)
         if (!known.chosen.count(id)) tell(*pool, *table_.find(id));
     log_info() << "rollout of " << rollout.service << " to " << rollout.target_version << ": " << chosen.size()
-               << " candidates beside " << serving->ready_hosts() << " hosts";
+               << " candidates take part, " << serving->ready_hosts() << " hosts serve";
     known.chosen = std::move(chosen);
 }
 
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -71,7 +71,7 @@
                             request.prompt.shared_key, false, pull);
     const auto* decided = balancer_->product_of(request.id);   // null: already answered
     decided_as_told_.check(!decided || same_rules(*decided, product),
-                           [&] { return decided->name + " in place of " + product.name; });
+                           [&] { return "decided as " + decided->name + " instead of " + product.name; });
 }
 
 void ServicePool::told(const registry::Host& host, ServerId id) {
--- a/src/roles/proxy/service_pools.cpp
+++ b/src/roles/proxy/service_pools.cpp
@@ -27,7 +27,8 @@
         refused_.add();
         if (now - logged_ > line_every) {
             logged_ = now;
-            log_error() << "service \"" << key.service << "\" is not served: there are " << most << " others";
+            log_error() << "service \"" << key.service << "\" is not served: the limit of " << most
+                        << " service pools is reached";
         }
         return nullptr;
     }
--- a/src/roles/proxy/subscription.cpp
+++ b/src/roles/proxy/subscription.cpp
@@ -87,7 +87,7 @@
 }
 
 void Subscription::up(Connection&) {
-    log_info() << "subscribed to the control node at " << subscriber_.at().text();
+    log_info() << "connected to control node " << subscriber_.at().text();
     subscriber_.opened(events_.version(), context_.now());
     carry_out();
     events_.connected(true);
@@ -134,7 +134,7 @@
 void Subscription::end(Why why) {
     if (!link_) return;
     events_.connected(false);
-    log_info() << "left the control node at " << linked_to_.text() << ": " << memory::code(why);
+    log_info() << "disconnected from control node " << linked_to_.text() << ": " << memory::code(why);
     context_.loop.end(*std::exchange(link_, nullptr), why);
 }
 
