--- a/src/roles/proxy/hosts.cpp
+++ b/src/roles/proxy/hosts.cpp
@@ -284,7 +284,7 @@
     }
     if (!request) return;
     request->attempts[static_cast<size_t>(number)] = nullptr;
-    request->events.restart();
+    request->events.discard_partial_event();
     tell(request->id, number, outcome);
 }
 
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -296,7 +296,7 @@
 void Proxy::answered(Request& request, const Reply& reply, bool streamed) {
     if (!request.client) return;
     auto& client = *std::exchange(request.client, nullptr);
-    const std::string rest = request.streams() ? request.events.rest() : reply.body;
+    const std::string rest = request.streams() ? request.events.partial_event() : reply.body;
     if (streamed || request.answering) {
         front_.piece(client, rest);
         if (client.open()) front_.finish(client);
@@ -380,7 +380,7 @@
     if (told.current) rollouts_.confirm_control(context_.now());
     admission_.fleet_told(told);
     context_.proxies = told.proxy_count;
-    context_.fleet_size.told(told.proxy_count, context_.now());
+    context_.fleet_size.update(told.proxy_count, context_.now());
     services_.placed(told);
 }
 
--- a/src/roles/proxy/service_pool.cpp
+++ b/src/roles/proxy/service_pool.cpp
@@ -62,7 +62,7 @@
     product.name = std::to_string(static_cast<int>(route.kind)) + "/" + std::to_string(route.resumable) + "/" +
                    std::to_string(product.slo.s) + "/" + std::to_string(product.client_timeout.s) + "/" +
                    std::to_string(product.attempts);
-    budget_->request(context_.now());
+    budget_->count_request(context_.now());
     const auto number = balancer_->define_product(product);
     const double unread = std::max(0.0, request.prompt.tokens_in - read_part * request.prompt.shared_tokens);
     const Span work{is_engine ? (unread + least_tokens) / tokens_a_second : 0};
@@ -114,6 +114,8 @@
 
 void ServicePool::log(std::string_view line, ServerId) { log_debug() << key_.service << ": " << line; }
 
-bool ServicePool::may_repeat(CallId) { return budget_->take(context_.now(), context_.fleet_size.most(context_.now())); }
+bool ServicePool::may_repeat(CallId) {
+    return budget_->try_take(context_.now(), context_.fleet_size.maximum(context_.now()));
+}
 
 }   // namespace myrtleroute::proxy
--- a/src/routing/event_stream.hpp
+++ b/src/routing/event_stream.hpp
@@ -15,33 +15,33 @@
     std::string feed(std::string_view bytes) {
         pending_.append(bytes);
         size_t whole = 0;
-        for (auto end = event_end(scanned_); end != pending_.npos; end = event_end(whole)) whole = end;
+        for (auto end = find_event_end(scanned_); end != pending_.npos; end = find_event_end(whole)) whole = end;
         std::string events = pending_.substr(0, whole);
         pending_.erase(0, whole);
         scanned_ = pending_.size() > 3 ? pending_.size() - 3 : 0;   // the blank line may be split between two reads
-        note_ids(events);
+        track_event_ids(events);
         return events;
     }
     // The bytes after the last whole event.
-    const std::string& rest() const { return pending_; }
+    const std::string& partial_event() const { return pending_; }
     // The id of the last whole event, or the id that the stream was resumed from if no event had one.
     const std::string& last_id() const { return last_id_; }
     // Discards the partial event of the failed host before the stream is resumed at another one.
-    void restart() {
+    void discard_partial_event() {
         pending_.clear();
         scanned_ = 0;
     }
 
 private:
     // The position after the first blank line at or after `from`; npos if there is none.
-    size_t event_end(size_t from) const {
+    size_t find_event_end(size_t from) const {
         for (auto at = pending_.find('\n', from); at != pending_.npos; at = pending_.find('\n', at + 1)) {
             if (at + 1 < pending_.size() && pending_[at + 1] == '\n') return at + 2;
             if (at + 2 < pending_.size() && pending_[at + 1] == '\r' && pending_[at + 2] == '\n') return at + 3;
         }
         return std::string::npos;
     }
-    void note_ids(std::string_view events) {
+    void track_event_ids(std::string_view events) {
         while (!events.empty()) {
             const auto end = events.find('\n');
             auto line = events.substr(0, end);
--- a/src/routing/fleet_size.hpp
+++ b/src/routing/fleet_size.hpp
@@ -14,23 +14,23 @@
 
 class FleetSize {
 public:
-    void told(size_t proxies, Time now) {
-        while (!told_.empty() && told_.back().proxies <= proxies) told_.pop_back();
-        if (told_.size() < most_kept) told_.push_back({proxies, now});
+    void update(size_t proxies, Time now) {
+        while (!samples_.empty() && samples_.back().proxies <= proxies) samples_.pop_back();
+        if (samples_.size() < max_samples) samples_.push_back({proxies, now});
     }
-    size_t most(Time now) {
-        while (told_.size() > 1 && now - told_.front().at > remembered) told_.pop_front();
-        return told_.empty() ? 1 : std::max<size_t>(1, told_.front().proxies);
+    size_t maximum(Time now) {
+        while (samples_.size() > 1 && now - samples_.front().at > window) samples_.pop_front();
+        return samples_.empty() ? 1 : std::max<size_t>(1, samples_.front().proxies);
     }
 
 private:
-    static constexpr Span remembered{30};   // longer than a partition of the control nodes lasts
-    static constexpr size_t most_kept = 1024;
-    struct Told {
+    static constexpr Span window{30};   // longer than a partition of the control nodes lasts
+    static constexpr size_t max_samples = 1024;
+    struct Sample {
         size_t proxies;
         Time at;
     };
-    std::deque<Told> told_;   // decreasing numbers, oldest first
+    std::deque<Sample> samples_;   // decreasing numbers, oldest first
 };
 
 }   // namespace myrtleroute::routing
--- a/tests/system/bounds_test.cpp
+++ b/tests/system/bounds_test.cpp
@@ -185,11 +185,11 @@
 TEST_CASE("the first thousand fleet sizes of half a minute are kept, so the maximum is never too small") {
     routing::FleetSize size;
     constexpr size_t words = 3000;
-    for (size_t n = 0; n < words; ++n) size.told(words - n, Time{100 + static_cast<double>(n) / words});
-    CHECK(size.most(Time{101}) == words);
-    CHECK(size.most(Time{200}) >= 1);
-    size.told(5, Time{201});
-    CHECK(size.most(Time{240}) == 5);
+    for (size_t n = 0; n < words; ++n) size.update(words - n, Time{100 + static_cast<double>(n) / words});
+    CHECK(size.maximum(Time{101}) == words);
+    CHECK(size.maximum(Time{200}) >= 1);
+    size.update(5, Time{201});
+    CHECK(size.maximum(Time{240}) == 5);
 }
 
 // Control node.
--- a/tests/system/routing_test.cpp
+++ b/tests/system/routing_test.cpp
@@ -33,17 +33,17 @@
 
 TEST_CASE("route lookup finds the same route as a linear search") {
     for (uint64_t seed = 1; seed <= 50; ++seed) {
-        Pcg chance(seed);
+        Pcg rng(seed);
         const auto path = [&] {
             std::string text = "/";
-            for (auto n = chance.next() % 4; n > 0; --n)
-                text += std::string(1, static_cast<char>('a' + chance.next() % 3)) + "/";
+            for (auto n = rng.next() % 4; n > 0; --n)
+                text += std::string(1, static_cast<char>('a' + rng.next() % 3)) + "/";
             return text;
         };
         configuration::Configuration configuration;
         for (int i = 0; i < 20; ++i) {
             configuration::Route route;
-            route.hostname = chance.next() % 2 ? "one" : "two";
+            route.hostname = rng.next() % 2 ? "one" : "two";
             route.path_prefix = path();
             const auto same = [&](const auto& r) {
                 return r.hostname == route.hostname && r.path_prefix == route.path_prefix;
@@ -53,7 +53,7 @@
         }
         const RouteTable table(configuration);
         for (int i = 0; i < 50; ++i) {
-            const std::string host = chance.next() % 2 ? "one" : "two", target = path() + "z";
+            const std::string host = rng.next() % 2 ? "one" : "two", target = path() + "z";
             const configuration::Route* best = nullptr;
             for (const auto& route : configuration.routes)
                 if (route.hostname == host && target.starts_with(route.path_prefix) &&
@@ -87,8 +87,8 @@
             auto whole = events.feed(stream.substr(0, cut));
             whole += events.feed(stream.substr(cut, second - cut));
             whole += events.feed(stream.substr(second));
-            CHECK(whole + events.rest() == stream);
-            CHECK(events.rest() == "id: 3\ndata: half");
+            CHECK(whole + events.partial_event() == stream);
+            CHECK(events.partial_event() == "id: 3\ndata: half");
             CHECK(events.last_id() == "2");
         }
     }
@@ -98,7 +98,7 @@
     EventStream events("4");
     CHECK(events.last_id() == "4");
     events.feed("id: 5\ndata: x\n\nid: 6\nda");
-    events.restart();
+    events.discard_partial_event();
     CHECK(events.last_id() == "5");
     CHECK(events.feed("id: 6\ndata: y\n\n") == "id: 6\ndata: y\n\n");
 }
@@ -119,24 +119,24 @@
     constexpr RetryBudgetOptions options{0.2, Span{10}, 58};
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
-        Pcg chance(seed);
+        Pcg rng(seed);
         std::vector<RetryBudget> budgets(proxies, RetryBudget(options, Time{-60}));
-        std::deque<Time> requests, repeats;
+        std::deque<Time> requests, retries;
         size_t allowed = 0;
         for (Time now{0}; now < Time{60}; now = now + Span{0.01}) {
             const bool burst = now > Time{20} && now < Time{24};
             for (int i = 0; i < (burst ? 3 : 1); ++i) {
-                auto& budget = budgets[chance.next() % proxies];
-                budget.request(now);
+                auto& budget = budgets[rng.next() % proxies];
+                budget.count_request(now);
                 requests.push_back(now);
-                while (chance.next() % 3 && budget.take(now, proxies)) {
-                    repeats.push_back(now);
+                while (rng.next() % 3 && budget.try_take(now, proxies)) {
+                    retries.push_back(now);
                     ++allowed;
                 }
             }
             while (requests.front() <= now - options.window) requests.pop_front();
-            while (!repeats.empty() && repeats.front() <= now - options.window) repeats.pop_front();
-            REQUIRE(repeats.size() <= options.ratio * requests.size() + options.slack);
+            while (!retries.empty() && retries.front() <= now - options.window) retries.pop_front();
+            REQUIRE(retries.size() <= options.ratio * requests.size() + options.slack);
         }
         CHECK(allowed > 300);
     }
@@ -149,23 +149,23 @@
     static constexpr RetryBudgetOptions options{0.2, Span{10}, 60};
     std::vector<RetryBudget> budgets;
     std::vector<FleetSize> sizes;
-    std::deque<Time> requests, repeats;
-    double most_over = -1e9;   // retries beyond the budget
+    std::deque<Time> requests, retries;
+    double max_over = -1e9;   // retries beyond the budget
 
     RepeatingFleet(size_t proxies, Time started) : budgets(proxies, RetryBudget(options, started)), sizes(proxies) {}
     void step(Time now, size_t told) {
         for (size_t i = 0; i < budgets.size(); ++i) {
-            sizes[i].told(told, now);
+            sizes[i].update(told, now);
             if (static_cast<int>(now.s * 10) % static_cast<int>(budgets.size()) == static_cast<int>(i)) {
-                budgets[i].request(now);
+                budgets[i].count_request(now);
                 requests.push_back(now);
             }
-            while (budgets[i].take(now, sizes[i].most(now))) repeats.push_back(now);
+            while (budgets[i].try_take(now, sizes[i].maximum(now))) retries.push_back(now);
         }
         while (!requests.empty() && requests.front() <= now - options.window) requests.pop_front();
-        while (!repeats.empty() && repeats.front() <= now - options.window) repeats.pop_front();
+        while (!retries.empty() && retries.front() <= now - options.window) retries.pop_front();
         const double allowed = options.ratio * static_cast<double>(requests.size()) + options.slack;
-        most_over = std::max(most_over, static_cast<double>(repeats.size()) - allowed);
+        max_over = std::max(max_over, static_cast<double>(retries.size()) - allowed);
     }
 };
 
@@ -174,24 +174,24 @@
 TEST_CASE("retries stay within the budget while each side of a partition sees only its own proxies") {
     RepeatingFleet fleet(12, Time{-60});
     for (Time now{0}; now < Time{60}; now = now + Span{0.1}) fleet.step(now, now > Time{20} && now < Time{40} ? 6 : 12);
-    CHECK(fleet.most_over <= 0);
+    CHECK(fleet.max_over <= 0);
 }
 
 TEST_CASE("retries stay within the budget when all proxies start together and learn of each other one by one") {
     RepeatingFleet fleet(12, Time{0});
     for (Time now{0}; now < Time{30}; now = now + Span{0.1})
         fleet.step(now, std::min<size_t>(12, 1 + static_cast<size_t>(now.s * 10)));
-    CHECK(fleet.most_over <= 0);
+    CHECK(fleet.max_over <= 0);
 }
 
 TEST_CASE("the fleet size is the largest one reported recently, and falls later") {
     FleetSize size;
-    CHECK(size.most(Time{0}) == 1);
-    size.told(12, Time{1});
-    size.told(5, Time{2});
-    CHECK(size.most(Time{30}) == 12);
-    size.told(6, Time{30});
-    CHECK(size.most(Time{32}) == 6);
-    size.told(20, Time{33});
-    CHECK(size.most(Time{33}) == 20);
+    CHECK(size.maximum(Time{0}) == 1);
+    size.update(12, Time{1});
+    size.update(5, Time{2});
+    CHECK(size.maximum(Time{30}) == 12);
+    size.update(6, Time{30});
+    CHECK(size.maximum(Time{32}) == 6);
+    size.update(20, Time{33});
+    CHECK(size.maximum(Time{33}) == 20);
 }
