--- a/src/roles/main.cpp
+++ b/src/roles/main.cpp
@@ -24,7 +24,7 @@
 
 constexpr const char* version = "1.0.0";
 constexpr const char* settings_variable = "MYRTLEROUTE_SETTINGS";
-constexpr int exit_well = 0, exit_findings = 1, exit_fault = 2;
+constexpr int exit_ok = 0, exit_findings = 1, exit_fault = 2;
 
 std::optional<std::string> read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
@@ -77,7 +77,7 @@
     }
     for (const auto& finding : findings) std::cout << finding.location << ": " << finding.message << '\n';
     if (findings.empty()) std::cout << path << ": sound\n";
-    return findings.empty() ? exit_well : exit_findings;
+    return findings.empty() ? exit_ok : exit_findings;
 }
 
 int run_role(const std::string& role, const std::string& path) {
@@ -96,15 +96,15 @@
     std::signal(SIGHUP, SIG_IGN);   // ignored until the role handles it; the settings are still to be read then
     try {
         TCLAP::CmdLine command("Router fleet for a language model. Roles run until SIGTERM.", ' ', version);
-        std::vector<std::string> words{"proxy", "control", "check"};
-        TCLAP::ValuesConstraint<std::string> roles(words);
+        std::vector<std::string> commands{"proxy", "control", "check"};
+        TCLAP::ValuesConstraint<std::string> roles(commands);
         TCLAP::UnlabeledValueArg<std::string> role("command", "The role to run, or `check` to validate a file.", true,
                                                    "", &roles);
         TCLAP::UnlabeledValueArg<std::string> file("file", "The file to check: a settings file or a configuration.",
                                                    false, "", "path");
-        const char* set = std::getenv(settings_variable);
+        const char* from_environment = std::getenv(settings_variable);
         TCLAP::ValueArg<std::string> settings("s", "settings", "Settings file; defaults to MYRTLEROUTE_SETTINGS.",
-                                              false, set ? set : "", "path", command);
+                                              false, from_environment ? from_environment : "", "path", command);
         std::vector<std::string> levels{"debug", "info", "warning", "error"};
         TCLAP::ValuesConstraint<std::string> known_levels(levels);
         TCLAP::ValueArg<std::string> level("l", "log", "Minimum level of log lines.", false, "info", &known_levels,
--- a/src/roles/metrics_answer.hpp
+++ b/src/roles/metrics_answer.hpp
@@ -16,8 +16,8 @@
 // is called only if its text is sent.
 inline MetricsResponse respond_to_scrape(std::string_view method, std::string_view target, std::string_view path,
                                          const std::function<std::string()>& render) {
-    const auto asked = target.substr(0, target.find('?'));
-    if (method != "GET" || asked != path) return {};
+    const auto requested_path = target.substr(0, target.find('?'));
+    if (method != "GET" || requested_path != path) return {};
     return {200, render()};
 }
 
--- a/src/roles/proxy/admission.cpp
+++ b/src/roles/proxy/admission.cpp
@@ -8,38 +8,38 @@
 namespace myrtleroute::proxy {
 namespace {
 
-constexpr Span hurry_every{0.05};   // interval of lease requests while units are urgently needed
+constexpr Span urgent_ask_interval{0.05};   // interval of lease requests while units are urgently needed
 constexpr double rounding = 1e-9;
 
 // The units that a request consumes: 1, or its tokens if the tenant's limit counts tokens.
 double cost_of(const Request& request) {
     const auto& tenant = *request.tenant;
-    const double told = request.prompt.tokens_in + request.prompt.tokens_out;
+    const double tokens = request.prompt.tokens_in + request.prompt.tokens_out;
     if (!tenant.counts_tokens) return 1;
-    return told > 0 ? told : tenant.uncached_tokens;
+    return tokens > 0 ? tokens : tenant.uncached_tokens;
 }
 
 // The longest wait for units that leaves enough time to answer within the target latency.
-Span patience_for(const configuration::Route& route) {
-    constexpr double waited_part = 0.4;   // fraction of the target latency
-    constexpr Span least{0.05}, most{0.3};
-    return std::clamp(route.target_latency * waited_part, least, most);
+Span max_wait_for(const configuration::Route& route) {
+    constexpr double wait_share = 0.4;   // fraction of the target latency
+    constexpr Span min_wait{0.05}, max_wait{0.3};
+    return std::clamp(route.target_latency * wait_share, min_wait, max_wait);
 }
 
 }   // namespace
 
-Admission::Admission(Context& context, uint64_t life, Events events)
+Admission::Admission(Context& context, uint64_t incarnation, Events events)
     : context_(context),
       events_(std::move(events)),
-      leases_({context.settings.node_name, life}, {}, context.started),
+      leases_({context.settings.node_name, incarnation}, {}, context.started),
       report_(context.metrics, [](const std::string& line) { log_info() << line; }),
       used_units_were_lent_(context.invariants.named("used_units_were_lent")),
-      without_room_(bound_reached_counter(context.metrics, "leases")) {}
+      refused_for_room_(bound_reached_counter(context.metrics, "leases")) {}
 
 leases::Decision Admission::decide(const Request& request) {
     if (!request.tenant || request.tenant->rate_per_second <= 0) return {};
     const auto decision = leases_.acquire(request.tenant->name, cost_of(request), request.id,
-                                          patience_for(*request.route), context_.home.now());
+                                          max_wait_for(*request.route), context_.home.now());
     if (decision.verdict == leases::Verdict::granted) note_granted(request);
     return decision;
 }
@@ -52,17 +52,17 @@
     });
 }
 
-void Admission::wait() {
+void Admission::wait_for_units() {
     ask();
-    if (!leases_.has_waiting() || wakes_at_ > context_.now()) return;
-    wakes_at_ = leases_.next_deadline();
-    context_.loop.wake(wakes_at_, cookie);
+    if (!leases_.has_waiting() || timer_at_ > context_.now()) return;
+    timer_at_ = leases_.next_deadline();
+    context_.loop.wake(timer_at_, cookie);
 }
 
 void Admission::withdraw(const Request& request) { leases_.cancel(request.id); }
 
 void Admission::note_refused(const Request& request, const leases::Decision& decision) {
-    if (decision.cause == leases::RefusalCause::no_room) without_room_.add();
+    if (decision.cause == leases::RefusalCause::no_room) refused_for_room_.add();
     report_.note_refused(request.tenant->name, cost_of(request), decision.cause, leases_, context_.now());
 }
 
@@ -73,40 +73,40 @@
     ask();
 }
 
-void Admission::fleet_told(const messages::FleetStatus& told) {
-    if (told.current && !control_is_current_) {
+void Admission::update_fleet(const messages::FleetStatus& update) {
+    if (update.current && !control_is_current_) {
         leases_.expedite();   // a leader is available again
         ask();
     }
-    control_is_current_ = told.current;
-    report_.fleet_told(told, context_.now());
+    control_is_current_ = update.current;
+    report_.update_fleet(update, context_.now());
 }
 
 void Admission::apply(const leases::LeaseReply& reply) {
     leases_.apply(reply, context_.home.now());
-    tell_decided();
+    deliver_decisions();
 }
 
-void Admission::woke() {
+void Admission::on_timer() {
     leases_.tick(context_.home.now());
-    tell_decided();
+    deliver_decisions();
 }
 
 void Admission::ask() {
     if (const auto ask = leases_.next_request(context_.home.now())) events_.ask(*ask);
-    if (leases_.is_expedited()) context_.loop.wake(context_.now() + hurry_every, cookie);
+    if (leases_.is_expedited()) context_.loop.wake(context_.now() + urgent_ask_interval, cookie);
 }
 
-void Admission::tell_decided() {
+void Admission::deliver_decisions() {
     for (const auto& decided : leases_.take_decided()) {
         if (decided.decision.verdict == leases::Verdict::granted)
             events_.granted(decided.ticket);
         else
             events_.refused(decided.ticket, decided.decision);
     }
-    if (leases_.has_waiting() || leases_.is_expedited()) wait();
+    if (leases_.has_waiting() || leases_.is_expedited()) wait_for_units();
 }
 
-void Admission::refresh_figures() { report_.refresh(leases_, context_.now()); }
+void Admission::refresh_metrics() { report_.refresh(leases_, context_.now()); }
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/admission.hpp
+++ b/src/roles/proxy/admission.hpp
@@ -23,14 +23,14 @@
     };
     static constexpr uint64_t cookie = (1ULL << 62) + 1;   // of this class's timers
 
-    // `life`: identifies this process, different after each restart.
-    Admission(Context& context, uint64_t life, Events events);
+    // `incarnation`: identifies this process, different after each restart.
+    Admission(Context& context, uint64_t incarnation, Events events);
 
     // Consumes units at the moment of admission, when the request is complete and no host has it yet. If the
     // request has to wait, one of the events reports the outcome later.
     leases::Decision decide(const Request& request);
     // Requests units immediately, for requests that have started to wait.
-    void wait();
+    void wait_for_units();
     void withdraw(const Request& request);   // the client has left
     // Record the outcome of a wait.
     void note_granted(const Request& request);
@@ -38,22 +38,22 @@
 
     void configured();   // a new route table is in use
     void connected(bool is_up);
-    void fleet_told(const messages::FleetStatus& told);
+    void update_fleet(const messages::FleetStatus& update);
     void apply(const leases::LeaseReply& reply);
-    void woke();
+    void on_timer();
     void ask();   // sends a lease request if one is due
-    void refresh_figures();
+    void refresh_metrics();
 
 private:
-    void tell_decided();
+    void deliver_decisions();
 
     Context& context_;
     Events events_;
     leases::Holder leases_;
     QuotaReport report_;
     Invariant& used_units_were_lent_;
-    metrics::Counter without_room_;
-    Time wakes_at_ = long_ago;   // time of the timer set for waiting requests
+    metrics::Counter refused_for_room_;
+    Time timer_at_ = long_ago;   // time of the timer set for waiting requests
     bool control_is_current_ = false;
 };
 
--- a/src/roles/proxy/context.hpp
+++ b/src/roles/proxy/context.hpp
@@ -18,7 +18,7 @@
     run::Home& home;
     run::Log log;   // used by the loop
     run::Loop loop;
-    Pcg chance;
+    Pcg rng;
     metrics::Registry metrics;
     Invariants invariants{metrics, [](const std::string& line) {
                               log_error() << line;
@@ -33,13 +33,13 @@
           home(system),
           log(run::Level::error, system),
           loop(log, system),
-          chance(seed),
+          rng(seed),
           started(loop.now()) {}
     Time now() const { return loop.now(); }
-    size_t most_connections() const {
-        constexpr size_t kept_back = 64;
+    size_t max_connections() const {
+        constexpr size_t reserved = 64;
         const size_t allowed = std::min(settings.max_descriptors, home.most_descriptors());
-        return allowed > 2 * kept_back ? allowed - kept_back : kept_back;
+        return allowed > 2 * reserved ? allowed - reserved : reserved;
     }
 };
 
--- a/src/roles/proxy/front.hpp
+++ b/src/roles/proxy/front.hpp
@@ -18,7 +18,7 @@
     std::string method, target, content;
     std::vector<Field> fields;
     bool head_done = false;
-    bool old = false;   // the client speaks HTTP/1.0
+    bool is_http_1_0 = false;   // the client speaks HTTP/1.0
 
     int start(std::string_view verb, std::string_view path, std::string_view version) override;
     int field(std::string_view name, std::string_view value) override;
@@ -30,7 +30,7 @@
     void next() { *this = RequestReader(); }
 };
 
-class Front : public memory::Owner {
+class Frontend : public memory::Owner {
 public:
     struct Events {
         // A complete request; answered by one of the calls below.
@@ -39,24 +39,24 @@
         std::function<void(Request&)> drained;   // the output buffer is empty again
         std::function<bool()> ready;             // result of the readiness probe
     };
-    Front(Context& context, Events events);
+    Frontend(Context& context, Events events);
     bool open(std::string& fault);   // false: can't listen; `fault` names the settings key and the address
 
     // Complete responses.
-    void answer(Client& client, int status, const std::vector<Field>& fields, std::string_view body);
+    void respond(Client& client, int status, const std::vector<Field>& fields, std::string_view body);
     void refuse(Client& client, int status, Span retry_after = {});
     // A response sent in chunks.
-    void begin(Client& client, int status, const std::vector<Field>& fields);
-    void piece(Client& client, std::string_view bytes);
-    void finish(Client& client);
-    void abort(Client& client);                 // resets the connection, so that the client sees the truncation
-    bool crowded(const Client& client) const;   // the client reads more slowly than its host sends
+    void begin_response(Client& client, int status, const std::vector<Field>& fields);
+    void send_chunk(Client& client, std::string_view bytes);
+    void finish_response(Client& client);
+    void abort_response(Client& client);              // resets the connection, so that the client sees the truncation
+    bool is_backlogged(const Client& client) const;   // the client reads more slowly than its host sends
 
-    // From now on every response closes its connection. A request that arrives after `take_until` is refused, since
+    // From now on every response closes its connection. A request that arrives after `requests_end` is refused, since
     // its response might not be complete before the process ends.
-    void stop(Time take_until);
+    void stop(Time requests_end);
     void close_listeners();   // accepts the connections already queued, then no more
-    size_t connections() const { return open_; }
+    size_t connections() const { return open_connections_; }
 
     void came(memory::Connection& connection) override;
     void went(memory::Connection& connection) override;
@@ -71,44 +71,44 @@
     void begin_reading(Client& client);   // prepares the parser for a new request
     configuration::Limits limits() const;
     void begin_request(Client& client);   // from now on the request must be answered
-    void take(Client& client);
+    void dispatch(Client& client);
     std::string connection_fields(Client& client) const;
     Span idle_limit() const;
-    void rest(Client& client);
+    void end_response(Client& client);
     void end(Client& client, memory::Why why);
-    void part(Client& client, ConnectionEnd cause);
-    void note_end(Client& client, memory::Why why);
+    void half_close(Client& client, ConnectionEnd cause);
+    void report_end(Client& client, memory::Why why);
 
     Context& context_;
     Events events_;
-    FrontReport report_;
+    FrontendReport report_;
     Invariant& read_requests_are_answered_;
-    Listener* front_ = nullptr;
-    Listener* ready_ = nullptr;
+    Listener* client_listener_ = nullptr;
+    Listener* probe_listener_ = nullptr;
     std::set<Client*> clients_;
-    size_t open_ = 0;
-    bool stopping_ = false, closed_ = false;
-    Time take_until_;
+    size_t open_connections_ = 0;
+    bool stopping_ = false, listeners_closed_ = false;
+    Time requests_end_;
 };
 
 struct Client : memory::Connection {
-    Client(memory::Owner& by, int fd, size_t most_in, size_t most_out, bool probe)
-        : Connection(by, fd, most_in, most_out), http(wire::HttpMachine::Side::ask, reader), is_probe(probe) {
+    Client(memory::Owner& by, int fd, size_t max_in, size_t max_out, bool probe)
+        : Connection(by, fd, max_in, max_out), http(wire::HttpMachine::Side::ask, reader), is_probe(probe) {
         hears_leaving = true;
     }
     std::string name() const override { return "client"; }
     RequestReader reader;
     wire::HttpMachine http;
     Request* request = nullptr;
-    const bool is_probe;                                    // from the listener for readiness probes
-    bool busy = false;                                      // a request is in progress
-    bool chunked = true;                                    // the current response uses chunked encoding
-    bool last = false;                                      // the connection is closed after the current response
-    bool lingers = false;                                   // half-closed: only the peer may still send
-    ConnectionEnd parted_as = ConnectionEnd::client_left;   // why it was half-closed
-    Span told_rest;   // the idle timeout announced with the last response; 0 = none
-    Time rests_since, parted_at;
-    bool drains = false;   // the rest of a request that was refused early is read and discarded
+    const bool is_probe;                 // from the listener for readiness probes
+    bool busy = false;                   // a request is in progress
+    bool chunked = true;                 // the current response uses chunked encoding
+    bool close_after_response = false;   // the connection is closed after the current response
+    bool lingers = false;                // half-closed: only the peer may still send
+    ConnectionEnd half_close_cause = ConnectionEnd::client_left;   // why it was half-closed
+    Span announced_idle;   // the idle timeout announced with the last response; 0 = none
+    Time idle_since, half_closed_at;
+    bool discards_body = false;   // the rest of a request that was refused early is read and discarded
 };
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/front_report.cpp
+++ b/src/roles/proxy/front_report.cpp
@@ -28,7 +28,7 @@
     return "";
 }
 
-FrontReport::FrontReport(metrics::Registry& registry, Log log)
+FrontendReport::FrontendReport(metrics::Registry& registry, Log log)
     : log_(std::move(log)),
       read_(registry.counter("myrtleroute_requests_read_total", "Clients' requests that were read whole.")),
       ended_(counters_by(registry, "myrtleroute_requests_ended_total",
@@ -38,25 +38,25 @@
       unread_(counters_by(registry, "myrtleroute_client_connections_unread_total",
                           "Clients' connections closed over bytes that nobody had read.", "cause", connection_ends)) {}
 
-void FrontReport::request_read() { read_.add(); }
+void FrontendReport::request_read() { read_.add(); }
 
-void FrontReport::request_ended(RequestEnd end) { ended_[static_cast<size_t>(end)].add(); }
+void FrontendReport::request_ended(RequestEnd end) { ended_[static_cast<size_t>(end)].add(); }
 
-void FrontReport::connection_ended(ConnectionEnd cause) { connections_[static_cast<size_t>(cause)].add(); }
+void FrontendReport::connection_ended(ConnectionEnd cause) { connections_[static_cast<size_t>(cause)].add(); }
 
-void FrontReport::closed_over_unread(ConnectionEnd cause, Span ended_for, Span rested, Time now) {
+void FrontendReport::closed_over_unread(ConnectionEnd cause, Span since_half_close, Span idle_for, Time now) {
     const auto number = static_cast<size_t>(cause);
     unread_[number].add();
     if (!lines_[number].try_log(now)) return;
     std::ostringstream line;
     line.precision(3);
-    line << "client connection closed with unread bytes: " << to_string(cause) << ", " << std::fixed << ended_for.s
-         << " s after half-close, idle for " << rested.s << " s before; "
+    line << "client connection closed with unread bytes: " << to_string(cause) << ", " << std::fixed
+         << since_half_close.s << " s after half-close, idle for " << idle_for.s << " s before; "
          << static_cast<unsigned long>(unread_[number].value()) << " so far";
     log_(line.str());
 }
 
-double FrontReport::under_way() const {
+double FrontendReport::in_progress() const {
     double ended = 0;
     for (const auto& requests : ended_) ended += requests.value();
     return read_.value() - ended;
--- a/src/roles/proxy/front_report.hpp
+++ b/src/roles/proxy/front_report.hpp
@@ -33,22 +33,22 @@
 std::string_view to_string(ConnectionEnd cause);
 std::string_view to_string(RequestEnd end);
 
-class FrontReport {
+class FrontendReport {
 public:
     using Log = std::function<void(const std::string& line)>;
 
     // `log` receives at most one line a second for each cause.
-    FrontReport(metrics::Registry& registry, Log log);
+    FrontendReport(metrics::Registry& registry, Log log);
 
     void request_read();
     void request_ended(RequestEnd end);
     void connection_ended(ConnectionEnd cause);
     // A connection was closed with unread bytes pending. `since_half_close`: time since the proxy half-closed it;
     // `idle_for`: how long it had been idle before that.
-    void closed_over_unread(ConnectionEnd cause, Span ended_for, Span rested, Time now);
+    void closed_over_unread(ConnectionEnd cause, Span since_half_close, Span idle_for, Time now);
 
     // Requests read whose end has not been reported.
-    double under_way() const;
+    double in_progress() const;
 
 private:
     Log log_;
--- a/src/roles/proxy/hosts.cpp
+++ b/src/roles/proxy/hosts.cpp
@@ -13,15 +13,15 @@
 using memory::Connection;
 using memory::Why;
 
-constexpr size_t most_in = 64 * 1024, most_out = 6 << 20;
-constexpr size_t most_answer = 64 << 20;         // of a stream; memory is bounded by the client's output buffer
-constexpr size_t buffered_answer = 256 * 1024;   // a larger response is forwarded before it is complete
-constexpr Span connect_within{1}, probe_within{2};
-constexpr double keep_share = 0.7;   // idle connections close after this fraction of the host's keep-alive
-constexpr Span kept_untold{4};
-constexpr Span remembered_gone{60};
+constexpr size_t max_in = 64 * 1024, max_out = 6 << 20;
+constexpr size_t max_response = 64 << 20;              // of a stream; memory is bounded by the client's output buffer
+constexpr size_t max_buffered_response = 256 * 1024;   // a larger response is forwarded before it is complete
+constexpr Span connect_timeout{1}, probe_timeout{2};
+constexpr double keep_alive_share = 0.7;   // idle connections close after this fraction of the host's keep-alive
+constexpr Span default_keep_alive{4};
+constexpr Span keep_gone_for{60};
 constexpr double running_weight = 0.3;   // of a running request in a host's reported load; a waiting one weighs 1
-constexpr size_t most_idle = 24;         // idle connections kept for each host
+constexpr size_t max_idle = 24;          // idle connections kept for each host
 
 }   // namespace
 
@@ -47,13 +47,13 @@
     return 0;
 }
 
-Hosts::Hosts(Context& context, Events events)
+HostConnections::HostConnections(Context& context, Events events)
     : context_(context),
       events_(std::move(events)),
-      idle_beyond_(bound_reached_counter(context.metrics, "idle_connections_of_a_host")),
-      shed_(bound_reached_counter(context.metrics, "connections")) {}
+      idle_limit_reached_(bound_reached_counter(context.metrics, "idle_connections_of_a_host")),
+      connection_limit_reached_(bound_reached_counter(context.metrics, "connections")) {}
 
-HostRecord& Hosts::record(const registry::Host& host) {
+HostRecord& HostConnections::record(const registry::Host& host) {
     const ServerId id = fnv1a(host.id) | 1;   // never 0, which means no host
     auto& slot = hosts_[id];
     if (!slot) {
@@ -67,85 +67,85 @@
     return *slot;
 }
 
-HostRecord* Hosts::find(ServerId id) {
+HostRecord* HostConnections::find(ServerId id) {
     const auto it = hosts_.find(id);
     return it == hosts_.end() ? nullptr : it->second.get();
 }
 
-void Hosts::forget_gone() {
+void HostConnections::forget_gone() {
     std::erase_if(hosts_, [this](const auto& known) {
         const auto& host = *known.second;
         return host.host.state == registry::HostState::gone && *host.connections == 0 &&
-               context_.now() - host.gone_since > remembered_gone;
+               context_.now() - host.gone_since > keep_gone_for;
     });
 }
 
-void Hosts::send(Request& request, ServerId id, Span try_for) {
+void HostConnections::send(Request& request, ServerId id, Span timeout) {
     const int number = static_cast<int>(request.attempts.size());
     auto outcome = Outcome::never_sent;
     auto* host = find(id);
-    HostConnection* connection = host && try_for > Span{} ? connection_to(*host, outcome) : nullptr;
+    HostConnection* connection = host && timeout > Span{} ? connection_to(*host, outcome) : nullptr;
     request.attempts.push_back(connection);
     ++request.open_attempts;
-    if (!connection) return tell(request.id, number, outcome);
+    if (!connection) return queue_attempt_end(request.id, number, outcome);
     connection->request = &request;
     connection->number = number;
-    dispatch(*connection, try_for);
+    dispatch(*connection, timeout);
 }
 
 // Takes the most recently used idle connection that the host has not closed, or opens a new one. Null on failure,
-// with the reason in `otherwise`.
-HostConnection* Hosts::connection_to(HostRecord& host, Outcome& otherwise) {
+// with the reason in `failure`.
+HostConnection* HostConnections::connection_to(HostRecord& host, Outcome& failure) {
     if (auto* idle = idle_connection(host)) return idle;
-    if (context_.loop.connections() >= context_.most_connections() && !shed()) return nullptr;
-    bool at_once = false;
-    const int fd = context_.home.connect_to(host.address, at_once);
+    if (context_.loop.connections() >= context_.max_connections() && !close_oldest_idle()) return nullptr;
+    bool immediate = false;
+    const int fd = context_.home.connect_to(host.address, immediate);
     if (fd < 0) {
-        if (errno != EMFILE && errno != ENFILE) otherwise = Outcome::connect_failed;
+        if (errno != EMFILE && errno != ENFILE) failure = Outcome::connect_failed;
         return nullptr;
     }
     wire::HttpLimits limits;
-    limits.body = most_answer;
-    auto connection = std::make_unique<HostConnection>(*this, fd, host, most_in, most_out, limits);
-    connection->connecting = !at_once;
+    limits.body = max_response;
+    auto connection = std::make_unique<HostConnection>(*this, fd, host, max_in, max_out, limits);
+    connection->connecting = !immediate;
     return &context_.loop.adopt(std::move(connection));
 }
 
-HostConnection* Hosts::idle_connection(HostRecord& host) {
+HostConnection* HostConnections::idle_connection(HostRecord& host) {
     while (!host.idle.empty()) {
         auto& connection = *host.idle.front();
-        unused(connection);
+        remove_from_idle(connection);
         if (context_.home.still_quiet(connection.fd)) return &connection;
         context_.loop.end(connection, Why::peer_closed);
     }
     return nullptr;
 }
 
-void Hosts::dispatch(HostConnection& connection, Span try_for) {
+void HostConnections::dispatch(HostConnection& connection, Span timeout) {
     connection.sent = context_.now();
-    connection.until = connection.sent + try_for;
-    connection.foreign = connection.streamed = false;
-    const Time up_by = connection.sent + connect_within;
-    context_.loop.set(connection, connection.connecting ? std::min(connection.until, up_by) : connection.until);
+    connection.deadline = connection.sent + timeout;
+    connection.stale = connection.streamed = false;
+    const Time up_by = connection.sent + connect_timeout;
+    context_.loop.set(connection, connection.connecting ? std::min(connection.deadline, up_by) : connection.deadline);
     if (!connection.connecting) write(connection);
 }
 
-void Hosts::up(Connection& base) {
+void HostConnections::up(Connection& base) {
     auto& connection = static_cast<HostConnection&>(base);
-    if (connection.request && !events_.may_begin(*connection.request, connection.number))
-        return ends(connection, Outcome::never_sent, Why::server_left);
-    context_.loop.set(connection, connection.until);
+    if (connection.request && !events_.may_start(*connection.request, connection.number))
+        return end_attempt(connection, Outcome::never_sent, Why::server_left);
+    context_.loop.set(connection, connection.deadline);
     write(connection);
 }
 
-void Hosts::write(HostConnection& connection) {
+void HostConnections::write(HostConnection& connection) {
     std::string text;
     if (connection.is_probe) {
         text =
             "GET " + connection.host->probe_path + " HTTP/1.1\r\nHost: " + connection.host->host.address + "\r\n\r\n";
     } else {
         const auto& request = *connection.request;
-        const auto left = std::max(1LL, static_cast<long long>((connection.until - context_.now()).s * 1e3));
+        const auto left = std::max(1LL, static_cast<long long>((connection.deadline - context_.now()).s * 1e3));
         text = request.method + " " + request.target + " HTTP/1.1\r\n";
         for (const auto& [name, value] : request.fields) text.append(name).append(": ").append(value).append("\r\n");
         text.append("X-Deadline-Ms: ").append(std::to_string(left)).append("\r\n");
@@ -162,10 +162,10 @@
     context_.loop.flush(connection);
 }
 
-void Hosts::came(Connection& base) {
+void HostConnections::came(Connection& base) {
     auto& connection = static_cast<HostConnection&>(base);
     if (!connection.busy()) {
-        unused(connection);
+        remove_from_idle(connection);
         return context_.loop.end(connection, Why::peer_closed);
     }
     while (connection.open() && connection.busy() && !connection.in.empty() && !connection.http.done() &&
@@ -173,89 +173,89 @@
         const bool in_head = !connection.reader.head_done;
         connection.in.drop(connection.http.feed(connection.in.front()));
         if (in_head && connection.reader.head_done) head_came(connection);
-        if (connection.http.done() && connection.foreign) {   // a surplus response; the expected one may follow
+        if (connection.http.done() && connection.stale) {   // a surplus response; the expected one may follow
             connection.http.next();
             connection.reader = {};
-            connection.foreign = false;
+            connection.stale = false;
         }
     }
     if (connection.ended && !connection.http.done()) connection.http.closed();
-    if (!connection.http.fault() && connection.reader.head_done && !connection.foreign) take_body(connection);
+    if (!connection.http.fault() && connection.reader.head_done && !connection.stale) take_body(connection);
     if (!connection.open() || !connection.busy()) return;
-    if (connection.http.done() && !connection.foreign) return done(connection);
+    if (connection.http.done() && !connection.stale) return response_complete(connection);
     const bool wrote_all = connection.out.empty();
     if (connection.http.fault())
-        ends(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, Why::bad_answer);
+        end_attempt(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, Why::bad_answer);
     else if (connection.ended)
-        ends(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, Why::peer_closed);
+        end_attempt(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, Why::peer_closed);
 }
 
-void Hosts::head_came(HostConnection& connection) {
+void HostConnections::head_came(HostConnection& connection) {
     const auto& reader = connection.reader;
     if (connection.request && !connection.is_probe) {
         const auto own = field_value(connection.request->fields, "X-Request-Id");
-        connection.foreign = reader.request_id.empty() ? reader.status < 300 && !own.empty() : reader.request_id != own;
+        connection.stale = reader.request_id.empty() ? reader.status < 300 && !own.empty() : reader.request_id != own;
     }
-    if (connection.foreign) return;
+    if (connection.stale) return;
     auto& host = *connection.host;
-    events_.heard(host.service, host.id);
+    events_.host_active(host.service, host.id);
     auto load = std::string_view(reader.load);
     const auto running = wire::decimal(wire::next_part(load)), waiting = wire::decimal(wire::next_part(load));
     // A request counts as running from its first token. Before that it costs the host most, so waiting requests
     // weigh more.
-    if (running && waiting) events_.reported(host.service, host.id, running_weight * *running + *waiting);
+    if (running && waiting) events_.load_reported(host.service, host.id, running_weight * *running + *waiting);
 }
 
 // Forwards the received part of a successful response, unless it is held back until complete.
-void Hosts::take_body(HostConnection& connection) {
+void HostConnections::take_body(HostConnection& connection) {
     if (!connection.request || connection.reader.content.empty()) return;
     auto& request = *connection.request;
     auto& reader = connection.reader;
     const bool success = reader.status >= 200 && reader.status < 300;
     if (!success || reader.not_executed) return;
-    const bool passes = request.streams() || connection.streamed || reader.content.size() > buffered_answer;
+    const bool passes = request.streams() || connection.streamed || reader.content.size() > max_buffered_response;
     if (!passes) return;
     auto bytes = std::exchange(reader.content, {});
     if (request.streams()) bytes = request.events.feed(bytes);
-    events_.heard(connection.host->service, connection.host->id);
+    events_.host_active(connection.host->service, connection.host->id);
     if (bytes.empty()) return;
-    if (!std::exchange(connection.streamed, true)) events_.began(request, connection);
-    events_.piece(request, &connection, bytes);
+    if (!std::exchange(connection.streamed, true)) events_.response_began(request, connection);
+    events_.response_chunk(request, &connection, bytes);
 }
 
-void Hosts::done(HostConnection& connection) {
+void HostConnections::response_complete(HostConnection& connection) {
     auto* request = connection.request;
     const auto call = request ? request->id : 0;
     const int number = connection.number;
     auto& host = *connection.host;
     auto reader = std::move(connection.reader);
     const bool streamed = connection.streamed, probe = connection.is_probe;
-    host.heard = context_.now();
+    host.last_response = context_.now();
     if (request) request->attempts[static_cast<size_t>(number)] = nullptr;
     release(connection);
     if (probe) {
         const bool well = reader.status >= 200 && reader.status < 300;
-        ended_.push_back({0, 0, Outcome::fulfilled, host.id, host.service, well});
+        pending_ends_.push_back({0, 0, Outcome::fulfilled, host.id, host.service, well});
         return;
     }
     if (reader.status == 421) events_.misdirected(host);
-    if (reader.not_executed || reader.status == 421) return tell(call, number, Outcome::full);
+    if (reader.not_executed || reader.status == 421) return queue_attempt_end(call, number, Outcome::full);
     Reply reply{reader.status, std::move(reader.fields), std::move(reader.content)};
     if (reader.status >= 500) {
-        events_.failed(*request, std::move(reply));
-        return tell(call, number, Outcome::errored);
+        events_.host_failed(*request, std::move(reply));
+        return queue_attempt_end(call, number, Outcome::errored);
     }
     events_.answered(*request, reply, streamed);
-    tell(call, number, Outcome::fulfilled);
+    queue_attempt_end(call, number, Outcome::fulfilled);
 }
 
 // Returns the connection to the idle pool, or closes it if it can't be reused.
-void Hosts::release(HostConnection& connection) {
+void HostConnections::release(HostConnection& connection) {
     auto& host = *connection.host;
     const bool keeps = connection.http.keeps() && connection.in.empty() && !connection.ended && !connection.error &&
                        connection.out.empty() && host.host.state != registry::HostState::gone;
-    const bool has_room = host.idle.size() < most_idle;
-    if (keeps && !has_room) idle_beyond_.add();
+    const bool has_room = host.idle.size() < max_idle;
+    if (keeps && !has_room) idle_limit_reached_.add();
     if (connection.reader.keep_alive > 0) connection.keep_alive = connection.reader.keep_alive;
     connection.request = nullptr;
     connection.is_probe = connection.deaf = false;
@@ -263,35 +263,37 @@
     connection.http.next();
     connection.reader = {};
     connection.idle = true;
-    connection.place = idle_.insert(idle_.begin(), &connection);
-    connection.host_place = host.idle.insert(host.idle.begin(), &connection);
-    const Span kept = connection.keep_alive > 0 ? Span{connection.keep_alive * keep_share} : kept_untold;
+    connection.idle_position = idle_.insert(idle_.begin(), &connection);
+    connection.host_idle_position = host.idle.insert(host.idle.begin(), &connection);
+    const Span kept = connection.keep_alive > 0 ? Span{connection.keep_alive * keep_alive_share} : default_keep_alive;
     context_.loop.set(connection, context_.now() + kept);
     context_.loop.flush(connection);   // resumes reading
 }
 
-void Hosts::tell(CallId call, int number, Outcome outcome) { ended_.push_back({call, number, outcome, 0, 0, false}); }
+void HostConnections::queue_attempt_end(CallId call, int number, Outcome outcome) {
+    pending_ends_.push_back({call, number, outcome, 0, 0, false});
+}
 
-void Hosts::ends(HostConnection& connection, Outcome outcome, Why why) {
+void HostConnections::end_attempt(HostConnection& connection, Outcome outcome, Why why) {
     auto* request = std::exchange(connection.request, nullptr);
     const int number = connection.number;
     auto& host = *connection.host;
     const bool probe = connection.is_probe;
     context_.loop.end(connection, why);
     if (probe) {
-        ended_.push_back({0, 0, outcome, host.id, host.service, false});
+        pending_ends_.push_back({0, 0, outcome, host.id, host.service, false});
         return;
     }
     if (!request) return;
     request->attempts[static_cast<size_t>(number)] = nullptr;
     request->events.discard_partial_event();
-    tell(request->id, number, outcome);
+    queue_attempt_end(request->id, number, outcome);
 }
 
-void Hosts::settle() {
-    while (!ended_.empty()) {
-        const auto ended = ended_.front();
-        ended_.pop_front();
+void HostConnections::settle() {
+    while (!pending_ends_.empty()) {
+        const auto ended = pending_ends_.front();
+        pending_ends_.pop_front();
         if (ended.probed)
             events_.probe_ended(ended.service, ended.probed, ended.answered);
         else
@@ -299,79 +301,79 @@
     }
 }
 
-void Hosts::cancel(Request& request, int number) {
+void HostConnections::cancel(Request& request, int number) {
     if (number < 0 || number >= static_cast<int>(request.attempts.size())) return;
     auto* connection = request.attempts[static_cast<size_t>(number)];
     if (!connection) return;
-    ends(*connection, connection->connecting ? Outcome::never_sent : Outcome::cancelled, Why::cancelled);
+    end_attempt(*connection, connection->connecting ? Outcome::never_sent : Outcome::cancelled, Why::cancelled);
 }
 
-void Hosts::abandon(Request& request) {
+void HostConnections::abandon(Request& request) {
     for (size_t number = 0; number < request.attempts.size(); ++number) cancel(request, static_cast<int>(number));
 }
 
-void Hosts::probe(ServerId id) {
+void HostConnections::probe(ServerId id) {
     auto* host = find(id);
     auto outcome = Outcome::never_sent;
     HostConnection* connection = host ? connection_to(*host, outcome) : nullptr;
     if (!connection) {
-        ended_.push_back({0, 0, outcome, id, host ? host->service : 0, false});
+        pending_ends_.push_back({0, 0, outcome, id, host ? host->service : 0, false});
         return;
     }
     connection->is_probe = true;
-    dispatch(*connection, probe_within);
+    dispatch(*connection, probe_timeout);
 }
 
-void Hosts::resume_reading(Request& request) {
+void HostConnections::resume_reading(Request& request) {
     for (auto* connection : request.attempts)
         if (connection && std::exchange(connection->deaf, false)) context_.loop.flush(*connection);
 }
 
-void Hosts::broke(Connection& base, int error) {
+void HostConnections::broke(Connection& base, int error) {
     auto& connection = static_cast<HostConnection&>(base);
     if (!connection.busy()) {
-        unused(connection);
+        remove_from_idle(connection);
         return context_.loop.end(connection, Why::peer_reset);
     }
     const bool may_have_run = !connection.connecting && connection.out.empty();
-    ends(connection, may_have_run ? Outcome::reset : Outcome::connect_failed,
-         error == ECONNREFUSED ? Why::nobody_listens : Why::peer_reset);
+    end_attempt(connection, may_have_run ? Outcome::reset : Outcome::connect_failed,
+                error == ECONNREFUSED ? Why::nobody_listens : Why::peer_reset);
 }
 
-void Hosts::due(Connection& base) {
+void HostConnections::due(Connection& base) {
     auto& connection = static_cast<HostConnection&>(base);
     if (connection.idle) {
-        unused(connection);
+        remove_from_idle(connection);
         return context_.loop.end(connection, Why::idle);
     }
     // A host that has been cut off from the network sends nothing, and its idle connections are reset once it is
     // back.
-    if (connection.host->heard < connection.sent) close_idle(*connection.host);
+    if (connection.host->last_response < connection.sent) close_idle(*connection.host);
     const bool may_have_run = !connection.connecting && connection.out.empty();
-    ends(connection, may_have_run ? Outcome::timed_out : Outcome::connect_failed,
-         connection.connecting ? Why::connect_timed_out : Why::answer_timed_out);
+    end_attempt(connection, may_have_run ? Outcome::timed_out : Outcome::connect_failed,
+                connection.connecting ? Why::connect_timed_out : Why::answer_timed_out);
 }
 
-void Hosts::unused(HostConnection& connection) {
+void HostConnections::remove_from_idle(HostConnection& connection) {
     if (!std::exchange(connection.idle, false)) return;
-    idle_.erase(connection.place);
-    connection.host->idle.erase(connection.host_place);
+    idle_.erase(connection.idle_position);
+    connection.host->idle.erase(connection.host_idle_position);
     context_.loop.clear(connection);
 }
 
-void Hosts::close_idle(HostRecord& host) {
+void HostConnections::close_idle(HostRecord& host) {
     while (!host.idle.empty()) {
         auto& connection = *host.idle.front();
-        unused(connection);
+        remove_from_idle(connection);
         context_.loop.end(connection, Why::server_left);
     }
 }
 
-bool Hosts::shed() {
-    shed_.add();
+bool HostConnections::close_oldest_idle() {
+    connection_limit_reached_.add();
     if (idle_.empty()) return false;
     auto& connection = *idle_.back();
-    unused(connection);
+    remove_from_idle(connection);
     context_.loop.end(connection, Why::shed);
     return true;
 }
--- a/src/roles/proxy/hosts.hpp
+++ b/src/roles/proxy/hosts.hpp
@@ -29,7 +29,7 @@
     // Open connections to the host. The connections share the counter because they outlive this record when the
     // process ends.
     std::shared_ptr<int> connections = std::make_shared<int>(0);
-    Time heard = long_ago;   // time of its last complete response
+    Time last_response = long_ago;   // time of its last complete response
     Time gone_since = long_ago;
 };
 
@@ -51,38 +51,38 @@
     void body(std::string_view bytes) override { content.append(bytes); }
 };
 
-class Hosts : public memory::Owner {
+class HostConnections : public memory::Owner {
 public:
     struct Events {
         // A successful response that is forwarded as it arrives.
-        std::function<void(Request&, HostConnection&)> began;
+        std::function<void(Request&, HostConnection&)> response_began;
         std::function<void(Request&, HostConnection*, const std::string&)>
-            piece;   // bytes of it; for event streams whole events only
+            response_chunk;   // bytes of it; for event streams whole events only
         std::function<void(Request&, const Reply&, bool streamed)>
-            answered;                                  // a complete response, reported before the end of the attempt
-        std::function<void(Request&, Reply)> failed;   // a 5xx response of the host
-        std::function<void(size_t service, ServerId)> heard;
-        std::function<void(size_t service, ServerId, double held)> reported;
+            answered;   // a complete response, reported before the end of the attempt
+        std::function<void(Request&, Reply)> host_failed;   // a 5xx response of the host
+        std::function<void(size_t service, ServerId)> host_active;
+        std::function<void(size_t service, ServerId, double held)> load_reported;
         std::function<void(HostRecord&)> misdirected;   // the address now belongs to another host
         // The end of an attempt or a probe. Reported by `settle`, never from within the call that caused it.
         std::function<void(CallId, int number, Outcome)> attempt_ended;
         std::function<void(size_t service, ServerId, bool answered)> probe_ended;
-        std::function<bool(Request&, int number)> may_begin;
+        std::function<bool(Request&, int number)> may_start;
     };
-    Hosts(Context& context, Events events);
+    HostConnections(Context& context, Events events);
 
     HostRecord& record(const registry::Host& host);   // created if unknown
     HostRecord* find(ServerId id);
     void forget_gone();   // removes hosts that are gone and have no connection
 
-    void send(Request& request, ServerId host, Span try_for);
+    void send(Request& request, ServerId host, Span timeout);
     void cancel(Request& request, int number);   // reported as cancelled
     void abandon(Request& request);              // cancels all its attempts
     void probe(ServerId host);
     void close_idle(HostRecord& host);
     void resume_reading(Request& request);   // the client's buffer has room again
     void settle();                           // reports the ends
-    bool settled() const { return ended_.empty(); }
+    bool settled() const { return pending_ends_.empty(); }
 
     void up(memory::Connection& connection) override;
     void came(memory::Connection& connection) override;
@@ -90,7 +90,7 @@
     void due(memory::Connection& connection) override;
 
 private:
-    struct Ended {
+    struct PendingEnd {
         CallId call;
         int number;
         Outcome outcome;
@@ -98,30 +98,30 @@
         size_t service;
         bool answered;
     };
-    HostConnection* connection_to(HostRecord& host, Outcome& otherwise);
+    HostConnection* connection_to(HostRecord& host, Outcome& failure);
     HostConnection* idle_connection(HostRecord& host);
-    void dispatch(HostConnection& connection, Span try_for);
+    void dispatch(HostConnection& connection, Span timeout);
     void write(HostConnection& connection);
     void head_came(HostConnection& connection);
     void take_body(HostConnection& connection);
-    void done(HostConnection& connection);
+    void response_complete(HostConnection& connection);
     void release(HostConnection& connection);
-    void ends(HostConnection& connection, Outcome outcome, memory::Why why);
-    void tell(CallId call, int number, Outcome outcome);
-    void unused(HostConnection& connection);
-    bool shed();
+    void end_attempt(HostConnection& connection, Outcome outcome, memory::Why why);
+    void queue_attempt_end(CallId call, int number, Outcome outcome);
+    void remove_from_idle(HostConnection& connection);
+    bool close_oldest_idle();
 
     Context& context_;
     Events events_;
-    metrics::Counter idle_beyond_, shed_;
+    metrics::Counter idle_limit_reached_, connection_limit_reached_;
     std::unordered_map<ServerId, std::unique_ptr<HostRecord>> hosts_;
     std::list<HostConnection*> idle_;   // most recently used first
-    std::deque<Ended> ended_;
+    std::deque<PendingEnd> pending_ends_;
 };
 
 struct HostConnection : memory::Connection {
-    HostConnection(memory::Owner& by, int fd, HostRecord& to, size_t most_in, size_t most_out, wire::HttpLimits limits)
-        : Connection(by, fd, most_in, most_out),
+    HostConnection(memory::Owner& by, int fd, HostRecord& to, size_t max_in, size_t max_out, wire::HttpLimits limits)
+        : Connection(by, fd, max_in, max_out),
           host(&to),
           connections(to.connections),
           http(wire::HttpMachine::Side::answer, reader, limits) {
@@ -139,12 +139,12 @@
     Request* request = nullptr;
     int number = 0;   // number of the attempt
     bool is_probe = false;
-    bool foreign = false;    // the current response belongs to an earlier request
+    bool stale = false;      // the current response belongs to an earlier request
     bool streamed = false;   // the response is forwarded as it arrives
-    Time sent, until;
+    Time sent, deadline;
     bool idle = false;
     double keep_alive = 0;   // seconds that the host keeps it open while idle, 0 = not announced
-    std::list<HostConnection*>::iterator place, host_place;
+    std::list<HostConnection*>::iterator idle_position, host_idle_position;
 };
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/metrics_listener.cpp
+++ b/src/roles/proxy/metrics_listener.cpp
@@ -16,12 +16,12 @@
 using memory::Connection;
 using memory::Why;
 
-constexpr size_t most_connections = 8;
-constexpr size_t most_in = 4096, most_out = 2 << 20;   // bytes
+constexpr size_t max_connections = 8;
+constexpr size_t max_in = 4096, max_out = 2 << 20;   // bytes
 constexpr wire::HttpLimits limits{2048, 8192, 1024};
-constexpr Span answered_within{5};   // for the whole exchange
-constexpr Span linger{1};            // for the peer to close after the response
-constexpr Span accept_again{0.1};
+constexpr Span exchange_timeout{5};   // for the whole exchange
+constexpr Span linger{1};             // for the peer to close after the response
+constexpr Span accept_retry_delay{0.1};
 
 std::string head(const MetricsResponse& answer) {
     std::string text = answer.status == 200 ? "HTTP/1.1 200 OK\r\n" : "HTTP/1.1 404 Not Found\r\n";
@@ -51,7 +51,7 @@
 
 struct MetricsListener::Scrape : Connection {
     Scrape(memory::Owner& by, int fd)
-        : Connection(by, fd, most_in, most_out), http(wire::HttpMachine::Side::ask, reader, limits) {}
+        : Connection(by, fd, max_in, max_out), http(wire::HttpMachine::Side::ask, reader, limits) {}
     std::string name() const override { return "metrics"; }
     Reader reader;
     wire::HttpMachine http;
@@ -78,7 +78,7 @@
 }
 
 void MetricsListener::accept() {
-    while (open_ < most_connections && context_.loop.connections() < context_.most_connections()) {
+    while (open_ < max_connections && context_.loop.connections() < context_.max_connections()) {
         const int fd = context_.home.accept(listener_->fd);
         if (fd < 0) {
             if (errno == EINTR || errno == ECONNABORTED) continue;
@@ -87,10 +87,10 @@
         }
         auto& scrape = context_.loop.adopt(std::make_unique<Scrape>(*this, fd));
         ++open_;
-        context_.loop.set(scrape, context_.now() + answered_within);
+        context_.loop.set(scrape, context_.now() + exchange_timeout);
     }
     context_.loop.listen_to(*listener_, false);
-    context_.loop.set(*listener_, context_.now() + accept_again);
+    context_.loop.set(*listener_, context_.now() + accept_retry_delay);
 }
 
 void MetricsListener::came(Connection& connection) {
@@ -117,7 +117,7 @@
         answer =
             respond_to_scrape(scrape.reader.method, scrape.reader.target, context_.settings.metrics->path, render_);
     const auto text = head(answer);
-    if (text.size() + answer.body.size() > most_out) return end(scrape, Why::bad_answer);
+    if (text.size() + answer.body.size() > max_out) return end(scrape, Why::bad_answer);
     scrape.out.push(text);
     scrape.out.push(answer.body);
     context_.loop.flush(scrape);
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -10,14 +10,14 @@
 namespace myrtleroute::proxy {
 namespace {
 
-constexpr Span tick_every{0.2};
-constexpr double until_ready = 0.25;           // fraction of the tick interval while not ready
+constexpr Span tick_interval{0.2};
+constexpr double not_ready_factor = 0.25;      // fraction of the tick interval while not ready
 constexpr uint64_t tick_cookie = 1ULL << 62;   // the pools' cookies are below 2^61
 constexpr int exit_fault = 2;
-constexpr Span refused_again{0.2};
-constexpr Span usual_start{1};    // typical time from process start until configuration and hosts are known
-constexpr Span come_back{0.02};   // Retry-After near the process's end: another proxy may take it at once
-constexpr Span shutdown_every{0.05};
+constexpr Span retry_delay{0.2};
+constexpr Span typical_startup{1};            // typical time from process start until configuration and hosts are known
+constexpr Span retry_elsewhere_after{0.02};   // Retry-After near the process's end: another proxy may take it at once
+constexpr Span shutdown_poll_interval{0.05};
 
 struct Signals : memory::Connection {
     Signals(memory::Owner& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
@@ -40,20 +40,20 @@
       cut_report_(context_.metrics, [](const std::string& line) { log_info() << line; }),
       front_(context_, front_events()),
       hosts_(context_, host_events()),
-      rollouts_({context_.settings.node_name, context_.settings.zone, seed}, context_.chance.next()),
-      services_(context_, hosts_, rollouts_, pool_events()),
+      rollout_watcher_({context_.settings.node_name, context_.settings.zone, seed}, context_.rng.next()),
+      services_(context_, hosts_, rollout_watcher_, pool_events()),
       admission_(context_, seed, admission_events()),
       configuration_lease_(context_.settings.revocation_bound),
       refused_without_lease_(
           context_.metrics.counter("myrtleroute_refused_without_configuration_lease_total",
                                    "Requests with keys refused since the configuration may be old.")),
       subscription_(context_, subscription_events()),
-      metrics_listener_(context_, [this] { return figures(); }),
+      metrics_listener_(context_, [this] { return render_metrics(); }),
       hosts_evicted_(bound_reached_counter(context_.metrics, "hosts")),
       shutdown_(context_.settings.termination_grace) {}
 
-Front::Events Proxy::front_events() {
-    return {[this](Client& client, RequestReader& reader) { arrived(client, reader); },
+Frontend::Events Proxy::front_events() {
+    return {[this](Client& client, RequestReader& reader) { on_request(client, reader); },
             [this](Request& request) { client_left(request); },
             [this](Request& request) { hosts_.resume_reading(request); },
             [this] {
@@ -61,12 +61,12 @@
             }};
 }
 
-Hosts::Events Proxy::host_events() {
-    return {[this](Request& request, HostConnection& connection) { began(request, connection); },
+HostConnections::Events Proxy::host_events() {
+    return {[this](Request& request, HostConnection& connection) { response_began(request, connection); },
             [this](Request& request, HostConnection* connection, const std::string& bytes) {
-                piece(request, connection, bytes);
+                response_chunk(request, connection, bytes);
             },
-            [this](Request& request, const Reply& reply, bool streamed) { answered(request, reply, streamed); },
+            [this](Request& request, const Reply& reply, bool streamed) { response_ended(request, reply, streamed); },
             [](Request& request, Reply reply) { request.last_failure = std::move(reply); },
             [this](size_t service, ServerId id) {
                 if (auto* pool = services_.find(service)) pool->balancer().data_received(context_.now(), id);
@@ -78,7 +78,7 @@
                 auto gone = host.host;
                 gone.state = registry::HostState::gone;
                 hosts_.close_idle(host);
-                if (auto* pool = services_.find(host.service)) pool->told(gone, host.id);
+                if (auto* pool = services_.find(host.service)) pool->update_host(gone, host.id);
             },
             [this](CallId call, int number, Outcome outcome) { attempt_ended(call, number, outcome); },
             [this](size_t service, ServerId id, bool answered) {
@@ -91,11 +91,11 @@
 }
 
 ServicePool::Events Proxy::pool_events() {
-    return {[this](CallId call, ServerId host, Span try_for) {
+    return {[this](CallId call, ServerId host, Span timeout) {
                 auto* request = requests_.find(call);
                 if (!request) return;
                 request->times.push_back({host, context_.now(), {}, {}, 0});
-                hosts_.send(*request, host, try_for);
+                hosts_.send(*request, host, timeout);
             },
             [this](CallId call, int attempt) {
                 if (auto* request = requests_.find(call)) hosts_.cancel(*request, attempt);
@@ -117,15 +117,15 @@
                 admit(*request);
             },
             [this](CallId call, const leases::Decision& decision) {
-                turn_away(call, decision);
+                refuse_over_quota(call, decision);
             }};
 }
 
 Subscription::Events Proxy::subscription_events() {
-    return {[this](const messages::ConfigurationUpdate& told) { configured(told); },
-            [this](const messages::HostsUpdate& told) { services_.hosts_told(told); },
-            [this](const messages::RolloutsUpdate& told) { services_.rollouts_told(told); },
-            [this](const messages::FleetStatus& told) { fleet_told(told); },
+    return {[this](const messages::ConfigurationUpdate& update) { apply_configuration(update); },
+            [this](const messages::HostsUpdate& update) { services_.update_hosts(update); },
+            [this](const messages::RolloutsUpdate& update) { services_.update_rollouts(update); },
+            [this](const messages::FleetStatus& update) { update_fleet(update); },
             [this](const leases::LeaseReply& reply) { admission_.apply(reply); },
             [this](const leases::ConfigurationLeaseReply& reply) { configuration_lease_.apply(reply); },
             [this](bool is_up) {
@@ -169,7 +169,7 @@
 
 // Clients.
 
-void Proxy::arrived(Client& client, RequestReader& reader) {
+void Proxy::on_request(Client& client, RequestReader& reader) {
     if (!context_.table) return front_.refuse(client, 503, until_started());
     auto request = std::make_unique<Request>();
     request->table = context_.table;
@@ -179,22 +179,24 @@
         if (may_be_old) refused_without_lease_.add();
         return front_.refuse(client, status, may_be_old ? until_started() : Span{});
     }
-    if (!requests_.has_room(reader.content.size())) return front_.refuse(client, 503, refused_again);
+    if (!requests_.has_room(reader.content.size())) return front_.refuse(client, 503, retry_delay);
     request->id = requests_.next_number();
     read_terms(*request, reader, context_.now());
-    if (outlasts_process(*request)) return front_.refuse(client, 503, come_back);
+    if (outlasts_process(*request)) return front_.refuse(client, 503, retry_elsewhere_after);
     const auto decision = admission_.decide(*request);
-    if (decision.verdict == leases::Verdict::refused) return turn_away(client, *request, decision);
+    if (decision.verdict == leases::Verdict::refused) return refuse_over_quota(client, *request, decision);
     take_content(*request, reader);
     request->client = &client;
     auto& held = requests_.hold(std::move(request));
     client.request = &held;
     if (decision.verdict == leases::Verdict::granted) return admit(held);
-    admission_.wait();
+    admission_.wait_for_units();
 }
 
 // Retry-After for clients refused because this process has no configuration yet, or no valid lease on it.
-Span Proxy::until_started() const { return std::max(refused_again, usual_start - (context_.now() - context_.started)); }
+Span Proxy::until_started() const {
+    return std::max(retry_delay, typical_startup - (context_.now() - context_.started));
+}
 
 // A stream may last until its deadline, and once started it can only be ended by aborting it. Any other request
 // gets an error response at the end of the grace period if its host has not answered.
@@ -203,25 +205,25 @@
 }
 
 void Proxy::admit(Request& request) {
-    auto* pool = services_.choose(routing::pick_backend(*request.route, context_.chance.uniform()));
+    auto* pool = services_.choose(routing::pick_backend(*request.route, context_.rng.uniform()));
     if (!pool) {
-        front_.refuse(*std::exchange(request.client, nullptr), 503, refused_again);
+        front_.refuse(*std::exchange(request.client, nullptr), 503, retry_delay);
         return requests_.forget_if_over(request);
     }
     request.service = pool->number();
     request.admitted = true;
-    pool->take(request);
+    pool->start_request(request);
 }
 
-void Proxy::turn_away(Client& client, const Request& request, const leases::Decision& decision) {
+void Proxy::refuse_over_quota(Client& client, const Request& request, const leases::Decision& decision) {
     admission_.note_refused(request, decision);
     front_.refuse(client, 429, decision.retry_after);
 }
 
-void Proxy::turn_away(CallId call, const leases::Decision& decision) {
+void Proxy::refuse_over_quota(CallId call, const leases::Decision& decision) {
     auto* request = requests_.find(call);
     if (!request) return;
-    turn_away(*std::exchange(request->client, nullptr), *request, decision);
+    refuse_over_quota(*std::exchange(request->client, nullptr), *request, decision);
     requests_.forget_if_over(*request);
 }
 
@@ -245,7 +247,7 @@
     if (request->answering) return cut(client, *request, CutCause::host_failed);
     if (request->last_failure.status) {
         const auto& reply = request->last_failure;
-        return front_.answer(client, reply.status, reply.fields, reply.body);
+        return front_.respond(client, reply.status, reply.fields, reply.body);
     }
     front_.refuse(client, 503, retry_after);
 }
@@ -258,7 +260,7 @@
     const bool late = context_.now() >= request->deadline;
     if (request->answering) return cut(client, *request, late ? CutCause::out_of_time : CutCause::host_failed);
     const auto& reply = request->last_failure;
-    if (reply.status) return front_.answer(client, reply.status, reply.fields, reply.body);
+    if (reply.status) return front_.respond(client, reply.status, reply.fields, reply.body);
     front_.refuse(client, late ? 504 : 502);
 }
 
@@ -267,49 +269,49 @@
     if (may_have_run)
         front_.refuse(*request.client, context_.now() >= request.deadline ? 504 : 502);
     else
-        front_.refuse(*request.client, 503, come_back);
+        front_.refuse(*request.client, 503, retry_elsewhere_after);
     client_left(request);
 }
 
 void Proxy::cut(Client& client, const Request& request, CutCause cause) {
     const auto now = context_.now();
     cut_report_.note(cause, field_value(request.fields, "X-Request-Id"), now - request.arrived, now);
-    front_.abort(client);
+    front_.abort_response(client);
 }
 
 // Hosts.
 
-void Proxy::began(Request& request, HostConnection& connection) {
+void Proxy::response_began(Request& request, HostConnection& connection) {
     const auto now = context_.now();
     if (auto* pool = services_.find(request.service)) pool->balancer().stream_began(now, request.id, connection.number);
     if (!request.client || std::exchange(request.answering, true)) return;
-    front_.begin(*request.client, connection.reader.status, connection.reader.fields);
+    front_.begin_response(*request.client, connection.reader.status, connection.reader.fields);
 }
 
-void Proxy::piece(Request& request, HostConnection* connection, const std::string& bytes) {
-    if (connection) request.times[static_cast<size_t>(connection->number)].piece(context_.now());
+void Proxy::response_chunk(Request& request, HostConnection* connection, const std::string& bytes) {
+    if (connection) request.times[static_cast<size_t>(connection->number)].add_chunk(context_.now());
     if (!request.client) return;
-    front_.piece(*request.client, bytes);
-    if (request.client && connection && front_.crowded(*request.client)) connection->deaf = true;
+    front_.send_chunk(*request.client, bytes);
+    if (request.client && connection && front_.is_backlogged(*request.client)) connection->deaf = true;
 }
 
-void Proxy::answered(Request& request, const Reply& reply, bool streamed) {
+void Proxy::response_ended(Request& request, const Reply& reply, bool streamed) {
     if (!request.client) return;
     auto& client = *std::exchange(request.client, nullptr);
     const std::string rest = request.streams() ? request.events.partial_event() : reply.body;
     if (streamed || request.answering) {
-        front_.piece(client, rest);
-        if (client.open()) front_.finish(client);
+        front_.send_chunk(client, rest);
+        if (client.open()) front_.finish_response(client);
         return;
     }
-    front_.answer(client, reply.status, reply.fields, request.streams() && reply.status < 300 ? rest : reply.body);
+    front_.respond(client, reply.status, reply.fields, request.streams() && reply.status < 300 ? rest : reply.body);
 }
 
 void Proxy::attempt_ended(CallId call, int number, Outcome outcome) {
     auto* request = requests_.find(call);
     if (!request) return;
     --request->open_attempts;
-    watch_attempt(*request, number, outcome);
+    record_attempt(*request, number, outcome);
     const bool answered = !request->client;
     if (auto* pool = services_.find(request->service))
         pool->balancer().attempt_ended(context_.now(), call, number, outcome, answered);
@@ -317,7 +319,7 @@
 }
 
 // Attempts that never reached a host say nothing about it, and neither does a refusal by a full host.
-void Proxy::watch_attempt(const Request& request, int number, Outcome outcome) {
+void Proxy::record_attempt(const Request& request, int number, Outcome outcome) {
     auto* pool = services_.find(request.service);
     const auto& times = request.times[static_cast<size_t>(number)];
     auto* host = hosts_.find(times.host);
@@ -332,9 +334,9 @@
     end.group = pool->is_candidate() ? rollout::Group::candidate : rollout::Group::serving;
     end.loaded = pool->is_candidate() && services_.were_loaded(pool->name(), times.sent);
     end.duration = context_.now() - times.sent;
-    end.chunks = times.pieces;
-    end.streaming_time = times.last_piece - times.first_piece;
-    rollouts_.record(pool->name(), end);
+    end.chunks = times.chunks;
+    end.streaming_time = times.last_chunk - times.first_chunk;
+    rollout_watcher_.record(pool->name(), end);
 }
 
 // The control role.
@@ -348,27 +350,27 @@
     }));
 }
 
-void Proxy::tell_ballots() {
+void Proxy::send_rollout_reports() {
     if (!subscription_.is_open()) return;
     const auto open = [this](const std::string& service) {
         return open_at_serving(service);
     };
-    for (auto& ballot : rollouts_.take_reports(context_.proxies, open, context_.now()))
-        subscription_.ask(std::move(ballot));
+    for (auto& report : rollout_watcher_.take_reports(context_.proxies, open, context_.now()))
+        subscription_.ask(std::move(report));
 }
 
-void Proxy::configured(const messages::ConfigurationUpdate& told) {
-    if (context_.table && told.version <= context_.table->configuration().version) return;
-    auto checked = configuration::read_configuration(told.body.text());
+void Proxy::apply_configuration(const messages::ConfigurationUpdate& update) {
+    if (context_.table && update.version <= context_.table->configuration().version) return;
+    auto checked = configuration::read_configuration(update.body.text());
     if (const auto* findings = std::get_if<Findings>(&checked)) {
-        log_error() << "configuration " << told.version << " rejected: " << join_findings(*findings);
+        log_error() << "configuration " << update.version << " rejected: " << join_findings(*findings);
         return;
     }
     context_.table = std::make_shared<routing::RouteTable>(std::get<configuration::Configuration>(std::move(checked)));
-    configuration_lease_.set_version(told.version);
+    configuration_lease_.set_version(update.version);
     admission_.configured();
     services_.configured();
-    log_info() << "configuration " << told.version << " is in force";
+    log_info() << "configuration " << update.version << " is in force";
 }
 
 void Proxy::ask_for_configuration_lease() {
@@ -376,18 +378,18 @@
     if (const auto ask = configuration_lease_.next_request(context_.home.now())) subscription_.ask(*ask);
 }
 
-void Proxy::fleet_told(const messages::FleetStatus& told) {
-    if (told.current) rollouts_.confirm_control(context_.now());
-    admission_.fleet_told(told);
-    context_.proxies = told.proxy_count;
-    context_.fleet_size.update(told.proxy_count, context_.now());
-    services_.placed(told);
+void Proxy::update_fleet(const messages::FleetStatus& update) {
+    if (update.current) rollout_watcher_.confirm_control(context_.now());
+    admission_.update_fleet(update);
+    context_.proxies = update.proxy_count;
+    context_.fleet_size.update(update.proxy_count, context_.now());
+    services_.set_place(update);
 }
 
 // The process.
 
-std::string Proxy::figures() {
-    admission_.refresh_figures();
+std::string Proxy::render_metrics() {
+    admission_.refresh_metrics();
     hosts_evicted_.add(static_cast<double>(services_.evicted_hosts()) - hosts_evicted_.value());
     return context_.metrics.render();
 }
@@ -400,16 +402,16 @@
 
 void Proxy::woke(uint64_t cookie) {
     if (cookie == tick_cookie) return tick();
-    if (cookie == Admission::cookie) return admission_.woke();
-    if (auto* pool = services_.find(ServicePool::pool_of(cookie))) pool->woke(cookie);
+    if (cookie == Admission::cookie) return admission_.on_timer();
+    if (auto* pool = services_.find(ServicePool::pool_of(cookie))) pool->on_timer(cookie);
 }
 
 void Proxy::tick() {
     subscription_.tick();
     admission_.ask();
     ask_for_configuration_lease();
-    tell_ballots();
-    context_.loop.wake(context_.now() + tick_every * (ready() ? 1 : until_ready), tick_cookie);
+    send_rollout_reports();
+    context_.loop.wake(context_.now() + tick_interval * (ready() ? 1 : not_ready_factor), tick_cookie);
     hosts_.forget_gone();
     services_.tick(requests_);
 }
@@ -436,7 +438,7 @@
 void Proxy::stop() {
     if (shutdown_.begun()) return;
     shutdown_.begin(context_.now());
-    front_.stop(shutdown_.take_until());
+    front_.stop(shutdown_.requests_end());
     log_progress("shutdown started");
     context_.loop.set(*signals_, shutdown_.listeners_end());
 }
@@ -453,7 +455,7 @@
         case Shutdown::Step::cut: return end();
     }
     if (requests_.empty() && front_.connections() == 0) return end();
-    context_.loop.set(timer, context_.now() + shutdown_every);
+    context_.loop.set(timer, context_.now() + shutdown_poll_interval);
 }
 
 void Proxy::answer_waiting() {
--- a/src/roles/proxy/proxy.hpp
+++ b/src/roles/proxy/proxy.hpp
@@ -33,12 +33,12 @@
 
 private:
     // Clients.
-    void arrived(Client& client, RequestReader& reader);
+    void on_request(Client& client, RequestReader& reader);
     // Whether its response might not be complete before the process ends.
     bool outlasts_process(const Request& request) const;
     void admit(Request& request);   // passes it to the pool of its service
-    void turn_away(Client& client, const Request& request, const leases::Decision& decision);
-    void turn_away(CallId call, const leases::Decision& decision);   // after a wait for units
+    void refuse_over_quota(Client& client, const Request& request, const leases::Decision& decision);
+    void refuse_over_quota(CallId call, const leases::Decision& decision);   // after a wait for units
     void client_left(Request& request);
     void refuse(CallId call, Span retry_after);
     void fail(CallId call);
@@ -46,28 +46,28 @@
     void give_up(Request& request);   // answers a request whose response has not started with an error
 
     // Hosts.
-    void began(Request& request, HostConnection& connection);
-    void piece(Request& request, HostConnection* connection, const std::string& bytes);
-    void answered(Request& request, const Reply& reply, bool streamed);
+    void response_began(Request& request, HostConnection& connection);
+    void response_chunk(Request& request, HostConnection* connection, const std::string& bytes);
+    void response_ended(Request& request, const Reply& reply, bool streamed);
     void attempt_ended(CallId call, int number, Outcome outcome);
-    void watch_attempt(const Request& request, int number, Outcome outcome);   // statistics for rollouts
-    void tell_ballots();
+    void record_attempt(const Request& request, int number, Outcome outcome);   // statistics for rollouts
+    void send_rollout_reports();
     size_t open_at_serving(const std::string& service);   // requests in progress at the serving hosts
 
     // The control role.
-    void configured(const messages::ConfigurationUpdate& told);
+    void apply_configuration(const messages::ConfigurationUpdate& update);
     void ask_for_configuration_lease();   // sends a request if one is due
-    void fleet_told(const messages::FleetStatus& told);
+    void update_fleet(const messages::FleetStatus& update);
 
     // Callbacks of the components.
-    Front::Events front_events();
-    Hosts::Events host_events();
+    Frontend::Events front_events();
+    HostConnections::Events host_events();
     ServicePool::Events pool_events();
     Admission::Events admission_events();
     Subscription::Events subscription_events();
 
     // The process.
-    std::string figures();   // renders the current metrics
+    std::string render_metrics();   // renders the current metrics
     void came(memory::Connection& connection) override;
     void broke(memory::Connection&, int) override {}
     void due(memory::Connection& connection) override;
@@ -85,9 +85,9 @@
     std::function<std::optional<configuration::NodeSettings>()> reread_;
     RequestTable requests_;
     CutReport cut_report_;
-    Front front_;
-    Hosts hosts_;
-    rollout::Watcher rollouts_;
+    Frontend front_;
+    HostConnections hosts_;
+    rollout::Watcher rollout_watcher_;
     ServiceDirectory services_;
     Admission admission_;
     leases::ConfigurationLease configuration_lease_;
--- a/src/roles/proxy/quota_report.cpp
+++ b/src/roles/proxy/quota_report.cpp
@@ -34,60 +34,60 @@
       proxies_(registry.gauge("myrtleroute_fleet_proxies", "Proxies of the fleet, as last told by the control role.")),
       current_(registry.gauge("myrtleroute_fleet_current",
                               "1: the control node that told last was in touch with a majority; else 0.")),
-      told_age_(registry.gauge("myrtleroute_fleet_told_age_seconds",
-                               "Age of the newest word of the fleet; infinite before the first.")),
+      fleet_age_(registry.gauge("myrtleroute_fleet_told_age_seconds",
+                                "Age of the newest word of the fleet; infinite before the first.")),
       reply_age_(registry.gauge("myrtleroute_quota_reply_age_seconds",
                                 "Age of the allocator's last reply; infinite before the first.")) {}
 
 void QuotaReport::configured(const std::vector<configuration::Tenant>& tenants) {
     tenants_.clear();
     for (const auto& tenant : tenants) tenants_.insert(tenant.name);
-    for (auto known = figures_.begin(); known != figures_.end();) {
+    for (auto known = tenant_metrics_.begin(); known != tenant_metrics_.end();) {
         if (tenants_.count(known->first)) {
             ++known;
             continue;
         }
         forget(known->first);
-        known = figures_.erase(known);
+        known = tenant_metrics_.erase(known);
     }
 }
 
-void QuotaReport::fleet_told(const messages::FleetStatus& told, Time now) {
-    told_at_ = now;
-    proxies_.set(static_cast<double>(told.proxy_count));
-    current_.set(told.current ? 1 : 0);
+void QuotaReport::update_fleet(const messages::FleetStatus& update, Time now) {
+    fleet_updated_at_ = now;
+    proxies_.set(static_cast<double>(update.proxy_count));
+    current_.set(update.current ? 1 : 0);
 }
 
 void QuotaReport::note_granted(std::string_view tenant, double units) {
-    auto* figures = figures_of(tenant);
-    if (!figures) return;
-    figures->granted_units.add(units);
-    figures->granted_since += units;
+    auto* entry = metrics_of(tenant);
+    if (!entry) return;
+    entry->granted_units.add(units);
+    entry->granted_since += units;
 }
 
 void QuotaReport::note_refused(std::string_view tenant, double units, RefusalCause cause, const leases::Holder& leases,
                                Time now) {
-    auto* figures = figures_of(tenant);
-    if (!figures) return;
-    figures->refused_units.add(units);
-    figures->refused_requests[static_cast<size_t>(cause)].add();
-    figures->refused_since += units;
-    if (lines_[static_cast<size_t>(cause)].try_log(now)) log_refusal(tenant, *figures, cause, leases, now);
+    auto* entry = metrics_of(tenant);
+    if (!entry) return;
+    entry->refused_units.add(units);
+    entry->refused_requests[static_cast<size_t>(cause)].add();
+    entry->refused_since += units;
+    if (lines_[static_cast<size_t>(cause)].try_log(now)) log_refusal(tenant, *entry, cause, leases, now);
 }
 
 void QuotaReport::refresh(const leases::Holder& leases, Time now) {
-    told_age_.set(age(told_at_, now));
+    fleet_age_.set(age(fleet_updated_at_, now));
     reply_age_.set(age(leases.last_reply(), now));
-    for (auto& [tenant, figures] : figures_) show(figures, tenant, leases);
+    for (auto& [tenant, entry] : tenant_metrics_) update_gauges(entry, tenant, leases);
 }
 
-void QuotaReport::show(Figures& figures, const std::string& tenant, const leases::Holder& leases) {
+void QuotaReport::update_gauges(TenantMetrics& entry, const std::string& tenant, const leases::Holder& leases) {
     const auto standing = leases.tenant_status(tenant).value_or(leases::Holder::TenantStatus{});
-    figures.held.set(standing.held);
-    figures.overload.set(standing.overload);
+    entry.held.set(standing.held);
+    entry.overload.set(standing.overload);
 }
 
-QuotaReport::Figures QuotaReport::make_figures(const std::string& tenant) {
+QuotaReport::TenantMetrics QuotaReport::make_metrics(const std::string& tenant) {
     const auto labels = labels_of(tenant);
     const auto refused_for = [&](RefusalCause cause) {
         return registry_.counter(refused_requests, "Requests refused over the quota, by cause.",
@@ -101,12 +101,12 @@
             registry_.gauge(overload_ratio, "What all proxies are asked for, as a multiple of the limit.", labels)};
 }
 
-QuotaReport::Figures* QuotaReport::figures_of(std::string_view tenant) {
-    const auto known = figures_.find(tenant);
-    if (known != figures_.end()) return &known->second;
+QuotaReport::TenantMetrics* QuotaReport::metrics_of(std::string_view tenant) {
+    const auto known = tenant_metrics_.find(tenant);
+    if (known != tenant_metrics_.end()) return &known->second;
     if (tenants_.find(tenant) == tenants_.end()) return nullptr;
     const std::string name(tenant);
-    return &figures_.emplace(name, make_figures(name)).first->second;
+    return &tenant_metrics_.emplace(name, make_metrics(name)).first->second;
 }
 
 void QuotaReport::forget(const std::string& tenant) {
@@ -115,16 +115,17 @@
     for (const auto cause : leases::refusal_causes) registry_.remove(refused_requests, labels_of(tenant, cause));
 }
 
-void QuotaReport::log_refusal(std::string_view tenant, Figures& figures, RefusalCause cause,
+void QuotaReport::log_refusal(std::string_view tenant, TenantMetrics& entry, RefusalCause cause,
                               const leases::Holder& leases, Time now) {
-    show(figures, std::string(tenant), leases);
+    update_gauges(entry, std::string(tenant), leases);
     std::ostringstream line;
     line.precision(9);
     line << "quota of tenant \"" << metrics::escape_label_value(tenant) << "\": refused, " << to_string(cause)
-         << "; since the last such line " << std::exchange(figures.granted_since, 0) << " units granted, "
-         << std::exchange(figures.refused_since, 0) << " refused; held " << figures.held.value() << ", overload "
-         << figures.overload.value() << ", last reply " << age(leases.last_reply(), now) << " s ago; proxies "
-         << proxies_.value() << ", current " << current_.value() << ", told " << age(told_at_, now) << " s ago";
+         << "; since the last such line " << std::exchange(entry.granted_since, 0) << " units granted, "
+         << std::exchange(entry.refused_since, 0) << " refused; held " << entry.held.value() << ", overload "
+         << entry.overload.value() << ", last reply " << age(leases.last_reply(), now) << " s ago; proxies "
+         << proxies_.value() << ", current " << current_.value() << ", told " << age(fleet_updated_at_, now)
+         << " s ago";
     log_(line.str());
 }
 
--- a/src/roles/proxy/quota_report.hpp
+++ b/src/roles/proxy/quota_report.hpp
@@ -33,7 +33,7 @@
     void configured(const std::vector<configuration::Tenant>& tenants);
 
     // Records a fleet report of the control role.
-    void fleet_told(const messages::FleetStatus& told, Time now);
+    void update_fleet(const messages::FleetStatus& update, Time now);
 
     // Records a granted request and its units. Tenants that the configuration does not name are ignored.
     void note_granted(std::string_view tenant, double units);
@@ -45,26 +45,26 @@
     void refresh(const leases::Holder& leases, Time now);
 
 private:
-    struct Figures {
+    struct TenantMetrics {
         metrics::Counter granted_units, refused_units;
         std::array<metrics::Counter, leases::refusal_causes.size()> refused_requests;   // indexed by cause
         metrics::Gauge held;                                                            // units leased and not consumed
         metrics::Gauge overload;                       // demand on all proxies as a multiple of the limit
         double granted_since = 0, refused_since = 0;   // units since the tenant's last log line
     };
-    Figures make_figures(const std::string& tenant);
-    Figures* figures_of(std::string_view tenant);   // null if the configuration does not name the tenant
+    TenantMetrics make_metrics(const std::string& tenant);
+    TenantMetrics* metrics_of(std::string_view tenant);   // null if the configuration does not name the tenant
     void forget(const std::string& tenant);
-    void log_refusal(std::string_view tenant, Figures& figures, leases::RefusalCause cause,
+    void log_refusal(std::string_view tenant, TenantMetrics& entry, leases::RefusalCause cause,
                      const leases::Holder& leases, Time now);
-    static void show(Figures& figures, const std::string& tenant, const leases::Holder& leases);
+    static void update_gauges(TenantMetrics& entry, const std::string& tenant, const leases::Holder& leases);
 
     metrics::Registry& registry_;
     Log log_;
     std::set<std::string, std::less<>> tenants_;
-    std::map<std::string, Figures, std::less<>> figures_;
-    metrics::Gauge proxies_, current_, told_age_, reply_age_;
-    Time told_at_ = long_ago;
+    std::map<std::string, TenantMetrics, std::less<>> tenant_metrics_;
+    metrics::Gauge proxies_, current_, fleet_age_, reply_age_;
+    Time fleet_updated_at_ = long_ago;
     std::array<LogRateLimiter, leases::refusal_causes.size()> lines_;   // indexed by cause
 };
 
--- a/src/roles/proxy/request.hpp
+++ b/src/roles/proxy/request.hpp
@@ -36,11 +36,11 @@
 // Timing of one attempt: when it was sent, and when chunks of a streamed response arrived.
 struct AttemptTimes {
     ServerId host = 0;
-    Time sent, first_piece, last_piece;
-    int pieces = 0;
-    void piece(Time now) {
-        if (pieces++ == 0) first_piece = now;
-        last_piece = now;
+    Time sent, first_chunk, last_chunk;
+    int chunks = 0;
+    void add_chunk(Time now) {
+        if (chunks++ == 0) first_chunk = now;
+        last_chunk = now;
     }
 };
 
--- a/src/roles/proxy/request_intake.cpp
+++ b/src/roles/proxy/request_intake.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double answer_margin = 0.01;   // fraction of the client's deadline reserved for returning the response
-constexpr int least_urgent = 9;
+constexpr int lowest_priority = 9;
 
 // Fields that the proxy sets itself or does not forward.
 bool is_own_field(std::string_view name) {
@@ -28,7 +28,7 @@
 // The tenant's priority takes precedence over the route's.
 int priority_of(const Request& request) {
     const bool by_tenant = request.tenant && request.tenant->priority >= 0;
-    return std::clamp(by_tenant ? request.tenant->priority : request.route->priority, 0, least_urgent);
+    return std::clamp(by_tenant ? request.tenant->priority : request.route->priority, 0, lowest_priority);
 }
 
 }   // namespace
@@ -47,10 +47,10 @@
     request.arrived = now;
     request.prompt = routing::read_prompt(field_value(reader.fields, "X-Token-Count"),
                                           field_value(reader.fields, "X-Prompt-Prefix"));
-    const auto told = wire::decimal(field_value(reader.fields, "X-Deadline-Ms"));
-    Span patience = request.route->timeout;
-    if (told && *told > 0) patience = std::min(patience, Span{*told / 1e3} * (1 - answer_margin));
-    request.deadline = now + patience;
+    const auto deadline_ms = wire::decimal(field_value(reader.fields, "X-Deadline-Ms"));
+    Span timeout = request.route->timeout;
+    if (deadline_ms && *deadline_ms > 0) timeout = std::min(timeout, Span{*deadline_ms / 1e3} * (1 - answer_margin));
+    request.deadline = now + timeout;
 }
 
 void take_content(Request& request, RequestReader& reader) {
--- a/src/roles/proxy/service_directory.cpp
+++ b/src/roles/proxy/service_directory.cpp
@@ -14,13 +14,13 @@
 using rollout::Rollout;
 using rollout::Stage;
 
-constexpr Span retire_every{1};
+constexpr Span retire_interval{1};
 constexpr Span never{1e18};
 // Delay from the first known candidate until some are chosen: by then most candidates are known, and all proxies
 // choose the same ones.
-constexpr Span candidates_gather{1};
-constexpr Span candidates_turn{3};
-constexpr double least_room = 0.5;   // candidates per serving host needed before all requests move to them
+constexpr Span gather_time{1};
+constexpr Span turn_length{3};
+constexpr double min_candidate_ratio = 0.5;   // candidates per serving host needed before all requests move to them
 
 bool is_loaded(size_t turn) { return turn % 2 == 1; }
 
@@ -35,27 +35,27 @@
 }
 
 ServicePool* ServiceDirectory::choose(const std::string& service) {
-    auto* serving = of(service);
+    auto* serving = serving_pool(service);
     const auto* rollout = watcher_.rollout(service);
     if (!serving || !rollout || !rollout->in_progress()) return serving;
     auto* candidates = pools_.find(PoolKey{service, rollout->target_version});
     if (!candidates || candidates->ready_hosts() == 0) return serving;
     const auto room = static_cast<double>(candidates->ready_hosts());
-    const bool is_crowded = room < least_room * static_cast<double>(serving->ready_hosts());
+    const bool is_crowded = room < min_candidate_ratio * static_cast<double>(serving->ready_hosts());
     if (rollout->stage == Stage::moving && is_crowded) return serving;
     return watcher_.choose_candidate(service, context_.now()) ? candidates : serving;
 }
 
-ServicePool* ServiceDirectory::of(const std::string& service) {
+ServicePool* ServiceDirectory::serving_pool(const std::string& service) {
     const auto known = pools_.size();
-    auto* pool = pools_.of({service, {}});
+    auto* pool = pools_.get_or_create({service, {}});
     if (!pool || pools_.size() == known) return pool;
-    follow_configuration(*pool);
-    tell_service(service);
+    apply_configuration(*pool);
+    update_hosts_of(service);
     return pool;
 }
 
-void ServiceDirectory::follow_configuration(ServicePool& pool) {
+void ServiceDirectory::apply_configuration(ServicePool& pool) {
     if (!context_.table) return;
     for (const auto& service : context_.table->configuration().services) {
         if (service.name != pool.name()) continue;
@@ -66,50 +66,50 @@
 
 void ServiceDirectory::configured() {
     for (const auto& service : context_.table->configuration().services) {
-        if (auto* pool = of(service.name)) follow_configuration(*pool);
+        if (auto* pool = serving_pool(service.name)) apply_configuration(*pool);
         const auto* rollout = watcher_.rollout(service.name);
         if (auto* pool = rollout ? pools_.find(PoolKey{service.name, rollout->target_version}) : nullptr)
-            follow_configuration(*pool);
+            apply_configuration(*pool);
     }
-    for (const auto& host : table_.all()) tell(host);
+    for (const auto& host : table_.all()) update_host(host);
     update_candidates();
 }
 
-void ServiceDirectory::hosts_told(const messages::HostsUpdate& told) {
+void ServiceDirectory::update_hosts(const messages::HostsUpdate& update) {
     hosts_known_ = true;
-    for (const auto& host : told.hosts)
-        if (table_.merge(host, context_.now())) tell(*table_.find(host.id));
-    for (const auto& retired : table_.expire(context_.now())) tell(retired);
+    for (const auto& host : update.hosts)
+        if (table_.merge(host, context_.now())) update_host(*table_.find(host.id));
+    for (const auto& retired : table_.expire(context_.now())) update_host(retired);
     update_candidates();
 }
 
-void ServiceDirectory::rollouts_told(const messages::RolloutsUpdate& told) {
+void ServiceDirectory::update_rollouts(const messages::RolloutsUpdate& update) {
     const auto before = watcher_.rollouts();
-    if (!watcher_.update(told.rollouts, context_.now())) return;
+    if (!watcher_.update(update.rollouts, context_.now())) return;
     for (const auto& rollout : watcher_.rollouts().all) {
         const auto* known = before.find(rollout.service);
         if (known && *known == rollout) continue;
         if (!rollout.in_progress()) candidates_.erase(rollout.service);
-        if (rollout.stage == Stage::completed) complete(rollout);
-        tell_service(rollout.service);
+        if (rollout.stage == Stage::completed) complete_rollout(rollout);
+        update_hosts_of(rollout.service);
     }
     update_candidates();
 }
 
 // The replaced hosts get no more requests from now on. A host that later starts with the old version is not in this
 // list.
-void ServiceDirectory::complete(const Rollout& rollout) {
+void ServiceDirectory::complete_rollout(const Rollout& rollout) {
     pools_.promote({rollout.service, rollout.target_version});
     for (const auto& host : table_.all())
         if (host.service == rollout.service && host.version != rollout.target_version) replaced_.insert(host.id);
 }
 
-void ServiceDirectory::tell_service(const std::string& service) {
+void ServiceDirectory::update_hosts_of(const std::string& service) {
     for (const auto& host : table_.all())
-        if (host.service == service) tell(host);
+        if (host.service == service) update_host(host);
 }
 
-void ServiceDirectory::tell(const registry::Host& host) {
+void ServiceDirectory::update_host(const registry::Host& host) {
     const auto* rollout = watcher_.rollout(host.service);
     const auto group = replaced_.count(host.id) ? Group::excluded : rollout::group_of(rollout, host.version);
     if (group == Group::candidate) {
@@ -118,28 +118,28 @@
         if (pool && !pool->is_candidate()) exclude(host);
         const auto known = candidates_.find(host.service);
         const bool takes_part = known != candidates_.end() && known->second.chosen.count(host.id) > 0;
-        if (pool && pool->is_candidate() && takes_part) tell(*pool, host);
+        if (pool && pool->is_candidate() && takes_part) update_host(*pool, host);
         return;
     }
-    auto* pool = group == Group::serving ? of(host.service) : nullptr;
-    if (pool) return tell(*pool, host);
+    auto* pool = group == Group::serving ? serving_pool(host.service) : nullptr;
+    if (pool) return update_host(*pool, host);
     exclude(host);
 }
 
 void ServiceDirectory::exclude(const registry::Host& host) {
     auto& record = hosts_.record(host);
-    if (auto* pool = pools_.find(record.service)) pool->excluded(host, record.id);
+    if (auto* pool = pools_.find(record.service)) pool->exclude_host(host, record.id);
     record.service = ServicePools::none;
     if (host.state == HostState::gone) hosts_.close_idle(record);
 }
 
-void ServiceDirectory::tell(ServicePool& pool, const registry::Host& host) {
+void ServiceDirectory::update_host(ServicePool& pool, const registry::Host& host) {
     auto& record = hosts_.record(host);
-    if (auto* before = pools_.find(record.service); before && before != &pool) before->excluded(host, record.id);
+    if (auto* before = pools_.find(record.service); before && before != &pool) before->exclude_host(host, record.id);
     record.service = pool.number();
     const auto health_check = pool.health_check.empty() ? "/" : pool.health_check;
     record.probe_path = pool.is_engine ? "/report" : health_check;
-    pool.told(host, record.id);
+    pool.update_host(host, record.id);
     if (host.state == HostState::gone) hosts_.close_idle(record);
 }
 
@@ -175,23 +175,23 @@
     auto& known = candidates_[rollout.service];
     if (known.rollout != rollout.number) known = {rollout.number, {}, {}};
     if (!known.first_known && !ready.empty()) known.first_known = now;
-    const bool gathers =
-        !known.first_known || (rollout.stage == Stage::observing && now - *known.first_known < candidates_gather);
-    auto* serving = of(rollout.service);
-    if (!serving || gathers) return;
+    const bool is_gathering =
+        !known.first_known || (rollout.stage == Stage::observing && now - *known.first_known < gather_time);
+    auto* serving = serving_pool(rollout.service);
+    if (!serving || is_gathering) return;
     auto chosen = choose_candidates(rollout, ready, known.turn(now), serving->ready_hosts());
     if (chosen == known.chosen) return;
     const PoolKey key{rollout.service, rollout.target_version};
     const bool fresh = pools_.find(key) == nullptr;
-    auto* pool = pools_.of(key);
+    auto* pool = pools_.get_or_create(key);
     if (!pool) return;
-    if (fresh) follow_configuration(*pool);
+    if (fresh) apply_configuration(*pool);
     for (const auto& id : known.chosen) {
         const auto* host = chosen.count(id) ? nullptr : table_.find(id);
-        if (host && host->state == HostState::ready) pool->excluded(*host, hosts_.record(*host).id);
+        if (host && host->state == HostState::ready) pool->exclude_host(*host, hosts_.record(*host).id);
     }
     for (const auto& id : chosen)
-        if (!known.chosen.count(id)) tell(*pool, *table_.find(id));
+        if (!known.chosen.count(id)) update_host(*pool, *table_.find(id));
     log_info() << "rollout of " << rollout.service << " to " << rollout.target_version << ": " << chosen.size()
                << " candidates take part, " << serving->ready_hosts() << " hosts serve";
     known.chosen = std::move(chosen);
@@ -211,7 +211,7 @@
 }
 
 size_t ServiceDirectory::Candidates::turn(Time now) const {
-    return first_known ? static_cast<size_t>(std::max(0.0, (now - *first_known) / candidates_turn)) : 0;
+    return first_known ? static_cast<size_t>(std::max(0.0, (now - *first_known) / turn_length)) : 0;
 }
 
 bool ServiceDirectory::were_loaded(const std::string& service, Time sent) const {
@@ -221,15 +221,15 @@
            is_loaded(known->second.turn(sent));
 }
 
-void ServiceDirectory::placed(const messages::FleetStatus& fleet) {
-    pools_.placed(static_cast<int>(fleet.proxy_index), static_cast<int>(fleet.proxy_count));
+void ServiceDirectory::set_place(const messages::FleetStatus& fleet) {
+    pools_.set_place(static_cast<int>(fleet.proxy_index), static_cast<int>(fleet.proxy_count));
 }
 
 // A pool is in use while the configuration names its service, a host belongs to it, or a request in progress uses
 // it.
 void ServiceDirectory::tick(const RequestTable& requests) {
     update_candidates();
-    if (context_.now() - retired_at_ < retire_every) return;
+    if (context_.now() - retired_at_ < retire_interval) return;
     retired_at_ = context_.now();
     std::erase_if(replaced_, [this](const auto& id) { return table_.find(id) == nullptr; });
     std::set<size_t> used;
--- a/src/roles/proxy/service_directory.hpp
+++ b/src/roles/proxy/service_directory.hpp
@@ -20,7 +20,7 @@
 class ServiceDirectory {
 public:
     // `events`: callbacks of every pool.
-    ServiceDirectory(Context& context, Hosts& hosts, rollout::Watcher& watcher, ServicePool::Events events)
+    ServiceDirectory(Context& context, HostConnections& hosts, rollout::Watcher& watcher, ServicePool::Events events)
         : context_(context),
           hosts_(hosts),
           watcher_(watcher),
@@ -35,9 +35,9 @@
     ServicePool* find(size_t number) { return pools_.find(number); }
 
     void configured();   // a new route table is in use
-    void hosts_told(const messages::HostsUpdate& told);
-    void rollouts_told(const messages::RolloutsUpdate& told);
-    void placed(const messages::FleetStatus& fleet);
+    void update_hosts(const messages::HostsUpdate& update);
+    void update_rollouts(const messages::RolloutsUpdate& update);
+    void set_place(const messages::FleetStatus& fleet);
     // Removes pools of services that are no longer used; called several times a second.
     void tick(const RequestTable& requests);
 
@@ -54,9 +54,9 @@
     };
     static registry::HostTableOptions table_options();
     // The pool of a service's serving hosts, created with its known hosts if there is none.
-    ServicePool* of(const std::string& service);
-    void tell(const registry::Host& host);
-    void tell(ServicePool& pool, const registry::Host& host);
+    ServicePool* serving_pool(const std::string& service);
+    void update_host(const registry::Host& host);
+    void update_host(ServicePool& pool, const registry::Host& host);
     void exclude(const registry::Host& host);
     void update_candidates();   // chooses the candidates of all rollouts in progress
     void update_candidates(const rollout::Rollout& rollout);
@@ -64,12 +64,12 @@
                                             const std::vector<const registry::Host*>& ready, size_t turn,
                                             size_t serving) const;
     std::vector<const registry::Host*> candidates_of(const rollout::Rollout& rollout) const;
-    void tell_service(const std::string& service);
-    void complete(const rollout::Rollout& rollout);
-    void follow_configuration(ServicePool& pool);
+    void update_hosts_of(const std::string& service);
+    void complete_rollout(const rollout::Rollout& rollout);
+    void apply_configuration(ServicePool& pool);
 
     Context& context_;
-    Hosts& hosts_;
+    HostConnections& hosts_;
     rollout::Watcher& watcher_;
     ServicePools pools_;
     registry::HostTable table_;
--- a/src/roles/proxy/service_pools.cpp
+++ b/src/roles/proxy/service_pools.cpp
@@ -7,10 +7,10 @@
 namespace myrtleroute::proxy {
 namespace {
 
-// `kept_unused` is for pools that have had requests. It is longer than any window of the retry budget, which the
+// `unused_timeout` is for pools that have had requests. It is longer than any window of the retry budget, which the
 // pool holds.
-constexpr Span kept_unused{60}, kept_unserved{2};
-constexpr Span line_every{1};
+constexpr Span unused_timeout{60}, unserved_timeout{2};
+constexpr Span log_interval{1};
 
 }   // namespace
 
@@ -20,21 +20,21 @@
       refused_(context.metrics.counter("myrtleroute_service_pools_refused_total",
                                        "Uses of a service for which there was no room among the pools.")) {}
 
-ServicePool* ServicePools::of(const PoolKey& key) {
+ServicePool* ServicePools::get_or_create(const PoolKey& key) {
     if (auto* known = find(key)) return known;
     const auto now = context_.now();
-    if (pools_.size() >= most) {
+    if (pools_.size() >= max_pools) {
         refused_.add();
-        if (now - logged_ > line_every) {
-            logged_ = now;
-            log_error() << "service \"" << key.service << "\" is not served: the limit of " << most
+        if (now - last_logged_ > log_interval) {
+            last_logged_ = now;
+            log_error() << "service \"" << key.service << "\" is not served: the limit of " << max_pools
                         << " service pools is reached";
         }
         return nullptr;
     }
-    while (pools_.count(next_number_ %= ServicePool::numbers)) ++next_number_;
+    while (pools_.count(next_number_ %= ServicePool::max_numbers)) ++next_number_;
     const size_t number = next_number_++;
-    const auto seed = static_cast<uint64_t>(context_.chance.next()) << 32 | context_.chance.next();
+    const auto seed = static_cast<uint64_t>(context_.rng.next()) << 32 | context_.rng.next();
     auto pool = std::make_unique<ServicePool>(context_, key, number, seed, budget_of(key.service), events_);
     numbers_[key] = number;
     pool->balancer().position_changed(place_, proxies_);
@@ -60,7 +60,7 @@
     const auto known = numbers_.extract(candidates);
     if (known.empty()) return;
     numbers_[{candidates.service, {}}] = known.mapped();
-    pools_.at(known.mapped()).pool->promoted();
+    pools_.at(known.mapped()).pool->promote();
 }
 
 ServicePool* ServicePools::find(size_t number) {
@@ -73,13 +73,13 @@
         if (used.count(number)) entry.used = now;
     std::erase_if(pools_, [&](const auto& known) {
         const auto& entry = known.second;
-        if (now - entry.used < (entry.pool->has_served() ? kept_unused : kept_unserved)) return false;
+        if (now - entry.used < (entry.pool->has_served() ? unused_timeout : unserved_timeout)) return false;
         std::erase_if(numbers_, [&](const auto& keyed) { return keyed.second == known.first; });
         return true;
     });
 }
 
-void ServicePools::placed(int place, int proxies) {
+void ServicePools::set_place(int place, int proxies) {
     place_ = place;
     proxies_ = proxies;
     for (auto& [number, entry] : pools_) entry.pool->balancer().position_changed(place, proxies);
--- a/src/roles/proxy/service_pools.hpp
+++ b/src/roles/proxy/service_pools.hpp
@@ -14,7 +14,7 @@
 
 class ServicePools {
 public:
-    static constexpr size_t most = 256;
+    static constexpr size_t max_pools = 256;
     static constexpr size_t none = static_cast<size_t>(-1);   // not a valid number
 
     // `events`: callbacks of every pool.
@@ -22,7 +22,7 @@
 
     // The pool with that key, created if missing. Null if the maximum number of pools exists: no other pool may
     // serve in its place.
-    ServicePool* of(const PoolKey& key);
+    ServicePool* get_or_create(const PoolKey& key);
     // Null if there is none.
     ServicePool* find(const PoolKey& key);
     // Makes the candidates of a rollout the serving hosts. The pool that they replace loses its key, and is removed
@@ -32,7 +32,7 @@
     ServicePool* find(size_t number);
     // Removes pools that have been unused for a minute, or for two seconds if they never had a request.
     void retire_unused(const std::set<size_t>& used, Time now);
-    void placed(int place, int proxies);
+    void set_place(int place, int proxies);
     size_t size() const { return pools_.size(); }
 
 private:
@@ -49,7 +49,7 @@
     std::map<PoolKey, size_t> numbers_;
     size_t next_number_ = 0;
     metrics::Counter refused_;
-    Time logged_ = long_ago;
+    Time last_logged_ = long_ago;
     int place_ = 0, proxies_ = 1;
 };
 
--- a/src/roles/proxy/shutdown.hpp
+++ b/src/roles/proxy/shutdown.hpp
@@ -26,7 +26,7 @@
     Step next(Time now);
     Time listeners_end() const;
     // A request that arrives later is refused: no client that has noticed the shutdown sends one.
-    Time take_until() const;
+    Time requests_end() const;
     // Responses that are not complete by then are aborted.
     Time answers_end() const;
 
@@ -34,7 +34,7 @@
     Span grace_;
     Time began_at_;
     bool begun_ = false;
-    Step told_ = Step::none;
+    Step last_step_ = Step::none;
 };
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/subscriber.hpp
+++ b/src/roles/proxy/subscriber.hpp
@@ -40,7 +40,7 @@
 
 class Subscriber {
 public:
-    static constexpr size_t most_nodes = 64;
+    static constexpr size_t max_nodes = 64;
 
     explicit Subscriber(SubscriberOptions options);
 
@@ -55,36 +55,36 @@
     bool is_open() const { return link_ == Link::open; }
     const Endpoint& at() const { return at_; }   // the current or last control node
     size_t nodes() const { return nodes_.size(); }
-    uint64_t forgotten() const { return forgotten_; }   // control nodes evicted because the table was full
+    uint64_t evicted() const { return evicted_; }   // control nodes evicted because the table was full
 
 private:
     struct Node {
         messages::ControlNode node;
-        Time failed = long_ago;         // last time that it was silent, unreachable or without a quorum
-        Time out_of_touch = long_ago;   // last time that it was left for having no quorum
-        uint64_t named = 0;             // order of its last mention by the settings or a control node
+        Time failed = long_ago;           // last time that it was silent, unreachable or without a quorum
+        Time lost_quorum_at = long_ago;   // last time that it was left for having no quorum
+        uint64_t last_mention = 0;        // order of its last mention by the settings or a control node
     };
     enum class Link { none, opening, open };
     Node* choose(Time now);
     int distance(const Node& node, Time now) const;
     bool is_suspected(const std::string& zone, Time now) const;
     void leave(memory::Why why, Time now);
-    Node& know(const messages::ControlNode& told);
-    void forget_one();
-    void hear_contact(const messages::FleetStatus& fleet, Time now);
+    Node& add_or_update(const messages::ControlNode& info);
+    void evict_oldest();
+    void track_quorum(const messages::FleetStatus& fleet, Time now);
     void move(const messages::ControlNode& to, Time now);
     void open(const Endpoint& to, Time now);
 
     SubscriberOptions options_;
-    Pcg chance_;
+    Pcg rng_;
     std::vector<SubscriberOutput> outputs_;
     std::map<Endpoint, Node> nodes_;   // keyed by peer endpoint
     Link link_ = Link::none;
     Endpoint at_;
-    Time heard_ = long_ago, out_of_touch_since_ = long_ago;
-    Span open_within_;
-    Span patience_;   // wait before leaving a node without a quorum; doubled each time
-    uint64_t words_ = 0, forgotten_ = 0;
+    Time last_received_ = long_ago, no_quorum_since_ = long_ago;
+    Span connect_timeout_;
+    Span no_quorum_timeout_;   // wait before leaving a node without a quorum; doubled each time
+    uint64_t mention_count_ = 0, evicted_ = 0;
 };
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/subscription.cpp
+++ b/src/roles/proxy/subscription.cpp
@@ -14,13 +14,13 @@
 using memory::Connection;
 using memory::Why;
 
-constexpr size_t most_in = 256 * 1024, most_out = 256 * 1024;
+constexpr size_t max_in = 256 * 1024, max_out = 256 * 1024;
 constexpr int unacknowledged_ms = 1500;   // TCP_USER_TIMEOUT: afterwards the peer counts as dead
 
 }   // namespace
 
 struct Subscription::Link : Connection {
-    Link(memory::Owner& by, int fd) : Connection(by, fd, most_in, most_out) {}
+    Link(memory::Owner& by, int fd) : Connection(by, fd, max_in, max_out) {}
     std::string name() const override { return "control"; }
     messages::FrameReader reader;
 };
@@ -29,8 +29,8 @@
     : context_(context),
       events_(std::move(events)),
       subscriber_({context.settings.node_name, context.settings.reachable_address(), context.settings.zone,
-                   context.chance.next()}),
-      forgotten_nodes_(bound_reached_counter(context.metrics, "control_nodes")) {
+                   context.rng.next()}),
+      evicted_nodes_(bound_reached_counter(context.metrics, "control_nodes")) {
     add_seeds();
 }
 
@@ -51,11 +51,11 @@
 void Subscription::tick() {
     if (stopped_) return;
     subscriber_.tick(context_.now());
-    carry_out();
-    forgotten_nodes_.add(static_cast<double>(subscriber_.forgotten()) - forgotten_nodes_.value());
+    execute_outputs();
+    evicted_nodes_.add(static_cast<double>(subscriber_.evicted()) - evicted_nodes_.value());
 }
 
-void Subscription::carry_out() {
+void Subscription::execute_outputs() {
     for (auto outputs = subscriber_.take_outputs(); !outputs.empty(); outputs = subscriber_.take_outputs())
         for (const auto& output : outputs) {
             if (const auto* to = std::get_if<OpenLink>(&output))
@@ -65,21 +65,21 @@
             else if (const auto* close = std::get_if<CloseLink>(&output))
                 end(close->why);
             else
-                take(std::get<MessageReceived>(output).message);
+                deliver(std::get<MessageReceived>(output).message);
         }
 }
 
 void Subscription::open(const Endpoint& to) {
     const auto address = wire::read_endpoint(to.text());
-    bool at_once = false;
-    const int fd = address ? context_.home.connect_to(*address, at_once) : -1;
+    bool immediate = false;
+    const int fd = address ? context_.home.connect_to(*address, immediate) : -1;
     if (fd < 0) return subscriber_.failed(context_.now());
     ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_ms, sizeof unacknowledged_ms);
     auto link = std::make_unique<Link>(*this, fd);
-    link->connecting = !at_once;
+    link->connecting = !immediate;
     link_ = &context_.loop.adopt(std::move(link));
     linked_to_ = to;
-    if (at_once) up(*link_);
+    if (immediate) up(*link_);
 }
 
 void Subscription::ask(const messages::Message& ask) {
@@ -89,7 +89,7 @@
 void Subscription::up(Connection&) {
     log_info() << "connected to control node " << subscriber_.at().text();
     subscriber_.opened(events_.version(), context_.now());
-    carry_out();
+    execute_outputs();
     events_.connected(true);
 }
 
@@ -106,11 +106,11 @@
     }
     while (auto json = link.reader.next())
         if (auto message = messages::decode(*json)) subscriber_.received(*message, context_.now());
-    carry_out();
+    execute_outputs();
     if (link.open() && (link.ended || link.error || link.reader.frame_too_long())) broke(link, ECONNRESET);
 }
 
-void Subscription::take(const messages::Message& message) {
+void Subscription::deliver(const messages::Message& message) {
     if (const auto* configuration = std::get_if<messages::ConfigurationUpdate>(&message))
         events_.configuration(*configuration);
     else if (const auto* hosts = std::get_if<messages::HostsUpdate>(&message))
--- a/src/roles/proxy/subscription.hpp
+++ b/src/roles/proxy/subscription.hpp
@@ -35,16 +35,16 @@
 private:
     struct Link;
     void add_seeds();
-    void carry_out();
+    void execute_outputs();
     void open(const Endpoint& to);
-    void take(const messages::Message& message);
+    void deliver(const messages::Message& message);
     void send(const messages::Message& message);
     void end(memory::Why why);
 
     Context& context_;
     Events events_;
     Subscriber subscriber_;
-    metrics::Counter forgotten_nodes_;
+    metrics::Counter evicted_nodes_;
     Link* link_ = nullptr;
     Endpoint linked_to_;   // the connected control node
     bool stopped_ = false;
--- a/tests/system/bounds_test.cpp
+++ b/tests/system/bounds_test.cpp
@@ -30,7 +30,7 @@
 std::string bound(const std::string& table) { return "myrtleroute_bound_reached_total{table=\"" + table + "\"}"; }
 
 // A control node's metrics as rendered at its metrics address.
-std::string figures(const Control& control) {
+std::string rendered_metrics(const Control& control) {
     metrics::Registry registry;
     control::NodeMetrics shown(registry);
     shown.update(control.node->state(control.now));
@@ -106,7 +106,7 @@
     return {"i-" + n, "s", "10.9.0." + std::to_string(number + 1) + ":80", "north", 64, state, sequence};
 }
 
-std::vector<testing::ScriptedEnd*> ask_at_once(ProxyWorld& world, int requests) {
+std::vector<testing::ScriptedEnd*> send_at_once(ProxyWorld& world, int requests) {
     std::vector<testing::ScriptedEnd*> clients;
     for (int n = 0; n < requests; ++n) clients.push_back(&world.client());
     for (int n = 0; n < requests; ++n)
@@ -128,7 +128,7 @@
     ProxyWorld world(1);
     world.configure(ProxyWorld::route("idempotent"));
     world.send_control(messages::HostsUpdate{{roomy_host(0, registry::HostState::ready, 2)}});
-    ask_at_once(world, at_once);
+    send_at_once(world, at_once);
     REQUIRE(open_ends(*world.hosts[0]) == at_once);
     CHECK(answer_all(world) == at_once);
     world.advance(Span{0.2});
@@ -142,7 +142,7 @@
     world.configure(ProxyWorld::route("idempotent"));
     world.send_control(messages::HostsUpdate{
         {roomy_host(0, registry::HostState::ready, 2), roomy_host(1, registry::HostState::gone, 2)}});
-    ask_at_once(world, at_once);
+    send_at_once(world, at_once);
     CHECK(answer_all(world) == at_once);
     world.advance(Span{0.2});
     REQUIRE(open_ends(*world.hosts[0]) == at_once);   // idle, while their clients stay connected
@@ -150,7 +150,7 @@
     other.id = "i-anew";
     world.send_control(messages::HostsUpdate{{roomy_host(0, registry::HostState::draining, 3), other}});
     world.advance(Span{0.1});
-    const auto clients = ask_at_once(world, at_once - 2);   // 38 clients, 18 connections to the other host
+    const auto clients = send_at_once(world, at_once - 2);   // 38 clients, 18 connections to the other host
     CHECK(answer_all(world) == at_once - 2);
     world.advance(Span{0.2});
     for (auto* client : clients) CHECK(contains(client->take(), "HTTP/1.1 200 "));
@@ -203,7 +203,7 @@
     size_t refused = 0;
     for (const auto order : orders) refused += control.status(order) == 503;
     CHECK(refused == 5);   // one is in progress, 64 wait
-    CHECK(contains(figures(control), bound("orders") + " 5\n"));
+    CHECK(contains(rendered_metrics(control), bound("orders") + " 5\n"));
     control.disk_works = true;
     control.advance(Span{0.5});
     for (const auto order : orders) CHECK(control.status(order) != 0);
@@ -222,7 +222,7 @@
     CHECK(control.status(control.request("PUT", "/config", "2", document(3))) == 412);
     CHECK(control.status(control.request("PUT", "/config", "3", document(4))) == 200);
     CHECK(control.status(control.request("PUT", "/config", std::to_string(accepted - 1), document(accepted))) == 200);
-    CHECK(contains(figures(control), bound("accepted_digests") + " 3\n"));
+    CHECK(contains(rendered_metrics(control), bound("accepted_digests") + " 3\n"));
 }
 
 TEST_CASE("the number of lease requests that wait for a leader is bounded") {
@@ -236,7 +236,7 @@
         ask.number = 1;
         control.node->received(100 + static_cast<control::ConnectionId>(n), ask, control.now);
     }
-    const auto text = figures(control);
+    const auto text = rendered_metrics(control);
     CAPTURE(text.substr(0, 600));
     CHECK(contains(text, bound("lease_asks") + " 10\n"));
 }
@@ -268,14 +268,14 @@
     control.disk_works = false;
     constexpr uint64_t owed = 1024, asked = owed + 7;
     for (uint64_t number = 1; number <= asked; ++number) {
-        messages::HostsUpdate told;
-        told.hosts.push_back(
+        messages::HostsUpdate update;
+        update.hosts.push_back(
             {"i-" + std::to_string(number), "s", "10.9.0.1:80", "north", 8, registry::HostState::draining, 1});
-        told.confirmation_id = number;
-        control.node->received(other_connection, told, control.now);
+        update.confirmation_id = number;
+        control.node->received(other_connection, update, control.now);
     }
     control.carry_out();
-    CHECK(contains(figures(control), bound("confirmations") + " 7\n"));
+    CHECK(contains(rendered_metrics(control), bound("confirmations") + " 7\n"));
     control.to_peers.clear();
     control.disk_works = true;
     control.advance(Span{0.3});
@@ -294,7 +294,7 @@
     }
     control.node->received(other_connection, hello, control.now);
     CHECK(control.node->peers().size() == 64);
-    CHECK(contains(figures(control), bound("control_nodes") + " 37\n"));
+    CHECK(contains(rendered_metrics(control), bound("control_nodes") + " 37\n"));
 }
 
 TEST_CASE("a peer that reads too slowly is disconnected and counted") {
@@ -315,12 +315,12 @@
     reader.connect(at);
     reader.non_blocking(true);
     std::string read(256 * 1024, ' ');
-    const messages::ConfigurationUpdate told{1, testing::random_text(1 << 20)};
+    const messages::ConfigurationUpdate update{1, testing::random_text(1 << 20)};
     constexpr size_t most_sent = 200;
     size_t sent = 0;
     for (; sent < most_sent && network.slow_readers() == 0; ++sent) {
         context.run_for(std::chrono::milliseconds(1));
-        network.send(control::ConnectionId{1}, told);
+        network.send(control::ConnectionId{1}, update);
         asio::error_code nothing_there;
         reader.read_some(asio::buffer(read), nothing_there);
     }
--- a/tests/system/cut_report_test.cpp
+++ b/tests/system/cut_report_test.cpp
@@ -29,8 +29,8 @@
     CHECK(lines[0] == "response to request r1 aborted after 5.250 s: process_ends; 0 more since the last such line");
     CHECK(lines[1] == "response to request r3 aborted after 1.000 s: host_failed; 0 more since the last such line");
     CHECK(lines[2] == "response to request r4 aborted after 7.000 s: process_ends; 1 more since the last such line");
-    const auto figures = registry.render();
-    CHECK(contains(figures, "myrtleroute_answers_cut_total{cause=\"process_ends\"} 3\n"));
-    CHECK(contains(figures, "myrtleroute_answers_cut_total{cause=\"host_failed\"} 1\n"));
-    CHECK(contains(figures, "myrtleroute_answers_cut_total{cause=\"out_of_time\"} 0\n"));
+    const auto rendered = registry.render();
+    CHECK(contains(rendered, "myrtleroute_answers_cut_total{cause=\"process_ends\"} 3\n"));
+    CHECK(contains(rendered, "myrtleroute_answers_cut_total{cause=\"host_failed\"} 1\n"));
+    CHECK(contains(rendered, "myrtleroute_answers_cut_total{cause=\"out_of_time\"} 0\n"));
 }
--- a/tests/system/front_report_test.cpp
+++ b/tests/system/front_report_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace myrtleroute;
 using proxy::ConnectionEnd;
-using proxy::FrontReport;
+using proxy::FrontendReport;
 using proxy::RequestEnd;
 
 namespace {
@@ -21,22 +21,22 @@
 
 TEST_CASE("requests read count as in progress until their end is reported") {
     metrics::Registry registry;
-    FrontReport report(registry, [](const std::string&) {});
+    FrontendReport report(registry, [](const std::string&) {});
     for (int n = 0; n < 4; ++n) report.request_read();
     report.request_ended(RequestEnd::answered);
     report.request_ended(RequestEnd::client_left);
     report.request_ended(RequestEnd::cut);
-    CHECK(report.under_way() == 1);
-    const auto figures = registry.render();
-    CHECK(contains(figures, "myrtleroute_requests_read_total 4\n"));
-    CHECK(contains(figures, "myrtleroute_requests_ended_total{how=\"answered\"} 1\n"));
-    CHECK(contains(figures, "myrtleroute_requests_ended_total{how=\"cut\"} 1\n"));
+    CHECK(report.in_progress() == 1);
+    const auto rendered = registry.render();
+    CHECK(contains(rendered, "myrtleroute_requests_read_total 4\n"));
+    CHECK(contains(rendered, "myrtleroute_requests_ended_total{how=\"answered\"} 1\n"));
+    CHECK(contains(rendered, "myrtleroute_requests_ended_total{how=\"cut\"} 1\n"));
 }
 
 TEST_CASE("connections closed with unread bytes are counted by cause and logged once a second") {
     metrics::Registry registry;
     std::vector<std::string> lines;
-    FrontReport report(registry, [&](const std::string& line) { lines.push_back(line); });
+    FrontendReport report(registry, [&](const std::string& line) { lines.push_back(line); });
     report.connection_ended(ConnectionEnd::idle);
     report.closed_over_unread(ConnectionEnd::idle, Span{1}, Span{15}, Time{10});
     report.closed_over_unread(ConnectionEnd::idle, Span{1}, Span{15}, Time{10.5});
--- a/tests/system/pool_test.cpp
+++ b/tests/system/pool_test.cpp
@@ -71,15 +71,15 @@
         node.retry_budget_slack = 100;
         return node;
     }
-    void tell(const std::string& id, ServerId server, HostState state) {
-        pool.told({id, "service", "10.0.0.1:80", "zone", 4, state, 1}, server);
+    void set_state(const std::string& id, ServerId server, HostState state) {
+        pool.update_host({id, "service", "10.0.0.1:80", "zone", 4, state, 1}, server);
     }
     CallId request() {
         proxy::Request request;
         request.id = next++;
         request.route = &route;
         request.deadline = context.now() + Span{10};
-        pool.take(request);
+        pool.start_request(request);
         return request.id;
     }
     size_t sent_to(ServerId server) const { return static_cast<size_t>(std::count(sent.begin(), sent.end(), server)); }
@@ -90,8 +90,8 @@
 TEST_CASE("a draining or gone host gets no request, even if there is no other host") {
     for (const auto state : {HostState::draining, HostState::gone}) {
         Pool pool;
-        pool.tell("a", 11, HostState::ready);
-        pool.tell("a", 11, state);
+        pool.set_state("a", 11, HostState::ready);
+        pool.set_state("a", 11, state);
         pool.request();
         CHECK(pool.sent.empty());
         CHECK(pool.refused == 1);
@@ -100,23 +100,23 @@
 
 TEST_CASE("a lost host that then reports draining gets no request") {
     Pool pool;
-    pool.tell("a", 11, HostState::ready);
-    pool.tell("a", 11, HostState::lost);
-    pool.tell("a", 11, HostState::draining);
+    pool.set_state("a", 11, HostState::ready);
+    pool.set_state("a", 11, HostState::lost);
+    pool.set_state("a", 11, HostState::draining);
     pool.request();
     CHECK(pool.sent.empty());
 }
 
 TEST_CASE("requests go to the host with the fewest requests of this proxy") {
     Pool pool;
-    for (const ServerId server : {11, 12, 13}) pool.tell(std::to_string(server), server, HostState::ready);
+    for (const ServerId server : {11, 12, 13}) pool.set_state(std::to_string(server), server, HostState::ready);
     for (int i = 0; i < 9; ++i) pool.request();
     for (const ServerId server : {11, 12, 13}) CHECK(pool.sent_to(server) == 3);
 }
 
 TEST_CASE("a host that reports load from other proxies gets fewer requests") {
     Pool pool;
-    for (const ServerId server : {11, 12}) pool.tell(std::to_string(server), server, HostState::ready);
+    for (const ServerId server : {11, 12}) pool.set_state(std::to_string(server), server, HostState::ready);
     pool.pool.balancer().load_reported(pool.context.now(), 11, 3);
     for (int i = 0; i < 4; ++i) pool.request();
     CHECK(pool.sent_to(12) > pool.sent_to(11));
@@ -124,7 +124,7 @@
 
 TEST_CASE("a host at capacity gets no more requests, and the client is refused immediately") {
     Pool pool;
-    pool.tell("a", 11, HostState::ready);
+    pool.set_state("a", 11, HostState::ready);
     for (int i = 0; i < 9; ++i) pool.request();
     CHECK(pool.sent.size() == 5);   // four slots, and a quarter more in the queue
     CHECK(pool.refused == 4);
@@ -132,7 +132,7 @@
 
 TEST_CASE("a request whose connection was reset is retried once at another host if the route allows two attempts") {
     Pool pool;
-    for (const ServerId server : {11, 12, 13}) pool.tell(std::to_string(server), server, HostState::ready);
+    for (const ServerId server : {11, 12, 13}) pool.set_state(std::to_string(server), server, HostState::ready);
     const auto call = pool.request();
     pool.pool.balancer().attempt_ended(pool.context.now(), call, 0, Outcome::reset, false);
     REQUIRE(pool.sent.size() == 2);
@@ -158,7 +158,7 @@
 
 TEST_CASE("after hundreds of route changes a non-idempotent request is still not retried") {
     Pool pool;
-    for (const ServerId server : {11, 12, 13}) pool.tell(std::to_string(server), server, HostState::ready);
+    for (const ServerId server : {11, 12, 13}) pool.set_state(std::to_string(server), server, HostState::ready);
     ask_many_routes(pool, many_routes);
     pool.route.kind = configuration::RouteKind::non_idempotent;
     const auto before = pool.sent.size();
@@ -170,7 +170,7 @@
 
 TEST_CASE("after hundreds of route changes a request is decided by its own target latency, timeout and attempts") {
     Pool pool;
-    for (const ServerId server : {11, 12, 13}) pool.tell(std::to_string(server), server, HostState::ready);
+    for (const ServerId server : {11, 12, 13}) pool.set_state(std::to_string(server), server, HostState::ready);
     ask_many_routes(pool, many_routes);
     for (const double target : {0.2, 3.0}) {
         pool.route.target_latency = Span{target};
--- a/tests/system/proxy_idle_test.cpp
+++ b/tests/system/proxy_idle_test.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 const std::string routes = ProxyWorld::route("idempotent") + "," + ProxyWorld::route("streaming", 3, true);
-constexpr Span at_once{0.05};
-constexpr Span held_up{2};   // delay of a request or a close on a congested link
+constexpr Span response_time{0.05};
+constexpr Span congestion_delay{2};   // delay of a request or a close on a congested link
 
 bool contains(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
 
@@ -22,17 +22,17 @@
 // Sends a request, lets its host respond, and returns the response.
 std::string serve(ProxyWorld& world, testing::ScriptedEnd& client, const std::string& id) {
     client.send(ProxyWorld::request("idempotent", id));
-    world.advance(at_once);
+    world.advance(response_time);
     auto* host = world.pending_host();
     REQUIRE(host);
     host->take();
     host->send(ProxyWorld::answer(id, "body"));
-    world.advance(at_once);
+    world.advance(response_time);
     return client.take();
 }
 
 // The idle timeout that a response announces, in seconds; 0 = none.
-int told_rest(const std::string& answer) {
+int announced_idle(const std::string& answer) {
     const std::string field = "Keep-Alive: timeout=";
     const auto at = answer.find(field);
     return at == std::string::npos ? 0 : std::stoi(answer.substr(at + field.size()));
@@ -44,18 +44,18 @@
     world.configure(with_idle_limit(7000));
     auto& client = world.client();
     client.send(ProxyWorld::request("streaming", "r1"));
-    world.advance(at_once);
+    world.advance(response_time);
     auto* host = world.pending_host();
     REQUIRE(host);
     host->take();
     host->send(ProxyWorld::stream_head("r1") + ProxyWorld::event(1) + ProxyWorld::event(2) + "0\r\n\r\n");
-    world.advance(at_once);
-    CHECK(told_rest(client.take()) == 7);
+    world.advance(response_time);
+    CHECK(announced_idle(client.take()) == 7);
     world.signal(SIGTERM);
-    world.advance(at_once);
+    world.advance(response_time);
     const auto last = serve(world, client, "r2");
     CHECK(contains(last, "Connection: close"));
-    CHECK(told_rest(last) == 0);
+    CHECK(announced_idle(last) == 0);
 }
 
 }   // namespace
@@ -66,9 +66,9 @@
         ProxyWorld world;
         world.configure(with_idle_limit(limit_ms));
         auto& client = world.client();
-        const int told = told_rest(serve(world, client, "r1"));
+        const int told = announced_idle(serve(world, client, "r1"));
         CHECK(told == (limit_ms + 999) / 1000);
-        world.advance(Span{double(told)} + held_up - at_once * 2);
+        world.advance(Span{double(told)} + congestion_delay - response_time * 2);
         CHECK_FALSE(client.ended);
         CHECK(contains(serve(world, client, "r2"), "HTTP/1.1 200 OK"));
     }
@@ -80,14 +80,14 @@
     ProxyWorld world;
     world.configure(with_idle_limit(9000));
     auto& before = world.client();
-    CHECK(told_rest(serve(world, before, "r1")) == 9);
+    CHECK(announced_idle(serve(world, before, "r1")) == 9);
     world.configure(with_idle_limit(2000), 2);
     auto& after = world.client();
-    CHECK(told_rest(serve(world, after, "r2")) == 2);
+    CHECK(announced_idle(serve(world, after, "r2")) == 2);
     world.advance(Span{8.5});
     CHECK_FALSE(before.ended);
     CHECK(after.ended);
-    CHECK(told_rest(serve(world, before, "r3")) == 2);
+    CHECK(announced_idle(serve(world, before, "r3")) == 2);
     world.advance(Span{8.5});
     CHECK(before.ended);
 }
@@ -100,9 +100,9 @@
         auto& client = world.client();
         serve(world, client, "r1");
         if (stops) world.signal(SIGTERM);
-        while (!client.ended) world.advance(at_once);
+        while (!client.ended) world.advance(response_time);
         client.send(ProxyWorld::request("idempotent", "r2"));
-        world.advance(at_once);
+        world.advance(response_time);
         CHECK(client.broken);
         CHECK(client.take().empty());
         CHECK(world.arrivals("r2") == 0);
--- a/tests/system/proxy_stop_test.cpp
+++ b/tests/system/proxy_stop_test.cpp
@@ -16,7 +16,7 @@
 const std::string routes = ProxyWorld::route("idempotent") + "," + ProxyWorld::route("non_idempotent") + "," +
                            ProxyWorld::route("streaming", 3, true) + "," + long_stream;
 
-constexpr Span asked_within{0.05};
+constexpr Span response_time{0.05};
 
 bool contains(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
 
@@ -34,7 +34,7 @@
     host->send(ProxyWorld::stream_head(id) + ProxyWorld::event(1));
     world.advance(rest);
     host->send(ProxyWorld::event(2) + "0\r\n\r\n");
-    world.advance(asked_within);
+    world.advance(response_time);
 }
 
 }   // namespace
@@ -69,7 +69,7 @@
     world.advance(Span{2.2});   // more than five seconds are left
     auto& longer = world.client();
     longer.send(stream_request("r1"));
-    world.advance(asked_within);
+    world.advance(response_time);
     const auto refusal = longer.take();
     CHECK(contains(refusal, "HTTP/1.1 503 "));
     CHECK(contains(refusal, "Retry-After: "));
@@ -77,7 +77,7 @@
     CHECK(world.arrivals("r1") == 0);
     auto& shorter = world.client();
     shorter.send(stream_request("r2", 5000));
-    world.advance(asked_within);
+    world.advance(response_time);
     serve_stream(world, "r2", Span{0.5}, Span{1});
     CHECK(contains(shorter.take(), "0\r\n\r\n"));
 }
@@ -87,12 +87,12 @@
     world.configure(routes);
     auto& waits = world.client();
     waits.send(stream_request("r1"));
-    world.advance(asked_within);
+    world.advance(response_time);
     REQUIRE(world.pending_host());
     world.pending_host()->take();   // the host does not respond
     auto& streams = world.client();
     streams.send(stream_request("r2"));
-    world.advance(asked_within);
+    world.advance(response_time);
     auto* host = world.pending_host();
     REQUIRE(host);
     host->take();
@@ -102,7 +102,7 @@
     const auto answer = waits.take();
     CHECK((contains(answer, "HTTP/1.1 502 ") || contains(answer, "HTTP/1.1 504 ")));
     host->send(ProxyWorld::event(2) + "0\r\n\r\n");
-    world.advance(asked_within);
+    world.advance(response_time);
     CHECK(contains(streams.take(), "0\r\n\r\n"));
     world.advance(Span{0.3});
     CHECK(world.is_over());
@@ -113,7 +113,7 @@
     world.configure(routes);
     auto& client = world.client();
     client.send("POST /idempotent/a HTTP/1.1\r\nHost: h.example\r\nContent-Length: 99999999\r\n\r\n");
-    world.advance(asked_within);
+    world.advance(response_time);
     client.send(std::string(100 * 1024, 'b'));
     world.advance(Span{1.5});
     CHECK(contains(client.take(), "HTTP/1.1 413 "));
--- a/tests/system/proxy_test.cpp
+++ b/tests/system/proxy_test.cpp
@@ -446,10 +446,10 @@
             R"({"version":)" + version +
                 R"(,"routes":[{"hostname":"h.example","pathPrefix":"/a/","kind":"idempotent",)" +
                 R"("timeoutMs":6000,"service":"s)" + version + R"("}],"services":[{"name":"s)" + version + R"("}]})"});
-        messages::HostsUpdate told;
-        told.hosts.push_back(host(n, registry::HostState::ready, 1));
-        if (n > 2) told.hosts.push_back(host(n - 2, registry::HostState::gone, 2));
-        world.send_control(told);
+        messages::HostsUpdate update;
+        update.hosts.push_back(host(n, registry::HostState::ready, 1));
+        if (n > 2) update.hosts.push_back(host(n - 2, registry::HostState::gone, 2));
+        world.send_control(update);
         world.advance(Span{0.5});
     }
     for (int n = 0; n < asked; ++n) {
@@ -492,7 +492,7 @@
 TEST_CASE("a service beyond the pool limit is refused, and never served by another service's hosts") {
     ProxyWorld world(1);
     std::string routes, services;
-    for (size_t n = 0; n < proxy::ServicePools::most + 40; ++n) {
+    for (size_t n = 0; n < proxy::ServicePools::max_pools + 40; ++n) {
         const auto name = "t" + std::to_string(n);
         routes += R"({"hostname":"h.example","pathPrefix":"/)" + name + R"(/","kind":"idempotent","timeoutMs":6000,)" +
                   R"("service":")" + name + R"("},)";
@@ -502,9 +502,9 @@
     services.pop_back();
     world.send_control(messages::ConfigurationUpdate{
         1, R"({"version":1,"routes":[)" + routes + R"(],"services":[)" + services + "]}"});
-    messages::HostsUpdate told;
-    told.hosts.push_back({"i-0", "t0", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1});
-    world.send_control(told);
+    messages::HostsUpdate update;
+    update.hosts.push_back({"i-0", "t0", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1});
+    world.send_control(update);
     world.advance(Span{0.1});
     const auto ask = [&](const std::string& service) {
         auto& client = world.client();
@@ -513,7 +513,7 @@
         world.advance(Span{0.05});
         return client.take();
     };
-    const auto refusal = ask("t" + std::to_string(proxy::ServicePools::most + 30));
+    const auto refusal = ask("t" + std::to_string(proxy::ServicePools::max_pools + 30));
     CHECK(contains(refusal, "HTTP/1.1 503 "));
     CHECK(contains(refusal, "Retry-After: "));
     CHECK(world.hosts[0]->ends.empty());
@@ -531,7 +531,7 @@
                 R"("service":"late"}],"services":[)" + services + R"({"name":"late","healthCheck":"/well"}]})"};
     };
     std::string many;
-    for (size_t n = 0; n < proxy::ServicePools::most; ++n) many += R"({"name":"t)" + std::to_string(n) + R"("},)";
+    for (size_t n = 0; n < proxy::ServicePools::max_pools; ++n) many += R"({"name":"t)" + std::to_string(n) + R"("},)";
     world.send_control(configuration(1, many));
     world.send_control(
         messages::HostsUpdate{{{"i-0", "late", "10.9.0.1:80", "north", 8, registry::HostState::ready, 1}}});
--- a/tests/system/proxy_world.hpp
+++ b/tests/system/proxy_world.hpp
@@ -110,11 +110,11 @@
         fleet.current = true;
         send_control(fleet);
         send_control(messages::ConfigurationUpdate{version, body});
-        messages::HostsUpdate told;
+        messages::HostsUpdate update;
         for (size_t i = 0; i < hosts.size(); ++i)
-            told.hosts.push_back(
+            update.hosts.push_back(
                 {"i-" + std::to_string(i), "s", host_address(i).text(), "north", 8, registry::HostState::ready, 1});
-        send_control(told);
+        send_control(update);
         advance(Span{0.1});
     }
     void send_control(const messages::Message& message) {
--- a/tests/system/quota_report_test.cpp
+++ b/tests/system/quota_report_test.cpp
@@ -31,18 +31,18 @@
 
     leases::Holder leases{{"edge-1", 1}, {}, Time{100}};
 
-    std::string figures() {
+    std::string rendered() {
         report.refresh(leases, now);
         return registry.render();
     }
-    void told(size_t proxies = 12, bool current = true) {
+    void report_fleet(size_t proxies = 12, bool current = true) {
         messages::FleetStatus fleet;
         fleet.current = current;
         fleet.proxy_count = proxies;
-        report.fleet_told(fleet, now);
+        report.update_fleet(fleet, now);
     }
     // The allocator leases that many units, in reply to a request that waits.
-    void lent(const std::string& tenant, double units, double overload) {
+    void lend(const std::string& tenant, double units, double overload) {
         leases.connected(true);
         leases.acquire(tenant, units + 1, 1, Span{0.1}, now);
         const auto ask = leases.next_request(now);
@@ -63,7 +63,7 @@
     world.report.note_refused("acme", 70, RefusalCause::over_limit, world.leases, world.now);
     world.report.note_refused("acme", 10, RefusalCause::not_lent, world.leases, world.now);
     world.report.note_refused("acme", 10, RefusalCause::not_lent, world.leases, world.now);
-    const auto text = world.figures();
+    const auto text = world.rendered();
     CHECK(contains(text, "myrtleroute_quota_granted_units_total{tenant=\"acme\"} 300\n"));
     CHECK(contains(text, "myrtleroute_quota_refused_units_total{tenant=\"acme\"} 90\n"));
     CHECK(contains(text, "myrtleroute_quota_refused_requests_total{tenant=\"acme\",cause=\"over_limit\"} 1\n"));
@@ -73,22 +73,22 @@
 TEST_CASE("the reported fleet state is exported with its age") {
     Reported world;
     world.report.configured(tenants({"acme"}));
-    CHECK(contains(world.figures(), "myrtleroute_fleet_told_age_seconds +Inf\n"));
-    CHECK(contains(world.figures(), "myrtleroute_quota_reply_age_seconds +Inf\n"));
-    world.told(7);
-    world.lent("acme", 600, 1.5);
+    CHECK(contains(world.rendered(), "myrtleroute_fleet_told_age_seconds +Inf\n"));
+    CHECK(contains(world.rendered(), "myrtleroute_quota_reply_age_seconds +Inf\n"));
+    world.report_fleet(7);
+    world.lend("acme", 600, 1.5);
     world.report.note_granted("acme", 1);
     world.now = world.now + Span{0.75};
-    const auto text = world.figures();
+    const auto text = world.rendered();
     CHECK(contains(text, "myrtleroute_quota_held_units{tenant=\"acme\"} 600\n"));
     CHECK(contains(text, "myrtleroute_quota_overload_ratio{tenant=\"acme\"} 1.5\n"));
     CHECK(contains(text, "myrtleroute_quota_reply_age_seconds 0.75\n"));
     CHECK(contains(text, "myrtleroute_fleet_proxies 7\n"));
     CHECK(contains(text, "myrtleroute_fleet_current 1\n"));
     CHECK(contains(text, "myrtleroute_fleet_told_age_seconds 0.75\n"));
-    world.told(3, false);
-    world.lent("acme", 0, 0);   // no demand any more
-    const auto later = world.figures();
+    world.report_fleet(3, false);
+    world.lend("acme", 0, 0);   // no demand any more
+    const auto later = world.rendered();
     CHECK(contains(later, "myrtleroute_quota_overload_ratio{tenant=\"acme\"} 0\n"));
     CHECK(contains(later, "myrtleroute_quota_reply_age_seconds 0\n"));
     CHECK(contains(later, "myrtleroute_fleet_current 0\n"));
@@ -99,7 +99,7 @@
     Reported world;
     world.report.configured(tenants({"acme"}));
     const auto before = world.registry.series();
-    world.lent("stranger", 1, 1);
+    world.lend("stranger", 1, 1);
     world.report.note_granted("stranger", 1);
     world.report.note_refused("stranger", 1, RefusalCause::not_lent, world.leases, world.now);
     CHECK(world.registry.series() == before);
@@ -114,20 +114,20 @@
     world.report.note_refused("acme", 5, RefusalCause::not_lent, world.leases, world.now);
     world.report.note_granted("zeta", 6);
     world.report.configured(tenants({"zeta"}));
-    CHECK_FALSE(contains(world.figures(), "acme"));
-    CHECK(contains(world.figures(), "myrtleroute_quota_granted_units_total{tenant=\"zeta\"} 6\n"));
+    CHECK_FALSE(contains(world.rendered(), "acme"));
+    CHECK(contains(world.rendered(), "myrtleroute_quota_granted_units_total{tenant=\"zeta\"} 6\n"));
     world.report.configured(tenants({}));
     CHECK(world.registry.series() == before);
     world.report.configured(tenants({"acme"}));
     world.report.note_granted("acme", 1);
-    CHECK(contains(world.figures(), "myrtleroute_quota_granted_units_total{tenant=\"acme\"} 1\n"));
+    CHECK(contains(world.rendered(), "myrtleroute_quota_granted_units_total{tenant=\"acme\"} 1\n"));
 }
 
 TEST_CASE("a refusal's log line contains tenant, cause, units since the last line and the reported state") {
     Reported world;
     world.report.configured(tenants({"acme"}));
-    world.told();
-    world.lent("acme", 600, 1.5);
+    world.report_fleet();
+    world.lend("acme", 600, 1.5);
     world.now = world.now + Span{0.25};
     world.report.note_granted("acme", 3000000);
     world.report.note_refused("acme", 20, RefusalCause::over_limit, world.leases, world.now);
--- a/tests/system/rollout_proxy_test.cpp
+++ b/tests/system/rollout_proxy_test.cpp
@@ -25,7 +25,7 @@
             messages::ConfigurationUpdate{1, R"({"version":1,"routes":[)" + ProxyWorld::route("idempotent") +
                                                  R"(],"services":[{"name":"s","healthCheck":"/health"}]})"});
     }
-    void tell(Stage stage) {
+    void set_stage(Stage stage) {
         Rollouts rollouts{++revision_, {}};
         rollouts.all.push_back({1, "s", "v2", 12, stage, {}});
         if (stage == Stage::rolled_back) rollouts.all[0].rejected = {"v2"};
@@ -33,19 +33,19 @@
         world.advance(Span{0.1});
     }
     // Reports the first `count` hosts; those reported before are not repeated.
-    void tell_hosts(size_t count) {
-        messages::HostsUpdate told;
-        for (size_t i = std::exchange(told_, count); i < count; ++i)
-            told.hosts.push_back({"i-" + std::to_string(i), "s", "10.9.0." + std::to_string(i + 1) + ":80", "north", 8,
-                                  registry::HostState::ready, 1, i < each_ ? "v1" : "v2"});
-        world.send_control(told);
-        stay(Span{1.5});
+    void report_hosts(size_t count) {
+        messages::HostsUpdate update;
+        for (size_t i = std::exchange(reported_hosts_, count); i < count; ++i)
+            update.hosts.push_back({"i-" + std::to_string(i), "s", "10.9.0." + std::to_string(i + 1) + ":80", "north",
+                                    8, registry::HostState::ready, 1, i < each_ ? "v1" : "v2"});
+        world.send_control(update);
+        advance(Span{1.5});
     }
     // Advances time while the control node reports its quorum.
-    void stay(Span span) {
+    void advance(Span span) {
         for (double passed = 0; passed < span.s; passed += 0.25) {
             messages::FleetStatus fleet;
-            fleet.current = speaks;
+            fleet.current = has_quorum;
             world.send_control(fleet);
             world.advance(Span{0.25});
         }
@@ -60,16 +60,16 @@
             world.advance(Span{0.02});
             for (int attempt = 0; attempt < 3; ++attempt) answer(id, of_candidates);
             client.close();
-            if (i % 5 == 0) stay(Span{0.25});
+            if (i % 5 == 0) advance(Span{0.25});
         }
     }
-    std::optional<rollout::RolloutReport> last_ballot() {
+    std::optional<rollout::RolloutReport> last_report() {
         messages::FrameReader reader;
         reader.feed(world.control.last().received);
         std::optional<rollout::RolloutReport> last;
         while (const auto json = reader.next())
             if (const auto message = messages::decode(*json))
-                if (const auto* ballot = std::get_if<rollout::RolloutReport>(&*message)) last = *ballot;
+                if (const auto* report = std::get_if<rollout::RolloutReport>(&*message)) last = *report;
         return last;
     }
 
@@ -88,11 +88,11 @@
     }
     size_t each_;
     uint64_t revision_ = 0;
-    size_t told_ = 0;   // hosts reported so far
+    size_t reported_hosts_ = 0;   // hosts reported so far
     size_t request_ = 0;
 
 public:
-    bool speaks = true;         // whether the control node reports a quorum
+    bool has_quorum = true;     // whether the control node reports a quorum
     size_t at_candidates = 0;   // requests of the last `serve` that reached candidates
     std::set<size_t> candidates_used;
     ProxyWorld world;
@@ -102,8 +102,8 @@
 
 TEST_CASE("while candidates are observed they get at most a fourteenth of the requests") {
     RolloutWorld rollout(60);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(120);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(120);
     rollout.serve(400);
     CHECK(rollout.at_candidates >= 20);
     CHECK(rollout.at_candidates <= 29);
@@ -112,10 +112,10 @@
 
 TEST_CASE("hosts without updates for a long time still count as ready") {
     RolloutWorld rollout(60);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(119);
-    rollout.stay(Span{8});
-    rollout.tell_hosts(120);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(119);
+    rollout.advance(Span{8});
+    rollout.report_hosts(120);
     rollout.serve(300);
     rollout.candidates_used.clear();
     rollout.serve(300);
@@ -124,52 +124,52 @@
 
 TEST_CASE("candidates that start after the rollout order take part beside hosts known before it") {
     RolloutWorld rollout(60);
-    rollout.tell_hosts(60);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(120);
+    rollout.report_hosts(60);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(120);
     rollout.serve(200);
     CHECK(rollout.candidates_used.size() >= 4);
 }
 
 TEST_CASE("in the moving stage all requests go to candidates, and after a rollback none") {
     RolloutWorld rollout(8);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(16);
-    rollout.tell(Stage::moving);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(16);
+    rollout.set_stage(Stage::moving);
     rollout.serve(20);
     CHECK(rollout.at_candidates == 20);
     CHECK(rollout.candidates_used.size() > 2);
-    rollout.tell(Stage::rolled_back);
+    rollout.set_stage(Stage::rolled_back);
     rollout.serve(20);
     CHECK(rollout.at_candidates == 0);
 }
 
 TEST_CASE("after a completed rollout no request goes to the replaced hosts") {
     RolloutWorld rollout(8);
-    rollout.tell_hosts(8);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(16);
-    rollout.tell(Stage::moving);
-    rollout.tell(Stage::completed);
+    rollout.report_hosts(8);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(16);
+    rollout.set_stage(Stage::moving);
+    rollout.set_stage(Stage::completed);
     rollout.serve(20);
     CHECK(rollout.at_candidates == 20);
 }
 
 TEST_CASE("without a control node that has a quorum, observed candidates get no requests") {
     RolloutWorld rollout(60);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(120);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(120);
     rollout.world.advance(Span{2});
-    rollout.speaks = false;
+    rollout.has_quorum = false;
     rollout.serve(100);
     CHECK(rollout.at_candidates == 0);
 }
 
 TEST_CASE("a proxy whose requests fail at candidates stops using them before the rollout is decided") {
     RolloutWorld rollout(8);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(16);
-    rollout.tell(Stage::moving);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(16);
+    rollout.set_stage(Stage::moving);
     rollout.serve(40, "500 Internal Server Error");
     CHECK(rollout.at_candidates < 30);
     rollout.serve(20, "500 Internal Server Error");
@@ -178,16 +178,16 @@
 
 TEST_CASE("a proxy's rollout report contains requests and failures by route, and for candidates by host") {
     RolloutWorld rollout(60);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(120);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(120);
     rollout.serve(200, "500 Internal Server Error");
-    const auto ballot = rollout.last_ballot();
-    REQUIRE(ballot);
-    REQUIRE(ballot->routes.size() == 1);
-    CHECK(ballot->routes[0].serving.requests > 100);
-    CHECK(ballot->routes[0].serving.bad == 0);
+    const auto report = rollout.last_report();
+    REQUIRE(report);
+    REQUIRE(report->routes.size() == 1);
+    CHECK(report->routes[0].serving.requests > 100);
+    CHECK(report->routes[0].serving.bad == 0);
     uint64_t requests = 0;
-    for (const auto& candidate : ballot->routes[0].candidates) {
+    for (const auto& candidate : report->routes[0].candidates) {
         requests += candidate.tally.requests;
         CHECK(candidate.tally.bad == candidate.tally.requests);
     }
@@ -196,9 +196,9 @@
 
 TEST_CASE("an outdated rollout message changes nothing") {
     RolloutWorld rollout(8);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(16);
-    rollout.tell(Stage::rolled_back);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(16);
+    rollout.set_stage(Stage::rolled_back);
     Rollouts older{1, {{1, "s", "v2", 12, Stage::moving, {}}}};
     rollout.world.send_control(messages::RolloutsUpdate{older});
     rollout.serve(20);
--- a/tests/system/routing_test.cpp
+++ b/tests/system/routing_test.cpp
@@ -153,9 +153,9 @@
     double max_over = -1e9;   // retries beyond the budget
 
     RepeatingFleet(size_t proxies, Time started) : budgets(proxies, RetryBudget(options, started)), sizes(proxies) {}
-    void step(Time now, size_t told) {
+    void step(Time now, size_t reported) {
         for (size_t i = 0; i < budgets.size(); ++i) {
-            sizes[i].update(told, now);
+            sizes[i].update(reported, now);
             if (static_cast<int>(now.s * 10) % static_cast<int>(budgets.size()) == static_cast<int>(i)) {
                 budgets[i].count_request(now);
                 requests.push_back(now);
--- a/tests/system/shutdown_steps_test.cpp
+++ b/tests/system/shutdown_steps_test.cpp
@@ -27,13 +27,13 @@
     constexpr double rounding = 1e-9;
     Shutdown shutdown(grace);
     shutdown.begin(begun);
-    std::vector<std::string> told;
+    std::vector<std::string> reported;
     for (int at = 0; at < grace.s * 1000; at += every) {
         const Time now = begun + Span{at / 1000.0 + rounding};
         for (auto step = shutdown.next(now); step != Shutdown::Step::none; step = shutdown.next(now))
-            told.push_back(std::to_string(at) + " " + name_of(step));
+            reported.push_back(std::to_string(at) + " " + name_of(step));
     }
-    return told;
+    return reported;
 }
 
 using Steps = std::vector<std::string>;
@@ -58,7 +58,7 @@
 TEST_CASE("requests are accepted slightly longer than connections, and responses end before the grace period") {
     Shutdown shutdown(Span{8});
     shutdown.begin(Time{100});
-    CHECK(shutdown.listeners_end() < shutdown.take_until());
-    CHECK(shutdown.take_until() < shutdown.answers_end());
+    CHECK(shutdown.listeners_end() < shutdown.requests_end());
+    CHECK(shutdown.requests_end() < shutdown.answers_end());
     CHECK(shutdown.answers_end() < Time{108});
 }
--- a/tests/system/subscriber_test.cpp
+++ b/tests/system/subscriber_test.cpp
@@ -22,10 +22,10 @@
 }
 
 messages::FleetStatus fleet(bool current, bool elsewhere = false) {
-    messages::FleetStatus told;
-    told.current = current;
-    told.current_elsewhere = elsewhere;
-    return told;
+    messages::FleetStatus update;
+    update.current = current;
+    update.current_elsewhere = elsewhere;
+    return update;
 }
 
 // A subscriber whose connections are established immediately.
@@ -39,7 +39,7 @@
         subscriber.add_seeds(seeds);
         step(Span{});
     }
-    void carry_out() {
+    void execute_outputs() {
         for (auto outputs = subscriber.take_outputs(); !outputs.empty(); outputs = subscriber.take_outputs())
             for (const auto& output : outputs) {
                 closed += std::holds_alternative<CloseLink>(output);
@@ -52,16 +52,16 @@
     void step(Span span) {
         now = now + span;
         subscriber.tick(now);
-        carry_out();
+        execute_outputs();
     }
-    void hear(const messages::FleetStatus& told) {
-        subscriber.received(told, now);
-        carry_out();
+    void receive(const messages::FleetStatus& update) {
+        subscriber.received(update, now);
+        execute_outputs();
     }
     // Receives the message several times a second for that time.
-    void hear_for(const messages::FleetStatus& told, Span span) {
+    void receive_for(const messages::FleetStatus& update, Span span) {
         for (const Time end = now + span; now < end;) {
-            hear(told);
+            receive(update);
             step(Span{0.2});
         }
     }
@@ -72,24 +72,24 @@
 TEST_CASE("a control node without a quorum is not left while no other one is known to have one") {
     World world({node(1), node(2), node(3)});
     REQUIRE(world.opened.size() == 1);
-    world.hear_for(fleet(true), Span{1});
-    world.hear_for(fleet(false), Span{20});
+    world.receive_for(fleet(true), Span{1});
+    world.receive_for(fleet(false), Span{20});
     CHECK(world.opened.size() == 1);
     CHECK(world.closed == 0);
 }
 
 TEST_CASE("a control node without a quorum is left for another one that may have one, with a growing delay") {
     World world({node(1), node(2), node(3)});
-    world.hear_for(fleet(true), Span{1});
-    world.hear_for(fleet(false, true), Span{1});
+    world.receive_for(fleet(true), Span{1});
+    world.receive_for(fleet(false, true), Span{1});
     CHECK(world.opened.size() == 2);
-    world.hear_for(fleet(false, true), Span{20});
+    world.receive_for(fleet(false, true), Span{20});
     CHECK(world.opened.size() >= 6);    // it tries further nodes
     CHECK(world.opened.size() <= 14);   // and does not alternate rapidly between them
     const auto before = world.opened.size();
-    world.hear_for(fleet(true), Span{2});
+    world.receive_for(fleet(true), Span{2});
     CHECK(world.opened.size() == before);
-    world.hear_for(fleet(false, true), Span{1});
+    world.receive_for(fleet(false, true), Span{1});
     CHECK(world.opened.size() == before + 1);   // as soon as the first time
 }
 
@@ -100,8 +100,8 @@
     const auto south = node(5, "south");
     World world({node(1), node(2), node(3), node(4), south});
     REQUIRE(world.subscriber.at() != south.peer);   // own zone first
-    world.hear_for(fleet(true), Span{1});
-    world.hear_for(fleet(false, true), Span{1});
+    world.receive_for(fleet(true), Span{1});
+    world.receive_for(fleet(false, true), Span{1});
     CHECK(world.opened.size() == 2);
     CHECK(world.subscriber.at() == south.peer);
 }
@@ -123,32 +123,32 @@
 
 TEST_CASE("a proxy follows its control node's redirect, unless the target has just failed") {
     World world({node(1)});
-    world.hear(fleet(true));
-    auto told = fleet(true);
-    told.move_to = node(2);
-    world.hear(told);
+    world.receive(fleet(true));
+    auto update = fleet(true);
+    update.move_to = node(2);
+    world.receive(update);
     CHECK(world.closed == 1);
     CHECK(world.subscriber.at() == node(2).peer);
     CHECK(world.subscriber.is_open());
     world.subscriber.failed(world.now);   // the connection to the new node breaks
     world.step(Span{0.2});
     CHECK(world.subscriber.at() == node(1).peer);   // the node that was left does not count as failed
-    world.hear(told);
+    world.receive(update);
     CHECK(world.subscriber.at() == node(1).peer);
-    world.hear_for(fleet(true), Span{3});
-    world.hear(told);
+    world.receive_for(fleet(true), Span{3});
+    world.receive(update);
     CHECK(world.subscriber.at() == node(2).peer);
 }
 
 TEST_CASE("the table of control nodes is bounded: it keeps the most recently mentioned ones and the connected one") {
     World world({node(0)});
-    auto told = fleet(true);
+    auto update = fleet(true);
     for (int number = 1; number <= 300; ++number) {
-        told.control_nodes = {node(number)};
-        world.hear(told);
+        update.control_nodes = {node(number)};
+        world.receive(update);
     }
-    CHECK(world.subscriber.nodes() == Subscriber::most_nodes);
-    CHECK(world.subscriber.forgotten() == 301 - Subscriber::most_nodes);
+    CHECK(world.subscriber.nodes() == Subscriber::max_nodes);
+    CHECK(world.subscriber.evicted() == 301 - Subscriber::max_nodes);
     CHECK(world.opened.size() == 1);
     std::set<Endpoint> tried;   // no node responds any more
     for (int i = 0; i < 400; ++i) {
@@ -156,12 +156,12 @@
         world.step(Span{0.2});
         tried.insert(world.subscriber.at());
     }
-    CHECK(tried.size() == Subscriber::most_nodes);
+    CHECK(tried.size() == Subscriber::max_nodes);
     CHECK(tried.count(node(300).peer) == 1);
     CHECK(tried.count(node(1).peer) == 0);
     // Settings with ever new seeds don't exceed the bound either.
     for (int number = 301; number <= 600; ++number) world.subscriber.add_seeds({node(number)});
-    CHECK(world.subscriber.nodes() == Subscriber::most_nodes);
+    CHECK(world.subscriber.nodes() == Subscriber::max_nodes);
 }
 
 // Balancing many proxies over control nodes.
@@ -207,7 +207,7 @@
             ++moves;
         }
     }
-    size_t strangers() const {   // proxies connected to a node of another zone
+    size_t foreign_zone_proxies() const {   // proxies connected to a node of another zone
         size_t count = 0;
         for (const auto& each : nodes)
             for (const auto& [link, zone] : each.subscribers) count += zone != each.load.node.zone;
@@ -231,7 +231,7 @@
         CHECK(each.subscribers.size() >= 38);
         CHECK(each.subscribers.size() <= 56);
     }
-    CHECK(spread.strangers() == 0);
+    CHECK(spread.foreign_zone_proxies() == 0);
     CHECK(spread.moves <= 2 * proxies);
     const auto before = spread.moves;
     for (int s = 0; s < 60; ++s) spread.second();
@@ -242,9 +242,9 @@
     Spread spread;
     for (size_t i = 0; i < 5; ++i) spread.add_node(zone_of(i), 100);
     for (size_t i = 3; i < 5; ++i) spread.add_node(zone_of(i), 10);   // the small machines of two zones
-    Pcg chance(3);
+    Pcg rng(3);
     for (ConnectionId link = 1; link <= 68; ++link)
-        spread.nodes[static_cast<size_t>(chance.uniform() * 7)].subscribers[link] = zone_of(link % 6);
+        spread.nodes[static_cast<size_t>(rng.uniform() * 7)].subscribers[link] = zone_of(link % 6);
     for (int s = 0; s < 60; ++s) spread.second();
     for (size_t i = 0; i < 5; ++i) CHECK(spread.nodes[i].subscribers.size() <= 18);
     for (size_t i = 5; i < 7; ++i) CHECK(spread.nodes[i].subscribers.size() <= 3);
@@ -270,13 +270,13 @@
 TEST_CASE("for random sizes and starts all nodes end within their shares, and moves cease") {
     for (uint64_t seed = 1; seed <= 60; ++seed) {
         CAPTURE(seed);
-        Pcg chance(seed);
+        Pcg rng(seed);
         Spread spread;
         const auto below = [&](size_t most) {
-            return static_cast<size_t>(chance.uniform() * static_cast<double>(most));
+            return static_cast<size_t>(rng.uniform() * static_cast<double>(most));
         };
         const size_t zones = 1 + below(8), nodes = 1 + below(12), proxies = 1 + below(400);
-        for (size_t i = 0; i < nodes; ++i) spread.add_node(zone_of(i % zones), chance.uniform() < 0.3 ? 10 : 100);
+        for (size_t i = 0; i < nodes; ++i) spread.add_node(zone_of(i % zones), rng.uniform() < 0.3 ? 10 : 100);
         for (ConnectionId link = 1; link <= proxies; ++link)
             spread.nodes[below(nodes)].subscribers[link] = zone_of(below(zones));
         for (int s = 0; s < 150; ++s) spread.second();
@@ -301,25 +301,25 @@
     control::ProxyDirectory directory;
     const Endpoint other{"10.0.0.2", 7500};
     Time now{100};
-    messages::ProxiesStatus told;
-    told.current = true;
-    told.weight = 100;
-    told.proxies = {"edge-9"};
-    directory.update_peer(other, told, now);
+    messages::ProxiesStatus update;
+    update.current = true;
+    update.weight = 100;
+    update.proxies = {"edge-9"};
+    directory.update_peer(other, update, now);
     for (ConnectionId link = 1; link <= 8; ++link)
         directory.add_subscriber(link, {"edge-" + std::to_string(link), 0, "south"}, now);
     CHECK(directory.names().size() == 9);
     now = now + Span{5};
-    told.subscribers = 1;
-    directory.update_peer(other, told, now);
+    update.subscribers = 1;
+    directory.update_peer(other, update, now);
     const auto moves =
         directory.plan_moves({node(1, "north"), 100, 0}, {{other, {other, {"10.0.0.2", 8367}, "south"}}}, now);
     REQUIRE_FALSE(moves.empty());
     directory.remove_subscriber(moves[0].connection, now + Span{0.01});
     CHECK(directory.names().size() == 9);   // it is moving
     CHECK_FALSE(directory.is_subscriber(moves[0].connection));
-    told.proxies->push_back("edge-" + std::to_string(moves[0].connection));
-    directory.update_peer(other, told, now + Span{0.3});
+    update.proxies->push_back("edge-" + std::to_string(moves[0].connection));
+    directory.update_peer(other, update, now + Span{0.3});
     directory.tick(now + Span{2});
     CHECK(directory.names().size() == 9);
     CHECK(directory.own_names().size() == 7);
