--- a/src/roles/main.cpp
+++ b/src/roles/main.cpp
@@ -1,4 +1,5 @@
-// The program of the router fleet: `myrtlerouted ROLE`, where the settings file is named by MYRTLEROUTE_SETTINGS.
+// Main program of the router fleet, `myrtlerouted ROLE`. The settings file is given by MYRTLEROUTE_SETTINGS or
+// --settings.
 #include <tclap/CmdLine.h>
 
 #include <csignal>
@@ -23,7 +24,7 @@
 
 constexpr const char* version = "1.0.0";
 constexpr const char* settings_variable = "MYRTLEROUTE_SETTINGS";
-constexpr int exit_well = 0, exit_findings = 1, exit_fault = 2;
+constexpr int exit_ok = 0, exit_findings = 1, exit_fault = 2;
 
 std::optional<std::string> read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
@@ -33,7 +34,7 @@
 }
 
 ParseResult<configuration::NodeSettings> read_settings(const std::string& path) {
-    if (path.empty()) return Findings{{settings_variable, "is not set, and there is no --settings"}};
+    if (path.empty()) return Findings{{settings_variable, "is not set, and --settings is not given"}};
     const auto text = read_file(path);
     if (!text) return Findings{{path, "can't be read"}};
     return configuration::read_node_settings(*text, path);
@@ -49,7 +50,7 @@
     const auto reread = [path]() -> std::optional<configuration::NodeSettings> {
         auto checked = read_settings(path);
         if (auto* findings = std::get_if<Findings>(&checked)) {
-            log_error() << "settings stay as they were: " << join_findings(*findings);
+            log_error() << "settings not reloaded, the previous ones stay in use: " << join_findings(*findings);
             return {};
         }
         return std::get<configuration::NodeSettings>(std::move(checked));
@@ -57,7 +58,7 @@
     return proxy::Proxy(settings, home, random_seed(), reread).run();
 }
 
-// Checks a configuration or a settings file and prints every finding.
+// Validates a configuration or a settings file and prints every finding.
 int check(const std::string& path) {
     const auto text = read_file(path);
     if (!text) {
@@ -76,7 +77,7 @@
     }
     for (const auto& finding : findings) std::cout << finding.location << ": " << finding.message << '\n';
     if (findings.empty()) std::cout << path << ": sound\n";
-    return findings.empty() ? exit_well : exit_findings;
+    return findings.empty() ? exit_ok : exit_findings;
 }
 
 int run_role(const std::string& role, const std::string& path) {
@@ -92,25 +93,25 @@
 }   // namespace
 
 int main(int argc, char** argv) {
-    std::signal(SIGHUP, SIG_IGN);   // until a role hears signals itself: the settings are still to be read
+    std::signal(SIGHUP, SIG_IGN);   // ignored until the role handles it; the settings are still to be read then
     try {
         TCLAP::CmdLine command("Router fleet for a language model. Roles run until SIGTERM.", ' ', version);
-        std::vector<std::string> words{"proxy", "control", "check"};
-        TCLAP::ValuesConstraint<std::string> roles(words);
-        TCLAP::UnlabeledValueArg<std::string> role("command", "The role to run, or check: checks a file.", true, "",
-                                                   &roles);
-        TCLAP::UnlabeledValueArg<std::string> file("file", "What `check` reads: a settings file or a configuration.",
+        std::vector<std::string> commands{"proxy", "control", "check"};
+        TCLAP::ValuesConstraint<std::string> roles(commands);
+        TCLAP::UnlabeledValueArg<std::string> role("command", "The role to run, or `check` to validate a file.", true,
+                                                   "", &roles);
+        TCLAP::UnlabeledValueArg<std::string> file("file", "The file to check: a settings file or a configuration.",
                                                    false, "", "path");
-        const char* set = std::getenv(settings_variable);
-        TCLAP::ValueArg<std::string> settings("s", "settings", "Settings file; else MYRTLEROUTE_SETTINGS names it.",
-                                              false, set ? set : "", "path", command);
+        const char* from_environment = std::getenv(settings_variable);
+        TCLAP::ValueArg<std::string> settings("s", "settings", "Settings file; defaults to MYRTLEROUTE_SETTINGS.",
+                                              false, from_environment ? from_environment : "", "path", command);
         std::vector<std::string> levels{"debug", "info", "warning", "error"};
         TCLAP::ValuesConstraint<std::string> known_levels(levels);
-        TCLAP::ValueArg<std::string> level("l", "log", "Least level of log lines.", false, "info", &known_levels,
+        TCLAP::ValueArg<std::string> level("l", "log", "Minimum level of log lines.", false, "info", &known_levels,
                                            command);
         command.add(role);
         command.add(file);
-        command.setExceptionHandling(false);   // a fault of the command line has an exit status of its own
+        command.setExceptionHandling(false);   // command line errors have their own exit status
         command.parse(argc, argv);
         start_log(argc, argv, level.getValue());
         if (role.getValue() == "check") return check(file.getValue());
