--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -1,4 +1,4 @@
-// The log of a replica: entries from the leader to the followers, what is committed, barriers.
+// Log replication from the leader to the followers, commits and read barriers.
 #include <algorithm>
 
 #include "consensus/replica.hpp"
@@ -6,12 +6,12 @@
 namespace myrtleroute::consensus {
 namespace {
 
-constexpr Span recently{2};           // a peer met since then can be reached
-constexpr size_t most_rounds = 128;   // whose times are remembered
-constexpr Span close_together{0.1};   // of rounds
-constexpr size_t most_close_rounds = 5;
+constexpr Span reachable_within{2};      // a peer seen within this time is reachable
+constexpr size_t max_rounds = 128;       // rounds whose send times are kept
+constexpr Span close_rounds_span{0.1};   // span for `max_close_rounds`
+constexpr size_t max_close_rounds = 5;
 constexpr Time never{1e18};
-constexpr size_t most_barriers = 256;
+constexpr size_t max_barriers = 256;
 
 }   // namespace
 
@@ -29,17 +29,17 @@
     return last();
 }
 
-void Replica::note_round(std::deque<Round>& rounds, uint64_t number, Time at) {
-    if (rounds.size() >= most_rounds) rounds.pop_front();
+void Replica::record_round(std::deque<Round>& rounds, uint64_t number, Time at) {
+    if (rounds.size() >= max_rounds) rounds.pop_front();
     rounds.push_back({number, at});
 }
 
-// The number of the round that confirms a barrier; it is sent after the barrier was asked for. Barriers that come close
-// together share one, or rounds would grow with those who ask.
+// Returns the number of the round that confirms a barrier; it must be sent after the barrier was requested. Barriers
+// requested close together share a round; otherwise the number of rounds would grow with the number of clients.
 uint64_t Replica::begin_round(BarrierRound round, Time now) {
     if (round == BarrierRound::next_heartbeat) return round_ + 1;
-    if (rounds_.size() >= most_close_rounds) {
-        const Time free_at = rounds_[rounds_.size() - most_close_rounds].at + close_together;
+    if (rounds_.size() >= max_close_rounds) {
+        const Time free_at = rounds_[rounds_.size() - max_close_rounds].at + close_rounds_span;
         if (now < free_at) {
             confirming_round_at_ = free_at;
             return round_ + 1;
@@ -49,15 +49,15 @@
     return round_;
 }
 
-// To voters alone: others' answers prove nothing.
+// Sent to voters only: replies of other replicas prove nothing.
 void Replica::send_confirming_round(Time now) {
-    note_new_round(now);
+    record_new_round(now);
     for (auto& [id, peer] : peers_)
         if (is_voter(id)) append_to(id, peer, now);
 }
 
-void Replica::note_new_round(Time now) {
-    note_round(rounds_, ++round_, now);
+void Replica::record_new_round(Time now) {
+    record_round(rounds_, ++round_, now);
     confirming_round_at_ = never;
 }
 
@@ -69,7 +69,7 @@
         barriers_.push_back({number, confirmed_by, index, std::nullopt});
         pass_barriers();
     } else {
-        if (!leader_ || follower_barriers_.size() >= most_barriers) return {};
+        if (!leader_ || follower_barriers_.size() >= max_barriers) return {};
         follower_barriers_.push_back({number, std::nullopt});
         send(*leader_, ReadRequest{hard_.term, number, round == BarrierRound::next_heartbeat});
     }
@@ -77,7 +77,7 @@
 }
 
 void Replica::on(const ReplicaId& from, const ReadRequest& request, Time now) {
-    if (role_ != Role::leader || request.term != hard_.term || barriers_.size() >= most_barriers) return;
+    if (role_ != Role::leader || request.term != hard_.term || barriers_.size() >= max_barriers) return;
     const auto confirmed_by = begin_round(request.can_wait ? BarrierRound::next_heartbeat : BarrierRound::at_once, now);
     barriers_.push_back({request.number, confirmed_by, std::max(committed_, own_term_index_), from});
     pass_barriers();
@@ -91,20 +91,20 @@
 }
 
 void Replica::heartbeat(Time now) {
-    note_new_round(now);
+    record_new_round(now);
     heartbeat_at_ = now + options_.heartbeat_interval;
     for (auto& [id, peer] : peers_)
-        if (is_voter(id) || now - peer.met < recently) append_to(id, peer, now);
+        if (is_voter(id) || now - peer.reachable_at < reachable_within) append_to(id, peer, now);
 }
 
 Append Replica::append_for(const Peer& peer) const {
-    return {hard_.term, round_, last(), committed_, is_everywhere(), peer.confirmed_round, std::nullopt};
+    return {hard_.term, round_, last(), committed_, all_voters_have_last(), peer.acknowledged_round, std::nullopt};
 }
 
 void Replica::append_to(const ReplicaId& to, Peer& peer, Time now) {
     auto append = append_for(peer);
-    const bool lacks = peer.held != last();
-    if (lacks && (peer.sent != last() || now - peer.sent_at > options_.resend_interval)) {
+    const bool lacks_entry = peer.persisted != last();
+    if (lacks_entry && (peer.sent != last() || now - peer.sent_at > options_.resend_interval)) {
         append.state = entry_->state;
         peer.sent = last();
         peer.sent_at = now;
@@ -113,56 +113,56 @@
 }
 
 void Replica::on(const ReplicaId& from, const Append& append, Time now) {
-    if (append.term < hard_.term) return send(from, AppendReply{hard_.term, 0, on_disk_});
-    if (append.term > hard_.term || role_ != Role::follower || leader_ != from) follow(append.term, from, now);
-    heard_leader_ = now;
+    if (append.term < hard_.term) return send(from, AppendReply{hard_.term, 0, persisted_});
+    if (append.term > hard_.term || role_ != Role::follower || leader_ != from) become_follower(append.term, from, now);
+    leader_contact_at_ = now;
     reset_election_timer(now);
     const size_t writes_before = writes_.size();
-    while (!answered_.empty() && answered_.front().number <= append.acknowledged_round) {
-        contact_ = std::max(contact_, answered_.front().at);
-        answered_.pop_front();
+    while (!acknowledged_rounds_.empty() && acknowledged_rounds_.front().number <= append.acknowledged_round) {
+        confirmed_contact_ = std::max(confirmed_contact_, acknowledged_rounds_.front().at);
+        acknowledged_rounds_.pop_front();
     }
     if (append.last > last() && append.state) adopt({append.last, *append.state});
-    copied_ = last() == append.last && append.fully_replicated;
+    is_fully_replicated_ = last() == append.last && append.fully_replicated;
     if (last() == append.last && append.commit >= last().index) commit(last().index);
     pass_barriers();
-    const bool wrote = writes_.size() > writes_before;
-    const SendTo reply{from, AppendReply{hard_.term, append.round, wrote ? last() : on_disk_}};
-    note_round(answered_, append.round, now);
-    last_answered_ = now;
-    if (wrote)
-        writes_.back().then.push_back(reply);
+    const bool has_new_write = writes_.size() > writes_before;
+    const SendTo reply{from, AppendReply{hard_.term, append.round, has_new_write ? last() : persisted_}};
+    record_round(acknowledged_rounds_, append.round, now);
+    last_acknowledged_leader_ = now;
+    if (has_new_write)
+        writes_.back().after.push_back(reply);
     else if (durable_term_ == hard_.term)
-        outputs_.push_back(reply);   // else a later heartbeat has a reply
+        outputs_.push_back(reply);   // otherwise a later heartbeat is acknowledged
 }
 
 void Replica::on(const ReplicaId& from, const AppendReply& reply, Time now) {
-    if (reply.term > hard_.term) return follow(reply.term, std::nullopt, now);
+    if (reply.term > hard_.term) return become_follower(reply.term, std::nullopt, now);
     if (role_ != Role::leader || reply.term < hard_.term) return;
     auto& peer = peers_[from];
-    peer.met = now;
+    peer.reachable_at = now;
     const auto sent =
         std::find_if(rounds_.begin(), rounds_.end(), [&](const auto& round) { return round.number == reply.round; });
-    if (sent != rounds_.end()) peer.heard = std::max(peer.heard, sent->at);
-    peer.confirmed_round = std::max(peer.confirmed_round, reply.round);
-    peer.held = std::max(peer.held, reply.persisted);
+    if (sent != rounds_.end()) peer.last_acknowledged_at = std::max(peer.last_acknowledged_at, sent->at);
+    peer.acknowledged_round = std::max(peer.acknowledged_round, reply.round);
+    peer.persisted = std::max(peer.persisted, reply.persisted);
     advance_commit();
     pass_barriers();
 }
 
-// The entry that a majority of the voters has on disk is committed, if it is of the leader's own term.
+// An entry is committed once a majority of the voters has it on disk, if it is of the leader's own term.
 void Replica::advance_commit() {
-    std::vector<Position> held;
+    std::vector<Position> persisted;
     for (const auto& voter : voters()) {
         const auto peer = peers_.find(voter);
-        held.push_back(voter == self_ ? on_disk_ : peer == peers_.end() ? Position{} : peer->second.held);
+        persisted.push_back(voter == self_ ? persisted_ : peer == peers_.end() ? Position{} : peer->second.persisted);
     }
-    if (held.empty()) return;
-    std::sort(held.begin(), held.end(), std::greater<>());
-    const Position agreed = held[held.size() / 2];
+    if (persisted.empty()) return;
+    std::sort(persisted.begin(), persisted.end(), std::greater<>());
+    const Position agreed = persisted[persisted.size() / 2];
     if (agreed.term != hard_.term || agreed.index <= committed_) return;
     commit(agreed.index);
-    for (const auto& [id, peer] : peers_) send(id, append_for(peer));   // followers learn of it at once
+    for (const auto& [id, peer] : peers_) send(id, append_for(peer));   // followers are informed at once
 }
 
 void Replica::commit(uint64_t index) {
@@ -175,11 +175,11 @@
     std::erase_if(barriers_, [this](const Barrier& barrier) {
         std::set<ReplicaId> confirmed{self_};
         for (const auto& [id, peer] : peers_)
-            if (peer.confirmed_round >= barrier.round) confirmed.insert(id);
+            if (peer.acknowledged_round >= barrier.round) confirmed.insert(id);
         const bool passed = has_quorum(confirmed) && committed_ >= std::max(barrier.index, own_term_index_);
         if (!passed) return false;
-        if (barrier.asker)
-            send(*barrier.asker, ReadReply{hard_.term, barrier.number, barrier.index});
+        if (barrier.requester)
+            send(*barrier.requester, ReadReply{hard_.term, barrier.number, barrier.index});
         else
             outputs_.push_back(BarrierPassed{barrier.number, barrier.index});
         return true;
@@ -193,17 +193,17 @@
 
 void Replica::persisted(uint64_t number, Time now) {
     while (!writes_.empty() && writes_.front().number <= number) {
-        auto done = std::move(writes_.front());
+        auto write = std::move(writes_.front());
         writes_.erase(writes_.begin());
-        on_disk_ = std::max(on_disk_, done.held);
-        durable_term_ = std::max(durable_term_, done.term);
-        for (auto& message : done.then) outputs_.push_back(std::move(message));
+        persisted_ = std::max(persisted_, write.persisted);
+        durable_term_ = std::max(durable_term_, write.term);
+        for (auto& message : write.after) outputs_.push_back(std::move(message));
     }
     if (role_ == Role::leader) {
         advance_commit();
         pass_barriers();
-    } else if (role_ == Role::candidate && !trial_ && writes_.empty() && has_quorum(granted_)) {
-        lead(now);
+    } else if (role_ == Role::candidate && !is_pre_vote_ && writes_.empty() && has_quorum(votes_)) {
+        become_leader(now);
     }
 }
 
--- a/src/consensus/types.hpp
+++ b/src/consensus/types.hpp
@@ -1,4 +1,4 @@
-// What replicas agree on and say to each other.
+// The replicated state and the messages between replicas.
 #pragma once
 #include <compare>
 #include <cstdint>
@@ -13,37 +13,37 @@
 
 namespace myrtleroute::consensus {
 
-// A replica: the endpoint at which its peers reach it and the identity of its disk. A machine that comes back with an
-// empty disk has another identity and is another replica.
+// Identifies a replica: the endpoint at which its peers reach it and the identity of its disk. A machine that comes
+// back with an empty disk has another identity and is another replica.
 struct ReplicaId {
     Endpoint endpoint;
-    uint64_t disk = 0;   // 0: the replica that the first start of the system makes here
+    uint64_t disk = 0;   // 0: the replica created here by the first start of the system
     auto operator<=>(const ReplicaId&) const = default;
     std::string text() const { return endpoint.text() + "#" + std::to_string(disk); }
 };
 
-// Place of an entry in the log. Terms count first.
+// Position of an entry in the log, ordered by term first.
 struct Position {
     uint64_t term = 0;
     uint64_t index = 0;
     auto operator<=>(const Position&) const = default;
 };
 
-// A configuration that was accepted, as kept to recognise it when it is sent again.
+// An accepted configuration, kept so that it is recognised when it is sent again.
 struct AcceptedConfiguration {
     uint64_t version = 0;
     std::string digest;   // of the body, byte for byte
     bool operator==(const AcceptedConfiguration&) const = default;
 };
 
-// The replicated state, whole. Every entry of the log carries all of it, so the log never holds more than its last.
+// The complete replicated state. Every log entry carries all of it, so the log never holds more than its last entry.
 struct ClusterState {
     std::vector<ReplicaId> voters;                 // sorted
-    uint64_t version = 0;                          // of the configuration, 0 = there is none
+    uint64_t version = 0;                          // of the configuration; 0 = none
     PackedText configuration;                      // the body as the operator sent it
     std::vector<AcceptedConfiguration> accepted;   // the oldest first, bounded
     std::vector<std::string> lease_holders;        // sorted node names of the proxies that may hold leases, bounded
-    rollout::Rollouts rollouts;                    // of versions of services
+    rollout::Rollouts rollouts;                    // of service versions
     bool operator==(const ClusterState&) const = default;
 };
 
@@ -53,7 +53,7 @@
     bool operator==(const Entry&) const = default;
 };
 
-// What a replica must find again after a crash.
+// Raft's persistent state apart from the log: what must survive a crash of the replica.
 struct HardState {
     uint64_t term = 0;
     std::optional<ReplicaId> voted_for;   // in that term
@@ -61,64 +61,64 @@
 };
 
 struct VoteRequest {
-    bool pre_vote = false;   // a pre-vote: asks whether a vote would be granted, binds nobody
+    bool pre_vote = false;   // asks whether a vote would be granted, without binding the voter
     uint64_t term = 0;
-    Position last;           // of the candidate's log
-    bool transfer = false;   // the leader asked for this election
+    Position last;           // last position in the candidate's log
+    bool transfer = false;   // the leader requested this election
     bool operator==(const VoteRequest&) const = default;
 };
 
 struct VoteReply {
     bool pre_vote = false;
-    uint64_t term = 0;   // the voter's; of a granted pre-vote the one asked about
+    uint64_t term = 0;   // the voter's term; in a granted pre-vote the term asked about
     bool granted = false;
-    double leaderless = 0;   // of a vote: seconds for which the voter has answered no leader, nor led
+    double leaderless = 0;   // of a vote: seconds for which the voter has neither acknowledged a leader nor led
     bool operator==(const VoteReply&) const = default;
 };
 
-// Heartbeat of a leader, with its last entry where the follower lacks it.
+// Heartbeat of a leader (Raft's AppendEntries), with its last entry if the follower lacks it.
 struct Append {
     uint64_t term = 0;
-    uint64_t round = 0;                  // of this leader, rises with each
-    Position last;                       // of the leader's log
+    uint64_t round = 0;                  // number of the leader's heartbeat round, increases with each
+    Position last;                       // last position in the leader's log
     uint64_t commit = 0;                 // index up to which entries are committed
-    bool fully_replicated = false;       // every voter that answers has the entry at `last` on disk
-    uint64_t acknowledged_round = 0;     // the newest round that the receiver has answered
-    std::optional<ClusterState> state;   // of the entry at `last`
+    bool fully_replicated = false;       // every responding voter has the entry at `last` on disk
+    uint64_t acknowledged_round = 0;     // the newest round that the receiver has acknowledged
+    std::optional<ClusterState> state;   // state of the entry at `last`
     bool operator==(const Append&) const = default;
 };
 
 struct AppendReply {
     uint64_t term = 0;
     uint64_t round = 0;
-    Position persisted;   // last entry that is safe on the follower's disk
+    Position persisted;   // last entry on the follower's disk
     bool operator==(const AppendReply&) const = default;
 };
 
-// Asks the receiver to begin an election at once.
+// Requests that the receiver starts an election at once.
 struct TransferLeadership {
     uint64_t term = 0;
     bool operator==(const TransferLeadership&) const = default;
 };
 
-// Asks the leader how far the log was committed when it was asked (the dissertation's 6.4, for followers).
+// Asks the leader for its commit index (section 6.4 of the Raft dissertation, for followers).
 struct ReadRequest {
-    uint64_t term = 0;       // of the leader that is meant
-    uint64_t number = 0;     // of the sender's barrier
-    bool can_wait = false;   // the leader's next regular round is soon enough
+    uint64_t term = 0;       // term of the leader to which the request is addressed
+    uint64_t number = 0;     // number of the sender's barrier
+    bool can_wait = false;   // the leader's next regular heartbeat round is soon enough
     bool operator==(const ReadRequest&) const = default;
 };
 
-// A majority has confirmed, after it was asked, that the sender leads.
+// Sent after a majority has confirmed, following the request, that the sender leads.
 struct ReadReply {
     uint64_t term = 0;
     uint64_t number = 0;
-    uint64_t index = 0;   // what was committed by then lies at or before it
+    uint64_t index = 0;   // everything committed by then is at or before this index
     bool operator==(const ReadReply&) const = default;
 };
 
-// The sender's process is about to end. The leader drops it from the voters where enough others live, so that what is
-// lost next does not leave them without a majority.
+// The sender's process is about to end. The leader removes it from the voters if enough others are live, so that the
+// next loss does not leave them without a majority.
 struct Departure {
     uint64_t term = 0;
     bool operator==(const Departure&) const = default;
--- a/src/leases/allocator.cpp
+++ b/src/leases/allocator.cpp
@@ -8,26 +8,27 @@
 namespace myrtleroute::leases {
 namespace {
 
-constexpr size_t most_holders = 4096;
-constexpr double rounding = 1e-6;   // of the depth
-constexpr double scarce = 0.5;     // of what may be in the pool and lent: below it the limit binds, if all is asked for
-constexpr double overload = 1.1;   // of the fill: asked for by then, the limit binds, if little is left
-constexpr Span settles_within{0.6};            // all that run have asked by then
-constexpr Span most_idle{8};                   // that is credited at the beginning
-constexpr Span held_for{2};                    // of its demand, a holder has at the most
-constexpr double held_part = 0.6;              // of what is in the pool and lent, to be held
-constexpr double threshold_part = 0.2;         // of what a holder usually has
-constexpr double most_threshold_part = 0.35;   // of a holder's target
-// The fill is worked out for so long ahead, at each tick; after that there is none until the next tick.
-constexpr Span fill_holds{0.2};
+constexpr size_t max_holders = 4096;
+constexpr double rounding = 1e-6;   // fraction of the depth
+// If all is requested: the limit is binding when less than this fraction of the permitted pool and grants is left ...
+constexpr double scarce_fraction = 0.5;
+constexpr double binding_overload = 1.1;          // ... and demand exceeds this multiple of the fill rate.
+constexpr Span settling_time{0.6};                // all running proxies have sent a request by then
+constexpr Span max_idle_credit{8};                // idle time credited to a new allocator
+constexpr Span max_held_time{2};                  // seconds of its own demand that a holder may hold
+constexpr double max_held_fraction = 0.6;         // fraction of pooled and granted units that may be held
+constexpr double threshold_fraction = 0.2;        // fraction of a holder's usual units
+constexpr double max_threshold_fraction = 0.35;   // fraction of a holder's target
+// Each tick plans the fill for this time; later units are added only after the next tick.
+constexpr Span fill_plan_time{0.2};
 
-// What rounding may add up to.
-double rest_of(const Budget& budget) { return rounding * budget.depth + 1e-6; }
+// Tolerance for accumulated rounding errors, in units.
+double rounding_tolerance(const Budget& budget) { return rounding * budget.depth + 1e-6; }
 
 }   // namespace
 
 void Allocator::set_limits(std::map<std::string, Limit> limits, Time now) {
-    // One that has no limit any more is kept until all that was lent of it has ended: it may come back.
+    // A tenant without a limit is kept until all its grants have expired: its limit may come back.
     for (auto& [name, tenant] : tenants_)
         if (!limits.count(name)) limits[name] = {};
     for (const auto& [name, limit] : limits) {
@@ -37,76 +38,77 @@
         if (!fresh) refill(tenant, now);
         tenant.limit = limit;
         tenant.budget = budget_of(limit, rule_);
-        if (fresh) tenant.filled = now;
+        if (fresh) tenant.refilled_at = now;
         plan_fill(tenant, now);
-        tenant.level = std::min(tenant.level, room(tenant, now));
-        tenant.overdrawn = std::max(0.0, -tenant.level - tenant.budget.debt());   // by a higher limit
+        tenant.pooled = std::min(tenant.pooled, capacity_left(tenant, now));
+        // Debt made under a higher limit.
+        tenant.excess_debt = std::max(0.0, -tenant.pooled - tenant.budget.debt());
     }
 }
 
 void Allocator::begin(uint64_t term, const std::set<std::string>& nodes, Time now) {
     term_ = term;
-    nodes_ = missing_ = nodes;
+    nodes_ = unreported_nodes_ = nodes;
     began_ = now;
-    heard_.clear();
-    lent_before_gone_ = now + terms_.grant_duration;
-    reserves_before_gone_ = now + terms_.reserve_duration;
+    last_requests_.clear();
+    earlier_grants_expire_ = now + terms_.grant_duration;
+    earlier_reserves_expire_ = now + terms_.reserve_duration;
     holders_.clear();
     for (auto& [name, tenant] : tenants_) {
         Tenant fresh;
         fresh.limit = tenant.limit;
         fresh.budget = tenant.budget;
-        fresh.filled = now;
-        fresh.level = -fresh.budget.debt();   // an earlier allocator may have lent so much ahead
+        fresh.refilled_at = now;
+        fresh.pooled = -fresh.budget.debt();   // an earlier allocator may have granted this many units ahead
         plan_fill(fresh, now);
         tenant = std::move(fresh);
     }
 }
 
-// What the pool gets of the fill. Out of touch, a holder uses its reserve by itself; until all reserves that an earlier
-// allocator promised have ended, those that are not known may be in use.
+// The pool's part of the fill rate. A disconnected holder uses its reserve by itself; until all reserves promised by an
+// earlier allocator have expired, unreported ones may be in use.
 void Allocator::plan_fill(Tenant& tenant, Time now) {
-    tenant.filled_until = now + fill_holds;
-    double elsewhere = 0;
+    tenant.fill_valid_until = now + fill_plan_time;
+    double used_elsewhere = 0;
     for (const auto& [id, share] : tenant.shares)
-        if (share.pooled_until < tenant.filled_until) elsewhere += share.reserve;
-    if (!knows_all() && now < reserves_before_gone_)
-        elsewhere += std::max(0.0, tenant.budget.reserved_rate() - tenant.reserved);
-    tenant.fill = std::max(0.0, tenant.budget.fill_rate - elsewhere);
+        if (share.reserve_pooled_until < tenant.fill_valid_until) used_elsewhere += share.reserve;
+    if (!all_reported() && now < earlier_reserves_expire_)
+        used_elsewhere += std::max(0.0, tenant.budget.reserved_rate() - tenant.reserved);
+    tenant.fill_rate = std::max(0.0, tenant.budget.fill_rate - used_elsewhere);
 }
 
-// Most that an earlier allocator may have lent and that has neither ended nor been reported.
-double Allocator::unknown(const Tenant& tenant, Time now) const {
-    if (knows_all() || now >= lent_before_gone_) return 0;
-    return std::max(0.0, tenant.budget.max_granted() - tenant.first_reported);
+// Upper bound on grants of an earlier allocator that have neither expired nor been reported.
+double Allocator::unreported_grants(const Tenant& tenant, Time now) const {
+    if (all_reported() || now >= earlier_grants_expire_) return 0;
+    return std::max(0.0, tenant.budget.max_granted() - tenant.reported_earlier_grants);
 }
 
-// Most units that may stand in the pool, or be lent beyond what is.
-double Allocator::room(const Tenant& tenant, Time now) const {
-    return std::max(0.0, tenant.budget.pool() - tenant.lent - unknown(tenant, now));
+// Upper bound on units in the pool, and on further grants.
+double Allocator::capacity_left(const Tenant& tenant, Time now) const {
+    return std::max(0.0, tenant.budget.pool() - tenant.granted - unreported_grants(tenant, now));
 }
 
 void Allocator::refill(Tenant& tenant, Time now) {
-    const double passed = (std::min(now, tenant.filled_until) - tenant.filled).s;
-    tenant.level = std::min(tenant.level + tenant.fill * std::max(0.0, passed), room(tenant, now));
-    tenant.filled = std::max(tenant.filled, now);
-    tenant.overdrawn = std::clamp(-tenant.level - tenant.budget.debt(), 0.0, tenant.overdrawn);
+    const double elapsed = (std::min(now, tenant.fill_valid_until) - tenant.refilled_at).s;
+    tenant.pooled = std::min(tenant.pooled + tenant.fill_rate * std::max(0.0, elapsed), capacity_left(tenant, now));
+    tenant.refilled_at = std::max(tenant.refilled_at, now);
+    tenant.excess_debt = std::clamp(-tenant.pooled - tenant.budget.debt(), 0.0, tenant.excess_debt);
 }
 
-void Allocator::count(Tenant& tenant, const Share& before, const Share& after) {
-    tenant.lent += after.lent - before.lent;
+void Allocator::update_totals(Tenant& tenant, const Share& before, const Share& after) {
+    tenant.granted += after.granted - before.granted;
     tenant.reserved += after.reserve - before.reserve;
-    tenant.asked += after.asked - before.asked;
+    tenant.demand += after.demand - before.demand;
 }
 
 void Allocator::expire(Tenant& tenant, Time now) {
-    tenant.lent = tenant.reserved = tenant.asked = 0;   // anew, so that no rounding adds up
+    tenant.granted = tenant.reserved = tenant.demand = 0;   // recomputed, so that rounding errors do not accumulate
     for (auto it = tenant.shares.begin(); it != tenant.shares.end();) {
         auto& share = it->second;
-        if (now >= share.lent_until) share.lent = share.granted = share.asked = 0;
-        if (now >= share.reserve_until) share.reserve = 0;
-        const bool empty = share.lent <= 0 && share.reserve <= 0 && share.asked <= 0;
-        count(tenant, {}, share);
+        if (now >= share.grant_expires) share.granted = share.last_granted = share.demand = 0;
+        if (now >= share.reserve_expires) share.reserve = 0;
+        const bool empty = share.granted <= 0 && share.reserve <= 0 && share.demand <= 0;
+        update_totals(tenant, {}, share);
         it = empty ? tenant.shares.erase(it) : std::next(it);
     }
 }
@@ -117,71 +119,76 @@
         expire(tenant, now);
         plan_fill(tenant, now);
     }
-    std::erase_if(tenants_, [](const auto& known) { return known.second.is_over(); });
-    std::erase_if(heard_, [&](const auto& known) { return !nodes_.count(known.first); });
+    std::erase_if(tenants_, [](const auto& known) { return known.second.is_expired(); });
+    std::erase_if(last_requests_, [&](const auto& known) { return !nodes_.count(known.first); });
     std::erase_if(holders_, [&](const auto& known) {
-        return now >= known.second.lent_until && now >= known.second.reserve_until;
+        return now >= known.second.grant_expires && now >= known.second.reserve_expires;
     });
 }
 
-bool Allocator::limit_binds(const Tenant& tenant, Time now) const {
-    const double left = tenant.level + tenant.lent;
-    return tenant.asked > overload * tenant.budget.fill_rate && left < scarce * (tenant.lent + room(tenant, now));
+bool Allocator::limit_is_binding(const Tenant& tenant, Time now) const {
+    const double left = tenant.pooled + tenant.granted;
+    return tenant.demand > binding_overload * tenant.budget.fill_rate &&
+           left < scarce_fraction * (tenant.granted + capacity_left(tenant, now));
 }
 
-// By demand. What others have is not taken from them here: it is free once they have said that they have less.
+// Divided by demand. The reserve of other holders is not taken away here: it becomes free once they report a smaller
+// one.
 double Allocator::reserve_for(const Tenant& tenant, const Share& share, Time now) const {
-    const double part = tenant.asked > 0 ? share.asked / tenant.asked : 0;
-    const double by_demand = tenant.budget.reserved_rate() * part;
+    const double fraction = tenant.demand > 0 ? share.demand / tenant.demand : 0;
+    const double by_demand = tenant.budget.reserved_rate() * fraction;
     const double free = tenant.budget.reserved_rate() - tenant.reserved;
-    if (free < 0) return std::min(by_demand, share.reserve);   // the limit has been lowered
-    if (!knows_all() && now < reserves_before_gone_) return share.reserve;
+    if (free < 0) return std::min(by_demand, share.reserve);   // the limit was lowered
+    if (!all_reported() && now < earlier_reserves_expire_) return share.reserve;
     return std::min(by_demand, share.reserve + free);
 }
 
-LeaseGrant Allocator::lend(Tenant& tenant, Share& share, const LeaseStatus& asked, Time now) {
+LeaseGrant Allocator::grant(Tenant& tenant, Share& share, const LeaseStatus& status, Time now) {
     const auto& budget = tenant.budget;
-    const double part = tenant.asked > 0 ? share.asked / tenant.asked : 0;
-    const bool binds = limit_binds(tenant, now);
-    LeaseGrant lent;
-    // A part of what there is stays in the pool, for requests larger than what their proxies hold.
-    const double may_be_held = std::min(budget.usual_granted(), held_part * std::max(0.0, tenant.level + tenant.lent));
-    lent.target = std::min(may_be_held * part, share.asked * held_for.s);
-    const double usual = std::min(budget.usual_granted() * part, share.asked * held_for.s);
-    lent.threshold = binds ? std::min(usual * threshold_part, lent.target * most_threshold_part) : 0;
-    lent.overload = budget.fill_rate > 0 ? tenant.asked / budget.fill_rate : 0;
-    const double may_be_lent = std::max(0.0, budget.max_granted() - tenant.lent);
-    const double available = std::max(0.0, tenant.level);
-    // To be had without asking: where units are scarce, in proportion to the demand.
-    const double wanted = std::max(0.0, lent.target - share.lent);
-    lent.granted = std::min({wanted, binds ? available * part : available, may_be_lent});
-    // For requests whose turn it is, ahead of the fill where need be. A part of what a request needs would be of no use.
-    const double most = std::min(tenant.level + budget.debt(), may_be_lent);
-    for (const double needed : {asked.needed_by_first, asked.needed})
-        if (needed > lent.granted && needed <= most) lent.granted = needed;
-    tenant.level -= lent.granted;
+    const double fraction = tenant.demand > 0 ? share.demand / tenant.demand : 0;
+    const bool is_binding = limit_is_binding(tenant, now);
+    LeaseGrant lease;
+    // A part of the units stays in the pool, for requests larger than what their proxies hold.
+    const double max_held =
+        std::min(budget.usual_granted(), max_held_fraction * std::max(0.0, tenant.pooled + tenant.granted));
+    lease.target = std::min(max_held * fraction, share.demand * max_held_time.s);
+    const double usual = std::min(budget.usual_granted() * fraction, share.demand * max_held_time.s);
+    lease.threshold = is_binding ? std::min(usual * threshold_fraction, lease.target * max_threshold_fraction) : 0;
+    lease.overload = budget.fill_rate > 0 ? tenant.demand / budget.fill_rate : 0;
+    const double max_grant = std::max(0.0, budget.max_granted() - tenant.granted);
+    const double available = std::max(0.0, tenant.pooled);
+    // Units granted in advance: when units are scarce, in proportion to demand.
+    const double wanted = std::max(0.0, lease.target - share.granted);
+    lease.granted = std::min({wanted, is_binding ? available * fraction : available, max_grant});
+    // Units for queued requests, if necessary before they are produced. A part of what a request needs would be
+    // useless.
+    const double max_units = std::min(tenant.pooled + budget.debt(), max_grant);
+    for (const double needed : {status.needed_by_first, status.needed})
+        if (needed > lease.granted && needed <= max_units) lease.granted = needed;
+    tenant.pooled -= lease.granted;
     const Share before = share;
-    share.granted = lent.granted;
-    share.lent += lent.granted;
-    lent.reserve_rate = reserve_for(tenant, share, now);
-    share.reserve = std::max(share.reserve, lent.reserve_rate);   // a smaller one counts once the holder has it
-    count(tenant, before, share);
+    share.last_granted = lease.granted;
+    share.granted += lease.granted;
+    lease.reserve_rate = reserve_for(tenant, share, now);
+    // A smaller reserve counts once the holder has applied it.
+    share.reserve = std::max(share.reserve, lease.reserve_rate);
+    update_totals(tenant, before, share);
     if (budget.reserved_rate() > 0)
-        lent.reserve_cap = budget.max_accumulated() * lent.reserve_rate / budget.reserved_rate();
-    return lent;
+        lease.reserve_cap = budget.max_accumulated() * lease.reserve_rate / budget.reserved_rate();
+    return lease;
 }
 
-// A machine runs one process of a role, and starts it when the one before has ended.
-void Allocator::end_other_lives(const HolderId& living) {
-    for (auto it = holders_.lower_bound({living.node, 0}); it != holders_.end() && it->first.node == living.node;) {
-        if (it->first == living) {
+// A machine runs one process per role, and starts it after the previous one has ended.
+void Allocator::end_other_incarnations(const HolderId& current) {
+    for (auto it = holders_.lower_bound({current.node, 0}); it != holders_.end() && it->first.node == current.node;) {
+        if (it->first == current) {
             ++it;
             continue;
         }
         for (auto& [name, tenant] : tenants_) {
             const auto share = tenant.shares.find(it->first);
             if (share == tenant.shares.end()) continue;
-            count(tenant, share->second, {});
+            update_totals(tenant, share->second, {});
             tenant.shares.erase(share);
         }
         it = holders_.erase(it);
@@ -189,92 +196,99 @@
 }
 
 bool Allocator::is_full_for(const HolderId& holder) const {
-    return holders_.size() >= most_holders && holders_.count(holder) == 0;
+    return holders_.size() >= max_holders && holders_.count(holder) == 0;
 }
 
-std::optional<LeaseReply> Allocator::handle(const LeaseRequest& ask, Time now) {
-    if (!is_admitted(ask.holder.node)) return {};
-    if (is_full_for(ask.holder)) return {};
-    auto& holder = holders_[ask.holder];
-    if (ask.number <= holder.last_ask) return {};
-    heard_[ask.holder.node] = now;
-    const bool took_reply = holder.last_ask > 0 && ask.applied == holder.last_ask && ask.applied_term == term_;
-    if (took_reply) holder.pooled_until = holder.replied + terms_.reserve_delay;
-    if (took_reply && !std::exchange(holder.proven, true)) note_first(ask, now);
-    holder.last_ask = ask.number;
+std::optional<LeaseReply> Allocator::handle(const LeaseRequest& request, Time now) {
+    if (!is_admitted(request.holder.node)) return {};
+    if (is_full_for(request.holder)) return {};
+    auto& holder = holders_[request.holder];
+    if (request.number <= holder.last_request_number) return {};
+    last_requests_[request.holder.node] = now;
+    const bool applied_last_reply = holder.last_request_number > 0 && request.applied == holder.last_request_number &&
+                                    request.applied_term == term_;
+    if (applied_last_reply) holder.reserve_pooled_until = holder.replied + terms_.reserve_delay;
+    if (applied_last_reply && !std::exchange(holder.is_confirmed, true)) apply_first_report(request, now);
+    holder.last_request_number = request.number;
     holder.replied = now;
-    holder.lent_until = now + terms_.grant_duration;
-    holder.reserve_until = now + terms_.reserve_duration;
+    holder.grant_expires = now + terms_.grant_duration;
+    holder.reserve_expires = now + terms_.reserve_duration;
 
     auto names = std::exchange(holder.tenants, {});
-    for (const auto& [name, told] : ask.tenants) names.insert(name);
-    const bool settles = !knows_all() && now - began_ < settles_within;
-    LeaseReply reply{ask.holder, ask.number, term_, !holder.proven || settles, {}};
+    for (const auto& [name, reported] : request.tenants) names.insert(name);
+    const bool is_settling = !all_reported() && now - began_ < settling_time;
+    LeaseReply reply{request.holder, request.number, term_, !holder.is_confirmed || is_settling, {}};
     for (const auto& name : names) {
         const auto known = tenants_.find(name);
         if (known == tenants_.end()) continue;
         auto& tenant = known->second;
         refill(tenant, now);
-        const auto told = ask.tenants.find(name);
-        const LeaseStatus held = told == ask.tenants.end() ? LeaseStatus{} : told->second;
-        auto& share = tenant.shares[ask.holder];
+        const auto reported = request.tenants.find(name);
+        const LeaseStatus held = reported == request.tenants.end() ? LeaseStatus{} : reported->second;
+        auto& share = tenant.shares[request.holder];
         const Share before = share;
-        // What the last reply granted, if that was not taken, will never be used. What an ask gives up that may be one
-        // of before is not counted on.
-        const double back = took_reply ? held.returned : before.granted;
-        share = {held.held,           0, held.reserve_rate, held.demand, holder.lent_until, holder.pooled_until,
-                 holder.reserve_until};
-        count(tenant, before, share);
-        tenant.level = std::min(tenant.level + back, room(tenant, now));
-        if (told == ask.tenants.end()) continue;
-        reply.tenants[name] = lend(tenant, share, held, now);
+        // If the last reply was not applied, its grant will never be used. Units returned by a request that may come
+        // from an earlier incarnation are not credited.
+        const double returned = applied_last_reply ? held.returned : before.last_granted;
+        share = {held.held,
+                 0,
+                 held.reserve_rate,
+                 held.demand,
+                 holder.grant_expires,
+                 holder.reserve_pooled_until,
+                 holder.reserve_expires};
+        update_totals(tenant, before, share);
+        tenant.pooled = std::min(tenant.pooled + returned, capacity_left(tenant, now));
+        if (reported == request.tenants.end()) continue;
+        reply.tenants[name] = grant(tenant, share, held, now);
         holder.tenants.insert(name);
     }
     return reply;
 }
 
-// The first ask that proves that the holder lives. Other lives of its node have ended. What it holds, less what this
-// allocator has granted it, was lent before; a tenant that it does not name it has not heard of for some time.
-void Allocator::note_first(const LeaseRequest& ask, Time now) {
-    end_other_lives(ask.holder);
-    const Span forgotten = std::min(Span{ask.age}, terms_.tenant_retention);
+// Handles the first request that proves that the holder is alive. Other incarnations of its node have ended. What it
+// holds, minus what this allocator granted it, was granted before; a tenant missing from the request has had no
+// requests there for some time.
+void Allocator::apply_first_report(const LeaseRequest& request, Time now) {
+    end_other_incarnations(request.holder);
+    const Span missing_idle = std::min(Span{request.age}, terms_.tenant_retention);
     for (auto& [name, tenant] : tenants_) {
-        const auto told = ask.tenants.find(name);
-        const Span unused = told == ask.tenants.end() ? forgotten : Span{told->second.idle};
+        const auto reported = request.tenants.find(name);
+        const Span unused = reported == request.tenants.end() ? missing_idle : Span{reported->second.idle};
         tenant.last_used = std::max(tenant.last_used, now - unused);
-        const auto share = tenant.shares.find(ask.holder);
-        if (told == ask.tenants.end() || share == tenant.shares.end()) continue;
-        tenant.first_reported += std::max(0.0, told->second.held - share->second.granted);
+        const auto share = tenant.shares.find(request.holder);
+        if (reported == request.tenants.end() || share == tenant.shares.end()) continue;
+        tenant.reported_earlier_grants += std::max(0.0, reported->second.held - share->second.last_granted);
     }
-    if (missing_.erase(ask.holder.node) > 0 && knows_all()) credit_idle_time(now);
+    if (unreported_nodes_.erase(request.holder.node) > 0 && all_reported()) credit_idle_time(now);
 }
 
-// By now all have said when they last used units. Before this allocator began, the fill of the time since then went unused.
+// All nodes have now reported when they last used units. The fill since then and until this allocator began was unused.
 void Allocator::credit_idle_time(Time now) {
     for (auto& [name, tenant] : tenants_) {
         refill(tenant, now);
-        const double idle = std::clamp((began_ - tenant.last_used).s, 0.0, most_idle.s);
-        tenant.level = std::min(tenant.level + tenant.budget.fill_rate * idle, room(tenant, now));
+        const double idle = std::clamp((began_ - tenant.last_used).s, 0.0, max_idle_credit.s);
+        tenant.pooled = std::min(tenant.pooled + tenant.budget.fill_rate * idle, capacity_left(tenant, now));
     }
 }
 
 std::optional<Time> Allocator::last_request(const std::string& node) const {
-    const auto known = heard_.find(node);
-    return known == heard_.end() ? std::nullopt : std::optional(known->second);
+    const auto known = last_requests_.find(node);
+    return known == last_requests_.end() ? std::nullopt : std::optional(known->second);
 }
 
 std::optional<std::string> Allocator::violated_budget(const std::string& name, const Tenant& tenant) {
     const auto& budget = tenant.budget;
-    const double rest = rest_of(budget);
-    if (tenant.level < -budget.debt() - tenant.overdrawn - rest)
-        return "tenant " + name + ": more is lent ahead than may be";
-    if (tenant.level > 0 && tenant.level + tenant.lent > budget.pool() + rest)
-        return "tenant " + name + ": the pool and what is lent are more than may be";
+    const double tolerance = rounding_tolerance(budget);
+    if (tenant.pooled < -budget.debt() - tenant.excess_debt - tolerance)
+        return "tenant " + name + ": units granted ahead exceed the permitted debt";
+    if (tenant.pooled > 0 && tenant.pooled + tenant.granted > budget.pool() + tolerance)
+        return "tenant " + name + ": pooled and granted units exceed the permitted total";
     return {};
 }
 
-std::optional<std::string> Allocator::violated_by(const LeaseRequest& ask) const {
-    for (const auto& [name, told] : ask.tenants) {
+std::optional<std::string> Allocator::violated_by(const LeaseRequest& request) const {
+    for (const auto& [name, reported] : request.tenants) {
         const auto known = tenants_.find(name);
         if (known == tenants_.end()) continue;
         if (auto violated = violated_budget(name, known->second)) return violated;
@@ -285,10 +299,10 @@
 std::optional<std::string> Allocator::violated_invariant() const {
     for (const auto& [name, tenant] : tenants_) {
         if (auto violated = violated_budget(name, tenant)) return violated;
-        double lent = 0;
-        for (const auto& [holder, share] : tenant.shares) lent += share.lent;
-        if (std::abs(lent - tenant.lent) > rest_of(tenant.budget))
-            return "tenant " + name + ": the sum of what is lent is wrong";
+        double total = 0;
+        for (const auto& [holder, share] : tenant.shares) total += share.granted;
+        if (std::abs(total - tenant.granted) > rounding_tolerance(tenant.budget))
+            return "tenant " + name + ": the total of granted units differs from the sum over holders";
     }
     return {};
 }
@@ -297,7 +311,7 @@
     const auto known = tenants_.find(name);
     if (known == tenants_.end()) return {};
     const auto& tenant = known->second;
-    return Amounts{tenant.level, tenant.lent, tenant.fill, tenant.asked};
+    return Amounts{tenant.pooled, tenant.granted, tenant.fill_rate, tenant.demand};
 }
 
 }   // namespace myrtleroute::leases
--- a/src/leases/configuration_lease.cpp
+++ b/src/leases/configuration_lease.cpp
@@ -5,40 +5,41 @@
 namespace myrtleroute::leases {
 namespace {
 
-constexpr double leased_part = 0.96;   // of the bound; the rest is for steady clocks that don't run quite alike
-constexpr double asks_in_a_lease = 6;
-constexpr size_t most_open = 16;   // asks without an answer, and proofs of versions that are not in use yet
+// Fraction of the bound; the rest allows for steady clocks that run at slightly different rates.
+constexpr double lease_fraction = 0.96;
+constexpr double requests_per_lease = 6;
+constexpr size_t max_pending = 16;   // unanswered requests, and confirmations of versions that are not in use yet
 
 template <class Item>
 void push_bounded(std::deque<Item>& items, Item item) {
-    if (items.size() >= most_open) items.pop_front();
+    if (items.size() >= max_pending) items.pop_front();
     items.push_back(item);
 }
 
 }   // namespace
 
 ConfigurationLease::ConfigurationLease(std::optional<Span> bound) {
-    if (bound) length_ = *bound * leased_part;
+    if (bound) duration_ = *bound * lease_fraction;
 }
 
 void ConfigurationLease::connected() {
-    asks_.clear();
-    next_ask_ = long_ago;
+    pending_requests_.clear();
+    next_request_at_ = long_ago;
 }
 
 std::optional<ConfigurationLeaseRequest> ConfigurationLease::next_request(Time now) {
-    if (!length_ || now < next_ask_) return {};
-    next_ask_ = now + *length_ * (1 / asks_in_a_lease);
-    push_bounded(asks_, {++numbers_, now});
-    return ConfigurationLeaseRequest{numbers_};
+    if (!duration_ || now < next_request_at_) return {};
+    next_request_at_ = now + *duration_ * (1 / requests_per_lease);
+    push_bounded(pending_requests_, {++last_number_, now});
+    return ConfigurationLeaseRequest{last_number_};
 }
 
 void ConfigurationLease::apply(const ConfigurationLeaseReply& reply) {
-    const auto asked =
-        std::find_if(asks_.begin(), asks_.end(), [&](const Ask& ask) { return ask.number == reply.number; });
-    if (asked == asks_.end()) return;
-    push_bounded(proofs_, {reply.version, asked->sent});
-    asks_.erase(asks_.begin(), std::next(asked));
+    const auto request = std::find_if(pending_requests_.begin(), pending_requests_.end(),
+                                      [&](const PendingRequest& pending) { return pending.number == reply.number; });
+    if (request == pending_requests_.end()) return;
+    push_bounded(confirmations_, {reply.version, request->sent});
+    pending_requests_.erase(pending_requests_.begin(), std::next(request));
     renew();
 }
 
@@ -48,9 +49,9 @@
 }
 
 void ConfigurationLease::renew() {
-    std::erase_if(proofs_, [this](const Proof& proof) {
-        if (proof.version > version_) return false;
-        began_ = std::max(began_, proof.asked);
+    std::erase_if(confirmations_, [this](const Confirmation& confirmation) {
+        if (confirmation.version > version_) return false;
+        began_ = std::max(began_, confirmation.requested);
         return true;
     });
 }
--- a/src/leases/configuration_lease.hpp
+++ b/src/leases/configuration_lease.hpp
@@ -1,10 +1,11 @@
-// A proxy's lease on its configuration: for how long it may answer for API keys without hearing of a newer one.
+// A proxy's lease on its configuration: how long it may decide on API keys without confirmation that its configuration
+// is the newest.
 //
-// The proxy asks its control node, again and again, which configuration is the newest. The answer rests on a read barrier that
-// begins after the ask has arrived, so whatever was acknowledged before the ask was *sent* is in it. A lease that begins at that
-// moment and is shorter than the operator's bound therefore ends before any key that was taken away without this proxy's
-// knowledge must no longer be served. The time of the answer's arrival plays no part: answers may lie in the socket of a process
-// that stood still.
+// The proxy repeatedly asks its control node which configuration is the newest. The reply rests on a read barrier that
+// begins after the request has arrived, so it covers every change that was acknowledged before the request was *sent*.
+// A lease that begins at that moment and is shorter than the operator's bound therefore ends before the deadline for
+// any key whose removal this proxy does not know of. The arrival time of the reply is not used: replies may have waited
+// in the socket of a process that was paused.
 //
 // A state machine without clock and I/O.
 #pragma once
@@ -18,11 +19,11 @@
 namespace myrtleroute::leases {
 
 struct ConfigurationLeaseRequest {
-    uint64_t number = 0;   // rises with each ask of one life of a proxy
+    uint64_t number = 0;   // increases with each request of one incarnation of a proxy
     bool operator==(const ConfigurationLeaseRequest&) const = default;
 };
 
-// No newer configuration than that version had been acknowledged when the ask was sent.
+// No configuration newer than `version` had been acknowledged when the request was sent.
 struct ConfigurationLeaseReply {
     uint64_t number = 0;
     uint64_t version = 0;
@@ -31,37 +32,38 @@
 
 class ConfigurationLease {
 public:
-    // `bound`: a key is served for so long at most after its removal was acknowledged; nothing: there is no such bound, and
-    // the lease never ends.
+    // `bound`: the longest time for which a key may be accepted after its removal was acknowledged; nothing: there is
+    // no such bound, and the lease never ends.
     explicit ConfigurationLease(std::optional<Span> bound);
 
-    // Asks that were sent on an earlier connection get no reply; on a new one the next is due at once.
+    // Call on a new connection: requests sent on an earlier one get no reply, and the next request is due at once.
     void connected();
-    // The next ask, where one is due; it counts as sent now.
+    // The next request if one is due; it counts as sent now.
     std::optional<ConfigurationLeaseRequest> next_request(Time now);
     void apply(const ConfigurationLeaseReply& reply);
-    void set_version(uint64_t version);   // requests are decided by this version from now on
+    void set_version(uint64_t version);   // the version that decides requests from now on
 
-    // `now` is read from the clock after whatever may have held the process up.
-    bool is_valid(Time now) const { return !length_ || now - began_ < *length_; }
+    // `now` must be read from the clock after anything that may have delayed the process.
+    bool is_valid(Time now) const { return !duration_ || now - began_ < *duration_; }
 
 private:
-    struct Ask {
+    struct PendingRequest {
         uint64_t number = 0;
         Time sent;
     };
-    struct Proof {
+    struct Confirmation {
         uint64_t version = 0;
-        Time asked;
+        Time requested;
     };
     void renew();
 
-    std::optional<Span> length_;
-    Time began_ = long_ago;   // when the newest ask was sent whose answer named the version in use, or an older one
-    Time next_ask_ = long_ago;
-    uint64_t numbers_ = 0, version_ = 0;
-    std::deque<Ask> asks_;       // without an answer, the oldest first
-    std::deque<Proof> proofs_;   // of versions that are not in use yet, the oldest first
+    std::optional<Span> duration_;
+    // When the newest request was sent whose reply named the version in use or an older one.
+    Time began_ = long_ago;
+    Time next_request_at_ = long_ago;
+    uint64_t last_number_ = 0, version_ = 0;
+    std::deque<PendingRequest> pending_requests_;   // unanswered requests, the oldest first
+    std::deque<Confirmation> confirmations_;        // replies for versions that are not in use yet, the oldest first
 };
 
 }   // namespace myrtleroute::leases
--- a/src/leases/refusal_cause.hpp
+++ b/src/leases/refusal_cause.hpp
@@ -1,4 +1,4 @@
-// Why a request was refused for the limit of its tenant.
+// Causes for refusing a request because of its tenant's limit.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -7,17 +7,17 @@
 namespace myrtleroute::leases {
 
 enum class RefusalCause {
-    over_limit,     // all proxies together are asked for more than the limit allows
-    not_lent,       // the allocator was asked for units and had too few
-    out_of_touch,   // no allocator answers, and what this proxy may use by itself is not enough
-    no_room,        // as many tenants are known, or as many requests of the tenant wait, as may be
+    over_limit,     // total demand at all proxies exceeds the limit
+    not_lent,       // the allocator had too few units
+    out_of_touch,   // no allocator answers, and this proxy's reserve is not enough
+    no_room,        // too many tenants are known, or too many requests of the tenant are queued
 };
 
 // All causes, in the order of their values.
 inline constexpr std::array refusal_causes{RefusalCause::over_limit, RefusalCause::not_lent, RefusalCause::out_of_touch,
                                            RefusalCause::no_room};
 
-// The cause's name in figures and in the log.
+// The cause's name in metrics and logs.
 constexpr std::string_view to_string(RefusalCause cause) {
     switch (cause) {
         case RefusalCause::over_limit: return "over_limit";
--- a/src/registry/host_table.hpp
+++ b/src/registry/host_table.hpp
@@ -1,7 +1,8 @@
-// The hosts as known: what they said in their heartbeats, merged from all machines that take heartbeats.
+// The table of known hosts, merged from the heartbeats that all machines of the control role receive.
 //
-// Most of it is soft state that is whole again within a heartbeat or two; drains and ends are kept on disk by the
-// control role. A host's own sequence orders what is told of it, so tables merge in any order to the same result.
+// Most of it is soft state that is complete again within one or two heartbeats; the control role keeps drains and
+// departures on disk. Each host's own sequence number orders the updates about it, so merging tables in any order gives
+// the same result.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,8 +13,9 @@
 
 namespace myrtleroute::registry {
 
-// `lost`: no heartbeat for long; the next one brings it back. `gone`: it has said so, or its address is another's; for
-// good. Only a host itself says that it drains or leaves, so each table finds for itself who is lost.
+// `lost`: no heartbeat for some time; the next one brings the host back. `gone`: the host has left, or another host has
+// taken its address; permanent. Only a host itself announces that it drains or leaves; each table detects lost hosts by
+// itself.
 enum class HostState { ready, draining, lost, gone };
 
 // One incarnation of a host.
@@ -22,50 +24,54 @@
     int capacity = 1;
     HostState state = HostState::ready;
     uint64_t sequence = 0;   // of its last heartbeat
-    std::string version;     // of its software; empty: not told
+    std::string version;     // software version; empty: not reported
     bool operator==(const Host&) const = default;
 };
 
 struct HostTableOptions {
-    Span lost_after{4.5};         // no heartbeat for so long: taken for crashed
-    Span restored_timeout{2.4};   // a host known from before a restart is taken for gone after this
-    Span retention{60};           // what is gone is kept for so long, so that late heartbeats don't revive it
-    size_t max_hosts = 20000;     // of which those that are gone give way first
+    Span lost_after{4.5};   // time without a heartbeat after which a host counts as lost
+    // The same for a host that was restored after a restart and has sent no heartbeat since.
+    Span restored_timeout{2.4};
+    Span retention{60};         // how long gone and lost hosts are kept, so that late heartbeats do not revive them
+    size_t max_hosts = 20000;   // beyond this, gone hosts are evicted first
 };
 
 class HostTable {
 public:
     explicit HostTable(HostTableOptions options) : options_(options) {}
 
-    // Takes what is told of a host, by itself or by another table. True: something changed that others must know.
-    bool merge(const Host& told, Time now);
-    // A host as it was known before a restart; it must be heard of sooner than others to stay.
+    // Merges an update about a host, from itself or from another table. Returns true if something changed that others
+    // must be told of.
+    bool merge(const Host& update, Time now);
+    // Adds a host known from before a restart; it must send a heartbeat within `restored_timeout` to stay.
     void restore(const Host& host, Time now);
-    // Another table has heard this heartbeat. True: the host was lost and is back.
+    // Records a heartbeat that another table received. Returns true if the host was lost and is back.
     bool refresh(const std::string& id, uint64_t sequence, Time now);
-    // Time has passed in which no heartbeats could be heard; nobody is taken for crashed because of it.
+    // Extends all timeouts by a span in which no heartbeats could be received, so that no host is taken for lost
+    // because of it.
     void extend_deadlines(Span span);
-    // Hosts that are lost from now on, and those whose address another one has taken.
+    // Returns hosts that have become lost, and those whose address another host has taken.
     std::vector<Host> expire(Time now);
 
     const Host* find(const std::string& id) const;
-    std::vector<Host> all() const;   // with those that are gone
+    std::vector<Host> all() const;   // including gone hosts
     size_t size() const { return hosts_.size(); }
-    uint64_t evicted() const { return evicted_; }   // how many gave way for want of room, since the start
+    uint64_t evicted() const { return evicted_; }   // hosts evicted because the table was full, since the start
 
 private:
-    struct Known {
+    struct Entry {
         Host host;
-        Time heard;
-        bool drained = false;   // has said so
+        Time last_heartbeat;
+        bool drained = false;   // it has announced a drain
     };
-    static bool lose(Known& known, uint64_t sequence);
+    static bool mark_lost(Entry& entry, uint64_t sequence);
     void retire_address(const Host& successor);
     void make_room();
     HostTableOptions options_;
-    std::map<std::string, Known> hosts_;
+    std::map<std::string, Entry> hosts_;
     uint64_t evicted_ = 0;
-    std::vector<Host> retired_;   // gone by a successor at their address, to be told at the next `expire`
+    // Hosts whose address another one has taken, to be returned by the next `expire`.
+    std::vector<Host> retired_;
 };
 
 }   // namespace myrtleroute::registry
--- a/src/roles/control/rollout_service.cpp
+++ b/src/roles/control/rollout_service.cpp
@@ -71,7 +71,7 @@
 
 void RolloutService::begin(RequestId request, const rollout::Order& order, Time now) {
     auto rollouts =
-        rollout::begun(replica_.entry()->state.rollouts, order.service, order.target_version, order.duration);
+        rollout::with_new_rollout(replica_.entry()->state.rollouts, order.service, order.target_version, order.duration);
     const auto answer = state_answer(request, *rollouts.find(order.service));
     if (!propose(std::move(rollouts), now)) {
         outputs_.push_back(refusal(request, 503, "leadership was lost, send it again"));
@@ -196,7 +196,7 @@
          << (next == Stage::moving ? "requests move" : rollout::state_name(next)) << " after "
          << elapsed(watched, now).s << " s; " << watched.judge.summary();
     fleet_.log(line.str());
-    propose(rollout::advanced(replica_.entry()->state.rollouts, rollout.service, next), now);
+    propose(rollout::with_stage(replica_.entry()->state.rollouts, rollout.service, next), now);
 }
 
 // A node that has started since the order knows its age by the word of the proxies.
--- a/src/rollout/judge.cpp
+++ b/src/rollout/judge.cpp
@@ -8,10 +8,11 @@
 namespace myrtleroute::rollout {
 namespace {
 
-constexpr double usual_margin = 1.15;      // as what a few hosts meet varies more than what all do
-constexpr double most_usual = 0.7;         // share of bad answers that the serving hosts are held to have at the most
-constexpr size_t most_named = 8;           // candidates in a summary
-constexpr uint64_t least_to_abstain = 4;   // requests at serving hosts
+constexpr double variance_margin = 1.15;   // a few hosts vary more than all together
+// Upper bound on the share of bad answers that is attributed to the serving hosts.
+constexpr double max_baseline = 0.7;
+constexpr size_t max_listed = 8;              // candidates listed in a summary
+constexpr uint64_t min_for_reliability = 4;   // requests at serving hosts
 
 Tally sum(const Tally& a, const Tally& b) { return {a.requests + b.requests, a.bad + b.bad}; }
 
@@ -19,29 +20,30 @@
     return {a.requests - std::min(a.requests, b.requests), a.bad - std::min(a.bad, b.bad)};
 }
 
-// To this proxy everything looks bad: its own link may be.
-bool abstains(const Observation& observation) {
+// Whether most answers of the serving hosts look bad to this proxy: its own link may be at fault.
+bool is_unreliable(const Observation& observation) {
     Tally serving;
     for (const auto& route : observation.routes) serving = sum(serving, route.serving);
-    return serving.requests >= least_to_abstain && 2 * serving.bad > serving.requests;
+    return serving.requests >= min_for_reliability && 2 * serving.bad > serving.requests;
 }
 
-// What was added to the evidence since an earlier state of the same life.
+// The evidence added since an earlier state of the same incarnation.
 std::vector<RouteEvidence> added_since(const std::vector<RouteEvidence>& earlier, std::vector<RouteEvidence> newest) {
     for (auto& route : newest) {
         const auto before =
-            std::find_if(earlier.begin(), earlier.end(), [&](const auto& known) { return known.route == route.route; });
+            std::find_if(earlier.begin(), earlier.end(), [&](const auto& found) { return found.route == route.route; });
         if (before == earlier.end()) continue;
         route.serving = difference(route.serving, before->serving);
         for (auto& candidate : route.candidates)
-            for (const auto& known : before->candidates)
-                if (known.host == candidate.host) candidate.tally = difference(candidate.tally, known.tally);
+            for (const auto& found : before->candidates)
+                if (found.host == candidate.host) candidate.tally = difference(candidate.tally, found.tally);
     }
     return newest;
 }
 
-// The key with the most bad answers; empty where there are fewer than two keys, so that nothing would be left.
-std::string worst(const std::map<std::string, uint64_t>& bad) {
+// The key with the most bad answers; empty if there are fewer than two keys, so that something remains after excluding
+// one.
+std::string most_bad_key(const std::map<std::string, uint64_t>& bad) {
     if (bad.size() < 2) return {};
     return std::max_element(bad.begin(), bad.end(), [](const auto& a, const auto& b) { return a.second < b.second; })
         ->first;
@@ -52,48 +54,48 @@
 EvidenceTest::EvidenceTest(const JudgeOptions& options, const std::vector<Observation>& observations)
     : options_(options) {
     for (const auto& observation : observations)
-        if (!abstains(observation)) observations_.push_back(observation);
+        if (!is_unreliable(observation)) observations_.push_back(observation);
 }
 
-std::map<std::string, EvidenceTest::Sums> EvidenceTest::sums(const Left& left) const {
+std::map<std::string, EvidenceTest::Sums> EvidenceTest::sums(const Exclusion& excluded) const {
     std::map<std::string, Sums> by_route;
     for (const auto& observation : observations_) {
-        const bool is_left_out = (!left.node.empty() && observation.node == left.node) ||
-                                 (!left.zone.empty() && observation.zone == left.zone);
-        if (is_left_out) continue;
+        const bool is_excluded = (!excluded.node.empty() && observation.node == excluded.node) ||
+                                 (!excluded.zone.empty() && observation.zone == excluded.zone);
+        if (is_excluded) continue;
         for (const auto& route : observation.routes) {
-            auto& known = by_route[route.route];
-            known.serving = sum(known.serving, route.serving);
+            auto& found = by_route[route.route];
+            found.serving = sum(found.serving, route.serving);
             for (const auto& candidate : route.candidates)
-                if (left.host.empty() || candidate.host != left.host)
-                    known.candidates = sum(known.candidates, candidate.tally);
+                if (excluded.host.empty() || candidate.host != excluded.host)
+                    found.candidates = sum(found.candidates, candidate.tally);
         }
     }
     return by_route;
 }
 
-double EvidenceTest::ratio(const Sums& sums) const {
+double EvidenceTest::log_ratio(const Sums& sums) const {
     const auto serving = static_cast<double>(sums.serving.requests);
-    const double usual = (static_cast<double>(sums.serving.bad) + 0.5) / (serving + 1);
-    const double unsure = 2 * std::sqrt(usual * (1 - usual) / (serving + 1));   // two standard deviations
-    const double expected = sums.serving.requests >= options_.min_requests ? usual * usual_margin + unsure : 0;
-    const double sound = std::min(expected + options_.tolerated, most_usual);
-    const double faulty = sound + options_.fault_margin;
+    const double baseline = (static_cast<double>(sums.serving.bad) + 0.5) / (serving + 1);
+    const double deviation = 2 * std::sqrt(baseline * (1 - baseline) / (serving + 1));   // two standard deviations
+    const double expected = sums.serving.requests >= options_.min_requests ? baseline * variance_margin + deviation : 0;
+    const double good_share = std::min(expected + options_.tolerated, max_baseline);
+    const double bad_share = good_share + options_.fault_margin;
     const auto bad = static_cast<double>(sums.candidates.bad);
-    const auto well = static_cast<double>(sums.candidates.requests - sums.candidates.bad);
-    return bad * std::log(faulty / sound) + well * std::log((1 - faulty) / (1 - sound));
+    const auto good = static_cast<double>(sums.candidates.requests - sums.candidates.bad);
+    return bad * std::log(bad_share / good_share) + good * std::log((1 - bad_share) / (1 - good_share));
 }
 
-bool EvidenceTest::accuses_without(const Left& left) const {
-    const auto by_route = sums(left);
-    const auto accuses = [this](const Sums& known) {
-        return known.candidates.requests >= options_.min_requests && ratio(known) > options_.reject_above;
+bool EvidenceTest::rejects_without(const Exclusion& excluded) const {
+    const auto by_route = sums(excluded);
+    const auto rejects = [this](const Sums& found) {
+        return found.candidates.requests >= options_.min_requests && log_ratio(found) > options_.reject_above;
     };
-    return accuses(of_all_routes(by_route)) ||
-           std::any_of(by_route.begin(), by_route.end(), [&](const auto& known) { return accuses(known.second); });
+    return rejects(of_all_routes(by_route)) ||
+           std::any_of(by_route.begin(), by_route.end(), [&](const auto& found) { return rejects(found.second); });
 }
 
-EvidenceTest::Left EvidenceTest::strongest() const {
+EvidenceTest::Exclusion EvidenceTest::most_bad() const {
     std::map<std::string, uint64_t> by_node, by_host, by_zone;
     for (const auto& observation : observations_)
         for (const auto& route : observation.routes)
@@ -102,105 +104,105 @@
                 by_zone[observation.zone] += candidate.tally.bad;
                 by_host[candidate.host] += candidate.tally.bad;
             }
-    return {worst(by_node), worst(by_host), worst(by_zone)};
+    return {most_bad_key(by_node), most_bad_key(by_host), most_bad_key(by_zone)};
 }
 
 bool EvidenceTest::rejects() const {
-    if (!accuses_without({})) return false;
-    const auto left = strongest();
-    return accuses_without({left.node, {}, {}}) && accuses_without({{}, left.host, {}}) &&
-           accuses_without({{}, {}, left.zone});
+    if (!rejects_without({})) return false;
+    const auto excluded = most_bad();
+    return rejects_without({excluded.node, {}, {}}) && rejects_without({{}, excluded.host, {}}) &&
+           rejects_without({{}, {}, excluded.zone});
 }
 
 EvidenceTest::Sums EvidenceTest::of_all_routes(const std::map<std::string, Sums>& by_route) {
     Sums all;
-    for (const auto& [route, known] : by_route) {
-        all.serving = sum(all.serving, known.serving);
-        all.candidates = sum(all.candidates, known.candidates);
+    for (const auto& [route, found] : by_route) {
+        all.serving = sum(all.serving, found.serving);
+        all.candidates = sum(all.candidates, found.candidates);
     }
     return all;
 }
 
-double EvidenceTest::log_likelihood_ratio() const { return ratio(of_all_routes(sums({}))); }
+double EvidenceTest::log_likelihood_ratio() const { return log_ratio(of_all_routes(sums({}))); }
 
 uint64_t EvidenceTest::candidate_requests() const { return of_all_routes(sums({})).candidates.requests; }
 
 uint64_t EvidenceTest::serving_requests() const { return of_all_routes(sums({})).serving.requests; }
 
-void Judge::add(const RolloutReport& ballot, Time now) {
-    const std::pair key{ballot.node, ballot.incarnation};
-    if (lives_.size() >= options_.max_incarnations && !lives_.count(key)) return;
-    auto& life = lives_[key];
-    if (ballot.sequence <= life.newest.sequence) return;
-    if (life.earlier.empty() || now - life.earlier.back().first >= options_.sampled_every)
-        life.earlier.emplace_back(now, life.newest.routes);
-    while (life.earlier.size() > 1 && now - life.earlier[1].first > options_.window) life.earlier.pop_front();
-    life.newest = ballot;
-    life.heard = now;
+void Judge::add(const RolloutReport& report, Time now) {
+    const std::pair key{report.node, report.incarnation};
+    if (sources_.size() >= options_.max_incarnations && !sources_.count(key)) return;
+    auto& source = sources_[key];
+    if (report.sequence <= source.newest.sequence) return;
+    if (source.earlier.empty() || now - source.earlier.back().first >= options_.sampled_every)
+        source.earlier.emplace_back(now, source.newest.routes);
+    while (source.earlier.size() > 1 && now - source.earlier[1].first > options_.window) source.earlier.pop_front();
+    source.newest = report;
+    source.received_at = now;
 }
 
-std::vector<Observation> Judge::whole() const {
+std::vector<Observation> Judge::all_observations() const {
     std::vector<Observation> observations;
-    for (const auto& [key, life] : lives_)
-        observations.push_back({life.newest.node, life.newest.zone, life.newest.routes});
+    for (const auto& [key, source] : sources_)
+        observations.push_back({source.newest.node, source.newest.zone, source.newest.routes});
     return observations;
 }
 
-std::vector<Observation> Judge::lately(Time now) const {
+std::vector<Observation> Judge::recent_observations(Time now) const {
     std::vector<Observation> observations;
-    for (const auto& [key, life] : lives_) {
-        const std::vector<RouteEvidence>* before = &life.newest.routes;   // nothing new since the window began
-        for (const auto& [at, routes] : life.earlier)
+    for (const auto& [key, source] : sources_) {
+        const std::vector<RouteEvidence>* before = &source.newest.routes;   // nothing new since the window began
+        for (const auto& [at, routes] : source.earlier)
             if (now - at <= options_.window) {
                 before = &routes;
                 break;
             }
-        observations.push_back({life.newest.node, life.newest.zone, added_since(*before, life.newest.routes)});
+        observations.push_back({source.newest.node, source.newest.zone, added_since(*before, source.newest.routes)});
     }
     return observations;
 }
 
 Finding Judge::finding(Time now) const {
-    const EvidenceTest whole_span(options_, whole()), last_seconds(options_, lately(now));
-    if (whole_span.rejects() || last_seconds.rejects()) return Finding::bad;
-    const bool acquits = whole_span.log_likelihood_ratio() < options_.accept_below &&
-                         whole_span.candidate_requests() >= options_.min_to_compare &&
-                         last_seconds.log_likelihood_ratio() <= 0;
-    return acquits ? Finding::good : Finding::undecided;
+    const EvidenceTest whole_test(options_, all_observations()), recent_test(options_, recent_observations(now));
+    if (whole_test.rejects() || recent_test.rejects()) return Finding::bad;
+    const bool accepts = whole_test.log_likelihood_ratio() < options_.accept_below &&
+                         whole_test.candidate_requests() >= options_.min_to_compare &&
+                         recent_test.log_likelihood_ratio() <= 0;
+    return accepts ? Finding::good : Finding::undecided;
 }
 
 double Judge::age() const {
     double most = 0;
-    for (const auto& [key, life] : lives_) most = std::max(most, life.newest.age);
+    for (const auto& [key, source] : sources_) most = std::max(most, source.newest.age);
     return most;
 }
 
 size_t Judge::reporting_proxies() const {
     std::set<std::string> nodes;
-    for (const auto& [key, life] : lives_) nodes.insert(key.first);
+    for (const auto& [key, source] : sources_) nodes.insert(key.first);
     return nodes.size();
 }
 
 bool Judge::has_drained_serving(Stage stage, Time now) const {
-    return std::all_of(lives_.begin(), lives_.end(), [&](const auto& known) {
-        const auto& life = known.second;
-        if (now - life.heard > options_.report_timeout) return true;
-        return life.newest.stage >= static_cast<uint64_t>(stage) && life.newest.open_at_serving == 0;
+    return std::all_of(sources_.begin(), sources_.end(), [&](const auto& found) {
+        const auto& source = found.second;
+        if (now - source.received_at > options_.report_timeout) return true;
+        return source.newest.stage >= static_cast<uint64_t>(stage) && source.newest.open_at_serving == 0;
     });
 }
 
 bool Judge::has_too_little_traffic() const {
-    const EvidenceTest test(options_, whole());
+    const EvidenceTest test(options_, all_observations());
     return test.candidate_requests() + test.serving_requests() < options_.min_to_compare;
 }
 
-bool Judge::is_probably_good(uint64_t least_requests) const {
-    const EvidenceTest test(options_, whole());
-    return test.candidate_requests() >= least_requests && test.log_likelihood_ratio() < 0;
+bool Judge::is_probably_good(uint64_t min_requests) const {
+    const EvidenceTest test(options_, all_observations());
+    return test.candidate_requests() >= min_requests && test.log_likelihood_ratio() < 0;
 }
 
 std::string Judge::summary() const {
-    const auto observations = whole();
+    const auto observations = all_observations();
     const EvidenceTest test(options_, observations);
     std::ostringstream text;
     text << reporting_proxies() << " proxies, log likelihood ratio " << test.log_likelihood_ratio()
@@ -214,9 +216,9 @@
                 by_host[candidate.host] = sum(by_host[candidate.host], candidate.tally);
         }
     text << " serving " << serving.bad << '/' << serving.requests;
-    size_t named = 0;
+    size_t listed = 0;
     for (const auto& [host, tally] : by_host)
-        if (named++ < most_named) text << ", " << host << ' ' << tally.bad << '/' << tally.requests;
+        if (listed++ < max_listed) text << ", " << host << ' ' << tally.bad << '/' << tally.requests;
     return text.str();
 }
 
--- a/src/rollout/order.hpp
+++ b/src/rollout/order.hpp
@@ -1,4 +1,4 @@
-// The operator's order of a rollout, as it comes as JSON.
+// The operator's order of a rollout, sent as JSON.
 #pragma once
 #include <string>
 #include <string_view>
@@ -9,10 +9,10 @@
 
 struct Order {
     std::string service, target_version;
-    double duration = 0;   // s
+    double duration = 0;   // seconds
 };
 
-// Reads the body of `POST /rollouts`; what is wrong with it, with its place as a JSON pointer.
+// Parses the body of `POST /rollouts`; on failure returns what is wrong, with its location as a JSON pointer.
 ParseResult<Order> read_order(std::string_view json);
 
 }   // namespace myrtleroute::rollout
--- a/src/rollout/report.hpp
+++ b/src/rollout/report.hpp
@@ -1,7 +1,7 @@
-// What a proxy has seen of a rollout: its vote, with the evidence that it rests on.
+// What a proxy has observed of a rollout: the evidence on which the leader judges the version.
 //
-// The sums of a ballot run over one life of the proxy's process and only rise, so a ballot that is lost, late or told twice
-// changes nothing: the newest of a life stands for all before it.
+// The counts in a report cover one incarnation of the proxy's process and only increase, so a report that is lost, late
+// or duplicated changes nothing: the newest one of an incarnation replaces all before it.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace myrtleroute::rollout {
 
-// Requests whose attempt has ended, and those of them that failed or took several times as long as usual.
+// Counts requests whose attempt has ended, and those of them that failed or took several times as long as usual.
 struct Tally {
     uint64_t requests = 0, bad = 0;
     bool operator==(const Tally&) const = default;
@@ -20,12 +20,12 @@
 };
 
 struct CandidateTally {
-    std::string host;   // its id
+    std::string host;   // host id
     Tally tally;
     bool operator==(const CandidateTally&) const = default;
 };
 
-// Of one route: the hosts that serve all together, the candidates one by one.
+// The evidence on one route: serving hosts together, each candidate separately.
 struct RouteEvidence {
     std::string route;
     Tally serving;
@@ -35,12 +35,12 @@
 
 struct RolloutReport {
     std::string node, zone;       // of the proxy
-    uint64_t incarnation = 0;     // of its process
-    uint64_t sequence = 0;        // rises with each ballot of a life
-    uint64_t rollout = 0;         // number of the order
-    double age = 0;               // s since this life has known of the order
-    uint64_t stage = 0;           // that it acts by, as a number of Stage
-    size_t open_at_serving = 0;   // its requests that are under way at hosts that serve
+    uint64_t incarnation = 0;     // of the proxy's process
+    uint64_t sequence = 0;        // increases with each report of an incarnation
+    uint64_t rollout = 0;         // number of the rollout's order
+    double age = 0;               // seconds since this incarnation learned of the order
+    uint64_t stage = 0;           // the stage that the proxy acts on, as a number of Stage
+    size_t open_at_serving = 0;   // the proxy's requests in progress at serving hosts
     std::vector<RouteEvidence> routes;
     bool operator==(const RolloutReport&) const = default;
 };
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -6,23 +6,23 @@
 namespace myrtleroute::rollout {
 namespace {
 
-constexpr size_t most_rejected = 16, most_services = 256;
+constexpr size_t max_rejected = 16, max_services = 256;
 
 bool contains(const std::vector<std::string>& versions, const std::string& version) {
     return std::find(versions.begin(), versions.end(), version) != versions.end();
 }
 
-auto entry_of(Rollouts& rollouts, const std::string& service) {
+auto find_rollout(Rollouts& rollouts, const std::string& service) {
     return std::find_if(rollouts.all.begin(), rollouts.all.end(),
                         [&](const auto& rollout) { return rollout.service == service; });
 }
 
 void reject(Rollout& rollout) {
-    if (rollout.rejected.size() >= most_rejected) rollout.rejected.erase(rollout.rejected.begin());
+    if (rollout.rejected.size() >= max_rejected) rollout.rejected.erase(rollout.rejected.begin());
     rollout.rejected.push_back(rollout.target_version);
 }
 
-void forget_one(Rollouts& rollouts) {
+void remove_oldest_ended(Rollouts& rollouts) {
     auto oldest = rollouts.all.end();
     for (auto it = rollouts.all.begin(); it != rollouts.all.end(); ++it)
         if (!it->in_progress() && (oldest == rollouts.all.end() || it->number < oldest->number)) oldest = it;
@@ -32,9 +32,9 @@
 }   // namespace
 
 const Rollout* Rollouts::find(const std::string& service) const {
-    const auto known =
+    const auto found =
         std::find_if(all.begin(), all.end(), [&](const auto& rollout) { return rollout.service == service; });
-    return known == all.end() ? nullptr : &*known;
+    return found == all.end() ? nullptr : &*found;
 }
 
 Group group_of(const Rollout* rollout, const std::string& version) {
@@ -54,8 +54,8 @@
     return "";
 }
 
-Rollouts advanced(Rollouts rollouts, const std::string& service, Stage stage) {
-    const auto rollout = entry_of(rollouts, service);
+Rollouts with_stage(Rollouts rollouts, const std::string& service, Stage stage) {
+    const auto rollout = find_rollout(rollouts, service);
     if (rollout == rollouts.all.end() || !rollout->in_progress() || rollout->stage >= stage) return rollouts;
     rollout->stage = stage;
     if (stage == Stage::rolled_back) reject(*rollout);
@@ -63,10 +63,11 @@
     return rollouts;
 }
 
-Rollouts begun(Rollouts rollouts, const std::string& service, const std::string& target_version, double duration) {
-    auto rollout = entry_of(rollouts, service);
+Rollouts with_new_rollout(Rollouts rollouts, const std::string& service, const std::string& target_version,
+                          double duration) {
+    auto rollout = find_rollout(rollouts, service);
     if (rollout == rollouts.all.end()) {
-        if (rollouts.all.size() >= most_services) forget_one(rollouts);
+        if (rollouts.all.size() >= max_services) remove_oldest_ended(rollouts);
         rollout = rollouts.all.insert(rollouts.all.end(), Rollout{});
     }
     const auto number = ++rollouts.revision;
--- a/src/rollout/watcher.hpp
+++ b/src/rollout/watcher.hpp
@@ -1,5 +1,5 @@
-// A proxy's watch on the rollouts that it knows of: what became of its own requests at candidates and at the hosts that serve.
-// It makes the proxy's ballots, and says which requests go to candidates.
+// A proxy's observation of rollouts: records the outcome of its own requests at candidates and at serving hosts,
+// creates the proxy's reports, and chooses which requests go to candidates.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -15,78 +15,80 @@
 
 namespace myrtleroute::rollout {
 
-// How an attempt at a host ended, as far as it says something about the host.
+// The outcome of an attempt at a host, as far as it is evidence about the host.
 struct AttemptResult {
     std::string route, host;
     Group group = Group::serving;
-    bool failed = false;      // an answer of failure, or one that broke off or never came
-    bool loaded = false;      // the host had more than the usual load: being slow says nothing
-    bool cancelled = false;   // it says something only where it had taken long by then
-    Span duration;            // until its end
-    int chunks = 0;           // of a stream that was passed on as it came
-    Span streaming_time;      // from the first to the last one
+    bool failed = false;      // an error response, an incomplete one, or none
+    bool loaded = false;      // the host had more than the usual load, so a slow answer is no evidence
+    bool cancelled = false;   // evidence only if it had already taken long
+    Span duration;            // until the attempt ended
+    int chunks = 0;           // of a stream that was relayed as it arrived
+    Span streaming_time;      // from the first chunk to the last
 };
 
 struct WatcherOptions {
     std::string node, zone;
-    uint64_t incarnation = 0;           // of this process, unlike any other's
-    double candidate_share = 0.07;      // of a service's requests that candidates get while they are observed
-    Span control_timeout{1.5};          // without word of a current control node for so long no candidate is sent to
-    Span report_interval{0.5};          // between ballots, in a fleet of up to `proxies_at_pace`
-    Span report_interval_moving{0.2};   // all requests are at candidates then
-    double nominal_proxies = 150;       // in a larger one they are as much rarer
+    uint64_t incarnation = 0;        // of this process, unique
+    double candidate_share = 0.07;   // share of a service's requests that candidates get while observed
+    // No requests go to candidates when no control node with a quorum has been in contact for this long.
+    Span control_timeout{1.5};
+    Span report_interval{0.5};          // between reports, in a fleet of up to `nominal_proxies`
+    Span report_interval_moving{0.2};   // while all requests go to candidates
+    double nominal_proxies = 150;       // in a larger fleet the interval grows in proportion
 };
 
 class Watcher {
 public:
     Watcher(WatcherOptions options, uint64_t seed);
 
-    // Older rollouts than those known are left aside. True: these are newer.
+    // Applies the rollouts unless they are older than those known. Returns true if they were newer.
     bool update(const Rollouts& rollouts, Time now);
-    void confirm_control(Time now) { heard_current_ = now; }   // a control node that has a quorum has spoken
+    void confirm_control(Time now) { control_confirmed_at_ = now; }   // a control node with a quorum has sent a message
     const Rollout* rollout(const std::string& service) const { return rollouts_.find(service); }
     const Rollouts& rollouts() const { return rollouts_; }
-    bool has_rollouts() const { return is_told_; }
+    bool has_rollouts() const { return has_rollouts_; }
 
     // Whether the next request of that service goes to a candidate.
     bool choose_candidate(const std::string& service, Time now);
-    void record(const std::string& service, const AttemptResult& end);
-    // How many candidates are sent to at a time, of a service of which so many hosts serve. While they are observed each has the load
-    // of the others, or, where `loaded`, about twice that, as some faults show under load only.
+    void record(const std::string& service, const AttemptResult& result);
+    // How many candidates receive requests at a time, for a service with `serving` serving hosts. While observed, each
+    // has the load of the serving hosts or, if `loaded`, about twice that, because some faults show only under load.
     size_t candidate_count(const Rollout& rollout, size_t serving, bool loaded) const;
 
-    // Those that are due. `open_at_serving`: requests of that service under way at hosts that serve.
+    // Returns the reports that are due. `open_at_serving`: requests of a service in progress at serving hosts.
     std::vector<RolloutReport> take_reports(size_t proxies,
                                             const std::function<size_t(const std::string&)>& open_at_serving, Time now);
 
 private:
-    // What answers of a route take at hosts that serve: means of logarithms, as times differ by orders of magnitude.
-    struct Usual {
-        double answers = 0, log_total = 0;
-        double streams = 0, log_pace = 0;
+    // Usual response times of a route at serving hosts: means of logarithms, because times differ by orders of
+    // magnitude.
+    struct Baseline {
+        double answers = 0, log_duration = 0;
+        double streams = 0, log_chunk_time = 0;
     };
-    // One rollout as this proxy sees it.
-    struct Watch {
+    // One rollout as observed by this proxy.
+    struct Observed {
         uint64_t number = 0;
         Time known_since;
         uint64_t sequence = 0;
-        double credit = 0;   // of a request for candidates; one is due at 1
+        double credit = 0;   // credit for sending a request to a candidate; one is due at 1
         std::map<std::string, RouteEvidence> routes;
-        double recent = 0, recent_bad = 0;   // at candidates; older ones fade
+        double recent_requests = 0, recent_bad = 0;   // requests at candidates, with decaying weight
     };
-    bool is_slow(const std::string& route, const AttemptResult& end) const;
-    void learn(const std::string& route, const AttemptResult& end);
-    bool looks_plainly_bad(const Watch& watch) const;
-    void note(Watch& watch, const AttemptResult& end, bool is_bad);
-    RolloutReport ballot_of(const Rollout& rollout, Watch& watch, size_t open, Time now) const;
+    bool is_slow(const std::string& route, const AttemptResult& result) const;
+    void update_baseline(const std::string& route, const AttemptResult& result);
+    bool looks_bad(const Observed& observed) const;
+    void count(Observed& observed, const AttemptResult& result, bool is_bad);
+    RolloutReport make_report(const Rollout& rollout, Observed& observed, size_t open, Time now) const;
 
     WatcherOptions options_;
     Pcg chance_;
     Rollouts rollouts_;
-    bool is_told_ = false;
-    Time heard_current_ = long_ago, ballots_at_ = long_ago;
-    std::map<std::string, Watch> watches_;   // by service, of rollouts in progress
-    std::map<std::string, Usual> usual_;     // by route, bounded
+    bool has_rollouts_ = false;
+    Time control_confirmed_at_ = long_ago, next_report_at_ = long_ago;
+    std::map<std::string, Observed> observed_;    // by service, of rollouts in progress
+    std::map<std::string, Baseline> baselines_;   // by route, bounded
 };
 
 }   // namespace myrtleroute::rollout
--- a/tests/system/rollout_fleet.hpp
+++ b/tests/system/rollout_fleet.hpp
@@ -74,7 +74,7 @@
 
     void order() {
         ordered_ = now_;
-        rollout::Rollouts rollouts = rollout::begun({}, "s", "v2", 16);
+        rollout::Rollouts rollouts = rollout::with_new_rollout({}, "s", "v2", 16);
         for (auto& watcher : watchers_) {
             watcher.update(rollouts, now_);
         }
