--- a/tests/system/consensus_world.hpp
+++ b/tests/system/consensus_world.hpp
@@ -1,4 +1,4 @@
-// Replicas on a virtual network with virtual disks: everything that happens is drawn from one seed.
+// Replicas on a virtual network with virtual disks; all random events are drawn from one seed.
 #pragma once
 #include <algorithm>
 #include <deque>
@@ -17,17 +17,17 @@
     using std::runtime_error::runtime_error;
 };
 
-// How often things go wrong; each is a chance per step of a hundredth of a second.
-struct Troubles {
+// Probabilities of faults per step of a hundredth of a second.
+struct FaultRates {
     double loss = 0.02, duplicate = 0.01, crash = 0.002, wipe = 0, cut = 0.003, stall = 0.003, freeze = 0.002;
-    bool volatile_disk = false;   // planted: writes are told to be safe before they are
+    bool volatile_disk = false;   // planted fault: writes are reported as complete without being kept
 };
 
 class ConsensusWorld {
 public:
-    // The machines below `diskless` don't count for the quorum.
-    ConsensusWorld(size_t seeds, size_t joiners, uint64_t seed, Troubles troubles, size_t diskless = 0)
-        : diskless_(diskless), chance_(seed), troubles_(troubles), tolerated_((seeds + joiners - 1) / 2) {
+    // Machines with a number below `diskless` don't count for the quorum.
+    ConsensusWorld(size_t seeds, size_t joiners, uint64_t seed, FaultRates faults, size_t diskless = 0)
+        : diskless_(diskless), chance_(seed), faults_(faults), tolerated_((seeds + joiners - 1) / 2) {
         consensus::ClusterState first;
         for (size_t i = 0; i < seeds; ++i) first.voters.push_back({address(i), 0});
         for (size_t i = 0; i < seeds + joiners; ++i) {
@@ -39,22 +39,22 @@
         }
     }
 
-    // One hundredth of a second.
-    void step(bool with_troubles) {
+    // Advances time by a hundredth of a second.
+    void step(bool with_faults) {
         now_ = now_ + Span{0.01};
-        if (with_troubles) cause_trouble();
+        if (with_faults) inject_faults();
         for (auto& node : nodes_) run(*node);
         deliver();
         for (auto& node : nodes_)
             if (node->replica) check(*node);
     }
-    void heal() {
+    void end_faults() {
         for (auto& node : nodes_) {
             node->cut_until = node->stalled_until = node->frozen_until = node->down_until = long_ago;
             if (!node->replica) start(*node);
         }
     }
-    // Proposes the next version at whoever leads; remembered as acknowledged once its entry is committed there.
+    // Proposes the next version at every leader; it counts as acknowledged once its entry is committed there.
     void propose() {
         for (auto& node : nodes_) {
             if (!node->replica || node->replica->role() != consensus::Role::leader || now_ < node->frozen_until)
@@ -64,10 +64,10 @@
             state.version = version;
             state.configuration = "configuration " + std::to_string(version);
             if (const auto position = node->replica->propose(state, now_)) node->proposed[*position] = version;
-            carry_out(*node);
+            execute_outputs(*node);
         }
     }
-    // The version that a majority has agreed on, as its leader tells it; nothing while there is none.
+    // The version that a majority has agreed on, as its leader reports it; nothing if there is none.
     std::optional<uint64_t> agreed() const {
         for (const auto& node : nodes_)
             if (node->replica && node->replica->role() == consensus::Role::leader &&
@@ -132,7 +132,7 @@
         }
         return text;
     }
-    std::string last_digest() const {   // of all that has happened, to compare runs
+    std::string state_digest() const {   // summary of the final state, to compare runs
         std::string text;
         for (const auto& node : nodes_)
             if (node->replica && node->replica->entry())
@@ -155,10 +155,10 @@
         Disk disk;
         std::unique_ptr<consensus::Replica> replica;
         std::deque<Write> writes;
-        std::map<consensus::Position, uint64_t> proposed;   // versions
+        std::map<consensus::Position, uint64_t> proposed;   // versions, by position of their entry
         Time cut_until = long_ago, stalled_until = long_ago, frozen_until = long_ago, down_until = long_ago;
         Time ticked = long_ago;
-        uint64_t highest_version = 0;   // committed and seen in this life
+        uint64_t highest_version = 0;   // committed and observed in this incarnation
     };
     struct Packet {
         consensus::ReplicaId from, to;
@@ -174,21 +174,21 @@
         node.proposed.clear();
         node.highest_version = 0;
         consensus::ReplicaOptions options;
-        options.counts_for_quorum = counts(node);
+        options.counts_for_quorum = counts_for_quorum(node);
         node.replica = std::make_unique<consensus::Replica>(node.id, node.disk.hard_state, node.disk.entry, options,
                                                             chance_.next(), now_);
     }
-    bool counts(const Node& node) const {
+    bool counts_for_quorum(const Node& node) const {
         for (size_t i = 0; i < diskless_; ++i)
             if (nodes_[i].get() == &node) return false;
         return true;
     }
-    size_t out_of_order() const {
+    size_t faulty_nodes() const {
         return static_cast<size_t>(std::count_if(nodes_.begin(), nodes_.end(), [this](const auto& node) {
             return !node->replica || now_ < node->cut_until + Span{2} || now_ < node->stalled_until;
         }));
     }
-    // Whether some leader has every machine, with the disk that it has now, among its voters.
+    // Whether some leader has every machine, with its current disk, among its voters.
     bool all_vote() const {
         for (const auto& leading : nodes_) {
             if (!leading->replica || leading->replica->role() != consensus::Role::leader) continue;
@@ -198,22 +198,22 @@
         }
         return false;
     }
-    void cause_trouble() {
-        // A lost disk is all that is borne at once: nothing else happens until its machine votes again.
-        if (troubles_.wipe > 0 && wiped_at_ > long_ago && !recovered_) {
+    void inject_faults() {
+        // Only a single lost disk is tolerated at a time: no other fault happens until its machine is a voter again.
+        if (faults_.wipe > 0 && wiped_at_ > long_ago && !recovered_) {
             recovered_ = all_vote();
             return;
         }
         for (auto& node : nodes_) {
-            if (node->replica && happens(troubles_.crash)) {
-                node->replica.reset();   // what was not told to be written may be lost, and is here
+            if (node->replica && happens(faults_.crash)) {
+                node->replica.reset();   // writes without a completion may be lost, and are lost here
                 node->down_until = now_ + Span{chance_.uniform() * 3};
             }
-            if (happens(troubles_.cut)) node->cut_until = now_ + Span{chance_.uniform() * 4};
-            if (happens(troubles_.stall)) node->stalled_until = now_ + Span{chance_.uniform() * 3};
-            if (happens(troubles_.freeze)) node->frozen_until = now_ + Span{chance_.uniform() * 3};
+            if (happens(faults_.cut)) node->cut_until = now_ + Span{chance_.uniform() * 4};
+            if (happens(faults_.stall)) node->stalled_until = now_ + Span{chance_.uniform() * 3};
+            if (happens(faults_.freeze)) node->frozen_until = now_ + Span{chance_.uniform() * 3};
         }
-        if (out_of_order() == 0 && all_vote() && happens(troubles_.wipe)) {
+        if (faulty_nodes() == 0 && all_vote() && happens(faults_.wipe)) {
             wiped_at_ = now_;
             recovered_ = false;
             wipe(chance_.next() % nodes_.size());
@@ -228,17 +228,17 @@
         while (!node.writes.empty() && now_ >= node.writes.front().done && now_ >= node.stalled_until) {
             const auto write = std::move(node.writes.front());
             node.writes.pop_front();
-            if (!troubles_.volatile_disk) apply(node, write.what);
+            if (!faults_.volatile_disk) apply(node, write.what);
             node.replica->persisted(write.what.number, now_);
-            carry_out(node);
+            execute_outputs(node);
         }
         if (now_ - node.ticked < Span{0.05}) return;
         node.ticked = now_;
         for (const auto& peer : nodes_)
             if (peer.get() != &node && peer->replica && reaches(*peer, node))
-                node.replica->peer_reachable(peer->id, counts(*peer), now_);
+                node.replica->peer_reachable(peer->id, counts_for_quorum(*peer), now_);
         node.replica->tick(now_);
-        carry_out(node);
+        execute_outputs(node);
     }
     static void apply(Node& node, const consensus::Persist& write) {
         if (write.hard_state) node.disk.hard_state = *write.hard_state;
@@ -250,20 +250,20 @@
             if (node->id == id) return node.get();
         return nullptr;
     }
-    void carry_out(Node& node) {
+    void execute_outputs(Node& node) {
         for (auto& output : node.replica->take_outputs()) {
             if (auto* send = std::get_if<consensus::SendTo>(&output))
-                post(node, *send);
+                send_packet(node, *send);
             else if (auto* persist = std::get_if<consensus::Persist>(&output))
                 node.writes.push_back({std::move(*persist), now_ + Span{0.005 + chance_.uniform() * 0.02}});
             else if (const auto* committed = std::get_if<consensus::Committed>(&output))
-                note(node, *committed);
+                record_commit(node, *committed);
         }
     }
-    void post(const Node& from, const consensus::SendTo& send) {
+    void send_packet(const Node& from, const consensus::SendTo& send) {
         const auto* to = node_of(send.to);
-        if (!to || !reaches(from, *to) || happens(troubles_.loss)) return;
-        const int copies = happens(troubles_.duplicate) ? 2 : 1;
+        if (!to || !reaches(from, *to) || happens(faults_.loss)) return;
+        const int copies = happens(faults_.duplicate) ? 2 : 1;
         for (int i = 0; i < copies; ++i)
             packets_.push_back({from.id, send.to, send.message, now_ + Span{0.001 + chance_.uniform() * 0.04}});
     }
@@ -276,10 +276,10 @@
             const auto* from = node_of(packet.from);
             if (!to || !to->replica || now_ < to->frozen_until || !from || !reaches(*from, *to)) continue;
             to->replica->receive(packet.from, packet.message, now_);
-            carry_out(*to);
+            execute_outputs(*to);
         }
     }
-    void note(Node& node, const consensus::Committed& committed) {
+    void record_commit(Node& node, const consensus::Committed& committed) {
         for (const auto& [position, version] : node.proposed)
             if (position.term == committed.position.term && position.index <= committed.position.index)
                 acknowledged_ = std::max(acknowledged_, version);
@@ -288,17 +288,17 @@
     void check(Node& node) {
         const auto& replica = *node.replica;
         if (replica.role() == consensus::Role::leader) {
-            const auto [known, fresh] = leader_of_.emplace(replica.term(), node.id);
-            if (!fresh && known->second != node.id) throw BrokenInvariant("two leaders of one term");
+            const auto [found, inserted] = leader_of_.emplace(replica.term(), node.id);
+            if (!inserted && found->second != node.id) throw BrokenInvariant("two leaders in one term");
         }
         if (!replica.entry()) return;
         const auto& entry = *replica.entry();
-        const auto [known, fresh] = entries_.emplace(entry.position, entry.state);
-        if (!fresh && !(known->second == entry.state)) throw BrokenInvariant("two entries at one position");
+        const auto [found, inserted] = entries_.emplace(entry.position, entry.state);
+        if (!inserted && !(found->second == entry.state)) throw BrokenInvariant("two entries at one position");
         if (replica.committed() < entry.position.index || !committed_is_last(replica)) return;
-        if (entry.state.version < node.highest_version) throw BrokenInvariant("a node went back");
+        if (entry.state.version < node.highest_version) throw BrokenInvariant("a node's committed version decreased");
         node.highest_version = entry.state.version;
-        // A leader that was cut off may not know yet of a newer one; a barrier keeps it from answering.
+        // A leader that was disconnected may not know yet of a newer version; a barrier keeps it from answering.
         const bool newest = replica.role() == consensus::Role::leader && replica.term() == leader_of_.rbegin()->first;
         if (newest && entry.state.version < acknowledged_) throw BrokenInvariant("an acknowledged version is lost");
     }
@@ -308,7 +308,7 @@
 
     size_t diskless_;
     Pcg chance_;
-    Troubles troubles_;
+    FaultRates faults_;
     size_t tolerated_;
     Time now_{100};
     std::vector<std::unique_ptr<Node>> nodes_;
--- a/tests/system/leases_test.cpp
+++ b/tests/system/leases_test.cpp
@@ -1,5 +1,5 @@
-// Limits lent to proxies: single steps of the holder and of the allocator, and fleets of them over a network that loses,
-// delays and doubles messages, beside a plain sum of all that was used within a window.
+// Leases on shared limits: single steps of the holder and the allocator, and fleets of them over a network that loses,
+// delays and duplicates messages, checked against a plain sum of all units used within a window.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -21,20 +21,20 @@
 namespace {
 
 constexpr const char* tenant = "tenant";
-constexpr Span patience{0.1};   // of requests that wait for units
+constexpr Span patience{0.1};   // how long requests are queued for units
 
-// What is allowed in a window.
+// The units allowed in a window.
 double allowance(const Limit& limit, const LimitRule& rule) {
     return (limit.rate * rule.window.s + limit.burst) * (1 + rule.excess_ratio) + rule.slack;
 }
 
-// Proxies before one tenant whose demand is scripted, and one allocator at a time.
+// Proxies that serve one tenant with scripted demand, and one allocator at a time.
 struct LeaseFleet {
     LimitRule rule{140000, 0.1, Span{8}};
     Limit limit{60000, 90000};
     LeaseTerms terms;
-    Span least_delay{0.002}, most_delay{0.01};   // of a message
-    double loss = 0, doubled = 0;                // share of the messages
+    Span min_delay{0.002}, max_delay{0.01};   // delay of a message
+    double loss = 0, duplicated = 0;          // fractions of the messages
     Pcg chance{5};
     Time now{100};
     double mean_cost = 9000;
@@ -42,25 +42,25 @@
     struct Proxy {
         std::unique_ptr<Holder> holder;
         Time down_until = long_ago, frozen_until = long_ago, cut_until = long_ago;
-        std::deque<double> held_back;                      // requests that came while it was frozen
-        std::deque<std::function<void()>> arrived;         // messages of that time
-        std::deque<std::pair<uint64_t, double>> waiting;   // costs of requests that wait, by ticket
+        std::deque<double> delayed_requests;                  // costs of requests that arrived while it was frozen
+        std::deque<std::function<void()>> delayed_messages;   // messages that arrived while it was frozen
+        std::deque<std::pair<uint64_t, double>> queued;       // costs of queued requests, by ticket
     };
     std::vector<Proxy> proxies;
     std::unique_ptr<Allocator> allocator = std::make_unique<Allocator>(rule, terms);
-    Time allocator_from = long_ago;   // it begins then
+    Time allocator_from = long_ago;   // when it begins
     bool begun = false;
     uint64_t term = 0;
     struct Delivery {
         Time at;
         std::function<void()> deliver;
     };
-    std::vector<Delivery> under_way;
+    std::vector<Delivery> in_transit;
     std::deque<std::pair<Time, double>> used;
-    double asked = 0, refused = 0, worst = 0;
+    double requested = 0, refused = 0, worst = 0;
     size_t granted_requests = 0;
     std::array<size_t, refusal_causes.size()> refused_requests{};   // by cause
-    uint64_t next_life = 1, next_ticket = 1;
+    uint64_t next_incarnation = 1, next_ticket = 1;
 
     explicit LeaseFleet(size_t size = 12) : proxies(size) {
         for (auto& proxy : proxies) start(proxy);
@@ -74,11 +74,11 @@
     size_t number(const Proxy& proxy) const { return static_cast<size_t>(&proxy - proxies.data()); }
     void start(Proxy& proxy) {
         proxy.holder =
-            std::make_unique<Holder>(HolderId{"edge-" + std::to_string(number(proxy)), next_life++}, terms, now);
+            std::make_unique<Holder>(HolderId{"edge-" + std::to_string(number(proxy)), next_incarnation++}, terms, now);
         proxy.holder->connected(true);
-        proxy.waiting.clear();
-        proxy.held_back.clear();
-        proxy.arrived.clear();
+        proxy.queued.clear();
+        proxy.delayed_requests.clear();
+        proxy.delayed_messages.clear();
     }
     void kill(size_t at, Span down) {
         start(proxies[at]);
@@ -87,7 +87,8 @@
     void kill_first(size_t count, Span down) {
         for (size_t i = 0; i < count; ++i) kill(i, down);
     }
-    // The allocator ends, and another one without memory begins once its authority has surely ended.
+    // Replaces the allocator by one without memory, which begins once the authority of the previous one has certainly
+    // expired.
     void change_allocator(Span after) {
         allocator = std::make_unique<Allocator>(rule, terms);
         begun = false;
@@ -97,49 +98,50 @@
     bool reaches(const Proxy& proxy) const { return runs(proxy) && proxy.cut_until <= now; }
 
     void send(std::function<void()> deliver) {
-        const int copies = chance.uniform() < doubled ? 2 : 1;
+        const int copies = chance.uniform() < duplicated ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
             if (chance.uniform() < loss) continue;
-            const Span delay = least_delay + (most_delay - least_delay) * chance.uniform();
-            under_way.push_back({now + delay, deliver});
+            const Span delay = min_delay + (max_delay - min_delay) * chance.uniform();
+            in_transit.push_back({now + delay, deliver});
         }
     }
     void deliver_due() {
         std::vector<Delivery> due;
-        std::erase_if(under_way, [&](auto& delivery) {
+        std::erase_if(in_transit, [&](auto& delivery) {
             if (delivery.at > now) return false;
             due.push_back(delivery);
             return true;
         });
         for (const auto& delivery : due) delivery.deliver();
     }
-    void act(Proxy& proxy) {
-        const auto ask = proxy.holder->next_request(now);
-        if (!ask || proxy.cut_until > now) return;
-        send([this, ask = *ask, &proxy] {
+    void send_request(Proxy& proxy) {
+        const auto lease_request = proxy.holder->next_request(now);
+        if (!lease_request || proxy.cut_until > now) return;
+        send([this, request = *lease_request, &proxy] {
             if (!begun) return;
-            const auto reply = allocator->handle(ask, now);
+            const auto reply = allocator->handle(request, now);
             check();
-            if (reply && proxy.cut_until <= now) send([this, reply = *reply, &proxy] { came(proxy, reply); });
+            if (reply && proxy.cut_until <= now) send([this, reply = *reply, &proxy] { receive_reply(proxy, reply); });
         });
     }
-    void came(Proxy& proxy, const LeaseReply& reply) {
+    void receive_reply(Proxy& proxy, const LeaseReply& reply) {
         if (!runs(proxy)) return;
-        if (proxy.frozen_until > now) return proxy.arrived.push_back([this, &proxy, reply] { came(proxy, reply); });
+        if (proxy.frozen_until > now)
+            return proxy.delayed_messages.push_back([this, &proxy, reply] { receive_reply(proxy, reply); });
         proxy.holder->apply(reply, now);
         decide(proxy);
     }
     void decide(Proxy& proxy) {
         for (const auto& decided : proxy.holder->take_decided()) {
-            const auto at = std::find_if(proxy.waiting.begin(), proxy.waiting.end(),
+            const auto at = std::find_if(proxy.queued.begin(), proxy.queued.end(),
                                          [&](const auto& waiting) { return waiting.first == decided.ticket; });
-            REQUIRE(at != proxy.waiting.end());
-            ended(at->second, decided.decision);
-            proxy.waiting.erase(at);
+            REQUIRE(at != proxy.queued.end());
+            record_decision(at->second, decided.decision);
+            proxy.queued.erase(at);
         }
         CHECK(proxy.holder->totals().used <= proxy.holder->totals().received + 1);
     }
-    void ended(double cost, const Decision& decision) {
+    void record_decision(double cost, const Decision& decision) {
         if (decision.verdict != Verdict::granted) {
             refused += cost;
             ++refused_requests[static_cast<size_t>(decision.cause)];
@@ -153,31 +155,31 @@
         worst = std::max(worst, sum);
     }
     void request(double cost) {
-        asked += cost;
+        requested += cost;
         auto* proxy = &proxies[chance.next() % proxies.size()];
         while (!runs(*proxy)) proxy = &proxies[chance.next() % proxies.size()];
-        if (proxy->frozen_until > now) return proxy->held_back.push_back(cost);
+        if (proxy->frozen_until > now) return proxy->delayed_requests.push_back(cost);
         request_at(*proxy, cost);
     }
     void request_at(Proxy& proxy, double cost) {
         const auto ticket = next_ticket++;
         const auto decision = proxy.holder->acquire(tenant, cost, ticket, patience, now);
-        if (decision.verdict != Verdict::waiting) return ended(cost, decision);
-        proxy.waiting.emplace_back(ticket, cost);
-        act(proxy);
+        if (decision.verdict != Verdict::waiting) return record_decision(cost, decision);
+        proxy.queued.emplace_back(ticket, cost);
+        send_request(proxy);
     }
-    void thaw(Proxy& proxy) {
-        for (auto costs = std::exchange(proxy.held_back, {}); !costs.empty(); costs.pop_front())
+    void resume(Proxy& proxy) {
+        for (auto costs = std::exchange(proxy.delayed_requests, {}); !costs.empty(); costs.pop_front())
             request_at(proxy, costs.front());
-        for (auto held = std::exchange(proxy.arrived, {}); !held.empty(); held.pop_front()) held.front()();
+        for (auto held = std::exchange(proxy.delayed_messages, {}); !held.empty(); held.pop_front()) held.front()();
     }
     void check() {
         const auto violated = allocator->violated_invariant();
         REQUIRE_MESSAGE(!violated, violated.value_or(""));
     }
 
-    // `demand`: units a second of all proxies together, in requests of many sizes. `trouble`: called at each step.
-    void play(
+    // `demand`: units per second at all proxies together, in requests of many sizes. `trouble`: called at each step.
+    void run(
         Span length, double demand, const std::function<void()>& trouble = [] {}) {
         constexpr Span step{0.01};
         int steps = 0;
@@ -192,23 +194,23 @@
             deliver_due();
             for (auto& proxy : proxies) {
                 if (!runs(proxy) || proxy.frozen_until > now) continue;
-                if (!proxy.held_back.empty() || !proxy.arrived.empty()) thaw(proxy);
+                if (!proxy.delayed_requests.empty() || !proxy.delayed_messages.empty()) resume(proxy);
                 proxy.holder->tick(now);
                 decide(proxy);
-                if (steps % 10 == 0 || proxy.holder->has_waiting()) act(proxy);
+                if (steps % 10 == 0 || proxy.holder->has_waiting()) send_request(proxy);
             }
             for (double due = demand * step.s / mean_cost; due > chance.uniform(); due -= 1)
                 request(mean_cost * (0.2 + 1.6 * chance.uniform()));
         }
     }
     double allowed() const { return allowance(limit, rule); }
-    // What was refused since, as a share of what was asked, with the causes.
-    void forget() {
-        asked = refused = 0;
+    // Restarts the counts of requested and refused units.
+    void reset_counts() {
+        requested = refused = 0;
         refused_requests = {};
     }
     std::string refusals() const {
-        std::string text = std::to_string(refused / asked) + " refused;";
+        std::string text = std::to_string(refused / requested) + " refused;";
         for (const auto cause : refusal_causes)
             text += " " + std::string(to_string(cause)) + " " +
                     std::to_string(refused_requests[static_cast<size_t>(cause)]);
@@ -218,7 +220,7 @@
 
 }   // namespace
 
-TEST_CASE("the parts of a budget are its depth, and with the fill they are what the rule allows") {
+TEST_CASE("the parts of a budget add up to its depth, and with the fill rate to the allowance of the rule") {
     for (const Limit limit : {Limit{60000, 90000}, Limit{10, 0}, Limit{1, 100}, Limit{500000, 500000}})
         for (const LimitRule rule :
              {LimitRule{140000, 0.1, Span{8}}, LimitRule{0, 0, Span{1}}, LimitRule{5, 0, Span{60}}}) {
@@ -233,104 +235,103 @@
         }
 }
 
-TEST_CASE("of demand of three quarters of the limit, in large requests, a fiftieth is refused at the most") {
+TEST_CASE("with demand at three quarters of the limit in large requests, at most a fiftieth is refused") {
     LeaseFleet fleet;
-    fleet.play(Span{10}, fleet.limit.rate / 1.3);
-    fleet.forget();
-    fleet.play(Span{60}, fleet.limit.rate / 1.3);
+    fleet.run(Span{10}, fleet.limit.rate / 1.3);
+    fleet.reset_counts();
+    fleet.run(Span{60}, fleet.limit.rate / 1.3);
     MESSAGE("below the limit: " << fleet.refusals());
-    CHECK(fleet.refused < fleet.asked / 50);
+    CHECK(fleet.refused < fleet.requested / 50);
 }
 
-TEST_CASE("a tenant that asks for six times its usual stays within its limit in every window") {
+TEST_CASE("a tenant with six times its usual demand stays within its limit in every window") {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
         LeaseFleet fleet;
         fleet.chance = Pcg(seed);
-        fleet.play(Span{10}, fleet.limit.rate / 1.3);
-        fleet.play(Span{11}, 6 * fleet.limit.rate / 1.3);
-        fleet.play(Span{5}, fleet.limit.rate / 1.3);
-        fleet.play(Span{11}, 7.5 * fleet.limit.rate / 1.3);
+        fleet.run(Span{10}, fleet.limit.rate / 1.3);
+        fleet.run(Span{11}, 6 * fleet.limit.rate / 1.3);
+        fleet.run(Span{5}, fleet.limit.rate / 1.3);
+        fleet.run(Span{11}, 7.5 * fleet.limit.rate / 1.3);
         CHECK(fleet.worst <= fleet.allowed());
-        CHECK(fleet.worst >= 0.8 * fleet.limit.rate * fleet.rule.window.s);   // and has the use of it
+        CHECK(fleet.worst >= 0.8 * fleet.limit.rate * fleet.rule.window.s);   // the limit is also used
     }
 }
 
-TEST_CASE("a tenant over its limit stays within it while many proxies are killed and come back") {
+TEST_CASE("a tenant with demand over its limit stays within it while many proxies are killed and restarted") {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
         LeaseFleet fleet(68);
         fleet.limit = {870000, 1100000};
         fleet.chance = Pcg(seed);
-        fleet.play(Span{10}, fleet.limit.rate / 1.3);
-        fleet.play(Span{5.5}, 6 * fleet.limit.rate / 1.3);
+        fleet.run(Span{10}, fleet.limit.rate / 1.3);
+        fleet.run(Span{5.5}, 6 * fleet.limit.rate / 1.3);
         fleet.kill_first(28, Span{0.5});
-        fleet.play(Span{6}, 6 * fleet.limit.rate / 1.3);
+        fleet.run(Span{6}, 6 * fleet.limit.rate / 1.3);
         fleet.kill_first(40, Span{0.5});
-        fleet.play(Span{6}, 6 * fleet.limit.rate / 1.3);
+        fleet.run(Span{6}, 6 * fleet.limit.rate / 1.3);
         CHECK(fleet.worst <= fleet.allowed());
     }
 }
 
-TEST_CASE("out of touch with the allocator the sum stays within the limit") {
+TEST_CASE("the sum over proxies disconnected from the allocator stays within the limit") {
     LeaseFleet fleet;
-    fleet.play(Span{10}, fleet.limit.rate / 1.3);
+    fleet.run(Span{10}, fleet.limit.rate / 1.3);
     for (auto& proxy : fleet.proxies) proxy.cut_until = fleet.now + Span{20};
-    fleet.play(Span{20}, 6 * fleet.limit.rate / 1.3);
+    fleet.run(Span{20}, 6 * fleet.limit.rate / 1.3);
     CHECK(fleet.worst <= fleet.allowed());
 }
 
-TEST_CASE("out of touch, a half of the limit is still to be had for some seconds") {
+TEST_CASE("disconnected proxies can still use half of the limit for some seconds") {
     LeaseFleet fleet;
     fleet.mean_cost = 500;
-    fleet.play(Span{20}, fleet.limit.rate / 1.3);
+    fleet.run(Span{20}, fleet.limit.rate / 1.3);
     for (auto& proxy : fleet.proxies) proxy.cut_until = fleet.now + Span{20};
-    fleet.play(Span{1}, fleet.limit.rate / 1.3);
-    fleet.forget();
-    fleet.play(Span{5}, fleet.limit.rate / 1.3);
-    MESSAGE("out of touch: " << fleet.refusals());
-    CHECK(fleet.refused < 0.4 * fleet.asked);
+    fleet.run(Span{1}, fleet.limit.rate / 1.3);
+    fleet.reset_counts();
+    fleet.run(Span{5}, fleet.limit.rate / 1.3);
+    MESSAGE("disconnected: " << fleet.refusals());
+    CHECK(fleet.refused < 0.4 * fleet.requested);
     CHECK(fleet.worst <= fleet.allowed());
 }
 
-TEST_CASE("around a change of the allocator less is refused below the limit than is asked while there is none") {
+TEST_CASE("around a change of the allocator, less is refused below the limit than arrives without an allocator") {
     LeaseFleet fleet;
     fleet.mean_cost = 3000;
-    fleet.play(Span{20}, fleet.limit.rate / 1.3);
-    fleet.forget();
+    fleet.run(Span{20}, fleet.limit.rate / 1.3);
+    fleet.reset_counts();
     constexpr Span gap{1.5}, played{10};
     fleet.change_allocator(gap);
-    fleet.play(played, fleet.limit.rate / 1.3);
+    fleet.run(played, fleet.limit.rate / 1.3);
     MESSAGE("around a change of the allocator: " << fleet.refusals());
-    CHECK(fleet.refused < fleet.asked * (gap / played));   // much is granted of what had been lent before
+    CHECK(fleet.refused < fleet.requested * (gap / played));   // much is granted from units held before
     CHECK(fleet.worst <= fleet.allowed());
 }
 
-TEST_CASE("where the limit binds, large requests are granted about as often as small ones") {
+TEST_CASE("when the limit is binding, large requests are granted about as often as small ones") {
     LeaseFleet fleet;
-    fleet.play(Span{10}, fleet.limit.rate / 1.3);
-    fleet.play(Span{5}, 4 * fleet.limit.rate);
-    size_t granted[2] = {}, asked[2] = {};
+    fleet.run(Span{10}, fleet.limit.rate / 1.3);
+    fleet.run(Span{5}, 4 * fleet.limit.rate);
+    size_t granted[2] = {}, requested[2] = {};
     for (int round = 0; round < 400; ++round) {
         const bool large = round % 2;
         const auto before = fleet.granted_requests;
-        fleet.play(Span{0.02}, 4 * fleet.limit.rate);
+        fleet.run(Span{0.02}, 4 * fleet.limit.rate);
         const auto others = fleet.granted_requests - before;
         fleet.request(large ? 30000 : 1000);
         const auto at = fleet.granted_requests;
-        fleet.play(Span{0.12}, 0);   // until it is decided, if it waits
+        fleet.run(Span{0.12}, 0);   // until it is decided, if it is queued
         granted[large] += fleet.granted_requests > at || at > before + others;
-        ++asked[large];
-        fleet.play(Span{0.02}, 4 * fleet.limit.rate);
+        ++requested[large];
+        fleet.run(Span{0.02}, 4 * fleet.limit.rate);
     }
-    const double small = static_cast<double>(granted[0]) / static_cast<double>(asked[0]);
-    const double large = static_cast<double>(granted[1]) / static_cast<double>(asked[1]);
+    const double small = static_cast<double>(granted[0]) / static_cast<double>(requested[0]);
+    const double large = static_cast<double>(granted[1]) / static_cast<double>(requested[1]);
     MESSAGE("granted of small ones " << small << ", of large ones " << large);
     CHECK(large > 0.5 * small);
 }
 
-TEST_CASE(
-    "whatever is lost, late, doubled, frozen, killed, cut off or begins anew, no window holds more than the limit") {
+TEST_CASE("no window exceeds the limit under lost and late messages, freezes, kills, cuts and new allocators") {
     for (uint64_t seed = 1; seed <= 60; ++seed) {
         CAPTURE(seed);
         LeaseFleet fleet(6);
@@ -340,8 +341,8 @@
         fleet.allocator = std::make_unique<Allocator>(fleet.rule, fleet.terms);
         fleet.mean_cost = fleet.limit.rate / 12;
         fleet.loss = 0.1;
-        fleet.doubled = 0.1;
-        fleet.most_delay = Span{seed % 2 ? 0.1 : 1.0};
+        fleet.duplicated = 0.1;
+        fleet.max_delay = Span{seed % 2 ? 0.1 : 1.0};
         const auto trouble = [&] {
             auto& proxy = fleet.proxies[fleet.chance.next() % fleet.proxies.size()];
             if (fleet.chance.uniform() < 0.003) fleet.kill(fleet.number(proxy), Span{0.5});
@@ -351,8 +352,8 @@
             fleet.change_allocator(Span{2 * fleet.chance.uniform()});
         };
         for (int phase = 0; phase < 4; ++phase) {
-            fleet.play(Span{8}, fleet.limit.rate / 1.3, trouble);
-            fleet.play(Span{8}, 8 * fleet.limit.rate, trouble);
+            fleet.run(Span{8}, fleet.limit.rate / 1.3, trouble);
+            fleet.run(Span{8}, 8 * fleet.limit.rate, trouble);
         }
         CHECK(fleet.worst <= fleet.allowed());
     }
@@ -373,29 +374,29 @@
         allocator.set_limits({{tenant, limit}}, now);
         allocator.begin(1, {"edge-1", "edge-2"}, now);
         holder.connected(true);
-        // Both nodes have begun anew, so that the allocator knows of everything that is left.
+        // Both nodes have restarted, so that the allocator knows all outstanding grants.
         for (const auto* node : {"edge-1", "edge-2"}) {
             allocator.handle({{node, 0}, 1, 0, 0, 100, {}}, now);
             allocator.handle({{node, 0}, 2, 1, 1, 100, {}}, now);
         }
-        pass(Span{5});
+        advance(Span{5});
     }
-    void pass(Span span) {
+    void advance(Span span) {
         for (const Time end = now + span; now < end; now = now + Span{0.1}) allocator.tick(now);
     }
-    std::optional<LeaseReply> asked() {
-        const auto ask = holder.next_request(now);
-        return ask ? allocator.handle(*ask, now) : std::nullopt;
+    std::optional<LeaseReply> send_request() {
+        const auto request = holder.next_request(now);
+        return request ? allocator.handle(*request, now) : std::nullopt;
     }
-    // Asks as it does without any request that waits.
+    // Sends a regular lease request, without a queued request.
     void top_up() {
-        pass(Span{0.3});
-        if (const auto reply = asked()) holder.apply(*reply, now);
+        advance(Span{0.3});
+        if (const auto reply = send_request()) holder.apply(*reply, now);
     }
-    // A request that waits for units, and is granted; then as much is held as is usual.
+    // Queues a request, which is then granted; afterwards the holder has its usual units.
     void use(double cost) {
         CHECK(holder.acquire(tenant, cost, 1, patience, now).verdict == Verdict::waiting);
-        const auto reply = asked();
+        const auto reply = send_request();
         REQUIRE(reply);
         holder.apply(*reply, now);
         const auto decided = holder.take_decided();
@@ -407,7 +408,7 @@
 
 }   // namespace
 
-TEST_CASE("a fresh process has nothing until it is lent something, and then enough for the request that waits") {
+TEST_CASE("a new process has no units until its first grant, which is enough for the queued request") {
     Pair pair;
     CHECK_FALSE(pair.holder.tenant_status(tenant));
     pair.use(20000);
@@ -415,7 +416,7 @@
     CHECK(pair.allocator.amounts(tenant)->granted > 0);
 }
 
-TEST_CASE("units that were lent are not used after their end, though the process did not run meanwhile") {
+TEST_CASE("granted units are not used after they expire, even if the process was paused meanwhile") {
     LeaseTerms without_reserve;
     without_reserve.reserve_delay = without_reserve.reserve_duration;
     Pair pair(without_reserve);
@@ -426,22 +427,22 @@
     CHECK(pair.holder.acquire(tenant, 100, 2, patience, pair.now).verdict == Verdict::waiting);
 }
 
-TEST_CASE("a reply that comes after the end of what it lends lends nothing") {
+TEST_CASE("a reply that arrives after its grant has expired grants nothing") {
     Pair pair;
     pair.holder.acquire(tenant, 20000, 1, patience, pair.now);
-    const auto reply = pair.asked();
+    const auto reply = pair.send_request();
     REQUIRE(reply);
     pair.holder.apply(*reply, pair.now + pair.terms.grant_duration);
     CHECK(pair.holder.tenant_status(tenant)->held == 0);
 }
 
-TEST_CASE("a reply is taken once, and one to an earlier ask not at all") {
+TEST_CASE("a reply is applied once, and a reply to an earlier request never") {
     Pair pair;
     pair.holder.acquire(tenant, 20000, 1, patience, pair.now);
-    const auto first = pair.asked();
+    const auto first = pair.send_request();
     REQUIRE(first);
-    pair.pass(Span{0.5});   // no reply has come: it asks again
-    const auto second = pair.asked();
+    pair.advance(Span{0.5});   // no reply has arrived, so it sends another request
+    const auto second = pair.send_request();
     REQUIRE(second);
     pair.holder.apply(*first, pair.now);
     CHECK(pair.holder.tenant_status(tenant)->held == 0);
@@ -451,123 +452,123 @@
     CHECK(pair.holder.tenant_status(tenant)->held == held);
 }
 
-TEST_CASE("an ask that comes twice, or after a later one, is not answered") {
+TEST_CASE("a lease request that arrives twice, or after a later one, is not answered") {
     Pair pair;
     pair.holder.acquire(tenant, 20000, 1, patience, pair.now);
     const auto first = pair.holder.next_request(pair.now);
-    pair.pass(Span{0.5});
+    pair.advance(Span{0.5});
     const auto second = pair.holder.next_request(pair.now);
     REQUIRE(second);
     CHECK(pair.allocator.handle(*second, pair.now));
-    const double lent = pair.allocator.amounts(tenant)->granted;
+    const double granted = pair.allocator.amounts(tenant)->granted;
     CHECK_FALSE(pair.allocator.handle(*second, pair.now));
     CHECK_FALSE(pair.allocator.handle(*first, pair.now));
-    CHECK(pair.allocator.amounts(tenant)->granted == lent);
+    CHECK(pair.allocator.amounts(tenant)->granted == granted);
 }
 
-TEST_CASE("what a holder was lent stays counted until it has ended, where nothing is heard of it") {
+TEST_CASE("a silent holder's grant stays counted until it has expired") {
     Pair pair;
     pair.use(20000);
-    const double lent = pair.allocator.amounts(tenant)->granted;
-    REQUIRE(lent > 0);
-    pair.pass(pair.terms.grant_duration - Span{0.2});
-    CHECK(pair.allocator.amounts(tenant)->granted == lent);
-    pair.pass(Span{0.4});
+    const double granted = pair.allocator.amounts(tenant)->granted;
+    REQUIRE(granted > 0);
+    pair.advance(pair.terms.grant_duration - Span{0.2});
+    CHECK(pair.allocator.amounts(tenant)->granted == granted);
+    pair.advance(Span{0.4});
     CHECK(pair.allocator.amounts(tenant)->granted == 0);
 }
 
-TEST_CASE("a fresh life of a node ends what the earlier one had, once it has proven that it lives") {
+TEST_CASE("a new incarnation of a node ends the grant of the earlier one once it is confirmed to be alive") {
     Pair pair;
     pair.use(20000);
-    const double lent = pair.allocator.amounts(tenant)->granted;
-    REQUIRE(lent > 0);
-    LeaseRequest fresh{{"edge-1", 2}, 1, 0, 0, 0, {{tenant, {}}}};
-    const auto reply = pair.allocator.handle(fresh, pair.now);
+    const double granted = pair.allocator.amounts(tenant)->granted;
+    REQUIRE(granted > 0);
+    LeaseRequest restarted{{"edge-1", 2}, 1, 0, 0, 0, {{tenant, {}}}};
+    const auto reply = pair.allocator.handle(restarted, pair.now);
     REQUIRE(reply);
     CHECK(reply->request_again);
-    CHECK(pair.allocator.amounts(tenant)->granted >= lent);   // it may be an old ask, of a life that has ended
-    fresh.number = 2;
-    fresh.applied = 1;
-    fresh.applied_term = 1;
-    const auto second = pair.allocator.handle(fresh, pair.now);
+    CHECK(pair.allocator.amounts(tenant)->granted >= granted);   // it may be an old request of an ended incarnation
+    restarted.number = 2;
+    restarted.applied = 1;
+    restarted.applied_term = 1;
+    const auto second = pair.allocator.handle(restarted, pair.now);
     REQUIRE(second);
     CHECK_FALSE(second->request_again);
-    CHECK(pair.allocator.amounts(tenant)->granted < lent);
+    CHECK(pair.allocator.amounts(tenant)->granted < granted);
     LeaseRequest other{{"edge-2", 3}, 1, 0, 0, 0, {{tenant, {}}}};
     CHECK(pair.allocator.handle(other, pair.now));
 }
 
-TEST_CASE("a late ask of an ended life leaves counted what the living one was lent") {
+TEST_CASE("a late request of an ended incarnation leaves the grant of the current one counted") {
     Pair pair;
     pair.use(20000);
-    const double lent = pair.allocator.amounts(tenant)->granted;
-    REQUIRE(lent > 0);
+    const double granted = pair.allocator.amounts(tenant)->granted;
+    REQUIRE(granted > 0);
     CHECK(pair.allocator.handle({{"edge-1", 77}, 1, 0, 0, 0, {{tenant, {}}}}, pair.now));
-    CHECK(pair.allocator.amounts(tenant)->granted >= lent);
+    CHECK(pair.allocator.amounts(tenant)->granted >= granted);
 }
 
-TEST_CASE("a reply that does not name a tenant does not lengthen what is held of it") {
+TEST_CASE("a reply that does not name a tenant does not extend its grant") {
     Pair pair;
     pair.use(20000);
     REQUIRE(pair.holder.tenant_status(tenant)->held > 100);
     pair.now = pair.now + pair.terms.grant_duration - Span{0.1};
-    const auto ask = pair.holder.next_request(pair.now);
-    REQUIRE(ask);
-    pair.holder.apply({ask->holder, ask->number, 1, false, {}}, pair.now);
+    const auto request = pair.holder.next_request(pair.now);
+    REQUIRE(request);
+    pair.holder.apply({request->holder, request->number, 1, false, {}}, pair.now);
     pair.now = pair.now + Span{0.2};
     CHECK(pair.holder.acquire(tenant, 60000, 9, patience, pair.now).verdict != Verdict::granted);
 }
 
-TEST_CASE("what was granted by a reply that was not taken goes back to the pool") {
+TEST_CASE("a grant in a reply that was not applied returns to the pool") {
     Pair pair;
     pair.use(20000);
     pair.holder.acquire(tenant, 60000, 2, patience, pair.now);
-    const auto lost = pair.asked();
+    const auto lost = pair.send_request();
     REQUIRE(lost);
     const auto before = *pair.allocator.amounts(tenant);
     pair.now = pair.now + Span{0.51};
-    REQUIRE(pair.asked());
+    REQUIRE(pair.send_request());
     const auto after = *pair.allocator.amounts(tenant);
     CHECK(after.pooled + after.granted >= before.pooled + before.granted - 1);
 }
 
-TEST_CASE("a lower limit lowers what is lent, and nothing more is lent until it fits") {
+TEST_CASE("a lowered limit lowers the grants, and nothing more is granted until they fit") {
     Pair pair;
     pair.use(20000);
-    pair.pass(Span{1});
+    pair.advance(Span{1});
     pair.allocator.set_limits({{tenant, {6000, 0}}}, pair.now);
     const auto budget = budget_of({6000, 0}, pair.rule);
     CHECK(pair.allocator.amounts(tenant)->pooled <= budget.pool());
     for (int i = 0; i < 20; ++i) {
-        pair.pass(Span{0.3});
+        pair.advance(Span{0.3});
         pair.holder.acquire(tenant, 1, 3, patience, pair.now);
-        if (const auto reply = pair.asked()) pair.holder.apply(*reply, pair.now);
+        if (const auto reply = pair.send_request()) pair.holder.apply(*reply, pair.now);
     }
     CHECK(pair.holder.tenant_status(tenant)->held <= budget.max_granted());
     CHECK_FALSE(pair.allocator.violated_invariant());
 }
 
-TEST_CASE("a lower limit while units are lent ahead is no violation, and nothing more is lent ahead of it") {
+TEST_CASE("lowering a limit while units are granted ahead is no violation, and nothing more is granted ahead") {
     Pair pair;
     const auto budget = budget_of(pair.limit, pair.rule);
     pair.use(0.3 * budget.depth);
     const double all = pair.holder.tenant_status(tenant)->held + pair.allocator.amounts(tenant)->pooled;
     pair.holder.acquire(tenant, all + 0.9 * budget.debt(), 2, patience, pair.now);
-    const auto reply = pair.asked();
+    const auto reply = pair.send_request();
     REQUIRE(reply);
     pair.holder.apply(*reply, pair.now);
     REQUIRE(pair.allocator.amounts(tenant)->pooled < -0.5 * budget.debt());
     pair.allocator.set_limits({{tenant, {60, 0}}}, pair.now);
     CHECK_FALSE(pair.allocator.violated_invariant());
-    const double lent = pair.allocator.amounts(tenant)->granted;
+    const double granted = pair.allocator.amounts(tenant)->granted;
     pair.holder.acquire(tenant, budget.debt(), 1000, patience, pair.now);
-    pair.asked();
-    CHECK(pair.allocator.amounts(tenant)->granted <= lent);
-    pair.pass(Span{3});
+    pair.send_request();
+    CHECK(pair.allocator.amounts(tenant)->granted <= granted);
+    pair.advance(Span{3});
     CHECK_FALSE(pair.allocator.violated_invariant());
 }
 
-TEST_CASE("a refusal is at once where no allocator can be asked") {
+TEST_CASE("a request is refused at once if no allocator can be reached") {
     Holder holder{{"edge-1", 1}, {}, Time{5}};
     const auto decision = holder.acquire(tenant, 10, 1, patience, Time{5});
     CHECK(decision.verdict == Verdict::refused);
@@ -575,7 +576,7 @@
     CHECK(decision.retry_after > Span{});
 }
 
-TEST_CASE("a request waits for a tenth of a second at the most") {
+TEST_CASE("a request is queued for at most a tenth of a second") {
     Holder holder{{"edge-1", 1}, {}, Time{5}};
     holder.connected(true);
     CHECK(holder.acquire(tenant, 10, 1, patience, Time{5}).verdict == Verdict::waiting);
@@ -588,7 +589,7 @@
     CHECK_FALSE(holder.has_waiting());
 }
 
-TEST_CASE("a request whose client has left waits no longer") {
+TEST_CASE("a request whose client has disconnected is removed from the queue") {
     Holder holder{{"edge-1", 1}, {}, Time{5}};
     holder.connected(true);
     holder.acquire(tenant, 10, 1, patience, Time{5});
--- a/tests/system/lending_load_test.cpp
+++ b/tests/system/lending_load_test.cpp
@@ -1,16 +1,17 @@
-// A fleet of three hundred proxies before a leader whose processor is small.
+// Load test: 300 proxies request leases from a leader with a small processor.
 //
-// The story: on fleets of three hundred machines most requests were refused from the first minute on, and never served again.
-// First the leader answered asks for units a little late, since it was busy. Then each request that came to a proxy meanwhile
-// sent another ask, which made the reply to the one before worthless; the requests that waited were refused, their clients
-// came back at once, and asks grew to more than the leader could ever answer. Its heartbeats stood behind them, so the others
-// elected a new leader, which met the same asks. Confirmed changes stood behind them too: they were in force seconds late.
+// Guards against an overload of the leader by lease requests, after which most requests on fleets of 300 machines were
+// refused from the first minute on, permanently. First the leader, being busy, answered lease requests a little late.
+// Each client request that arrived at a proxy meanwhile sent another lease request, which made the reply to the
+// previous one worthless; the queued requests were refused, their clients retried at once, and lease requests grew
+// beyond what the leader could ever answer. Its heartbeats were queued behind them, so the other nodes elected a new
+// leader, which met the same load. Committed changes were queued behind them too and took effect seconds late.
 //
-// The evidence: a leader's log on such a day, a second before any fault (control nodes tell since then what they spend their
-// time on): busy for 0.935 s of 1.09 s, of this 0.702 s for 1,645 asks. Of the 0.3 ms of processor time that an ask took,
-// two thirds went into looking at every share of every tenant again, to check an invariant. Meanwhile each drain of a host
-// made all control nodes write the whole state as text, the configuration in it, twice: 0.6 to 0.8 s of each of their seconds
-// while 96 hosts were replaced.
+// Measured in a leader's log on such a run, one second before any fault: busy for 0.935 s of 1.09 s, of which 0.702 s
+// for 1,645 lease requests. Of the 0.3 ms of processor time per lease request, two thirds went into visiting every
+// share of every tenant again to check an invariant. Meanwhile each drain of a host made all control nodes serialise
+// the whole state, including the configuration, twice: 0.6 to 0.8 s of each second while 96 hosts were replaced.
+// Control nodes report since then how they spend their time.
 #include <doctest/doctest.h>
 
 #include <ctime>
@@ -32,12 +33,13 @@
 
 namespace {
 
-constexpr Span patience{0.2};   // of a request that waits for units
+constexpr Span patience{0.2};   // how long a request is queued for units
 
-// Holders that ask one leader, which answers asks in the order in which they came, one after the other.
+// Holders that send lease requests to one leader, which answers them in order of arrival, one after the other.
 class SlowLeader {
 public:
-    SlowLeader(size_t holders, size_t tenants, Span for_an_ask) : tenants_(tenants), for_an_ask_(for_an_ask) {
+    SlowLeader(size_t holders, size_t tenants, Span time_per_request)
+        : tenants_(tenants), time_per_request_(time_per_request) {
         std::set<std::string> nodes;
         for (size_t i = 0; i < holders; ++i) {
             nodes.insert("edge-" + std::to_string(i));
@@ -49,16 +51,17 @@
         allocator_.set_limits(limits, now_);
         allocator_.begin(1, nodes, now_);
     }
-    // Share of the requests that are refused for good meanwhile. `requests`: a second, at all proxies together.
+    // Share of the requests that are refused after all retries in this span. `requests`: per second, at all proxies
+    // together.
     double refused_share(Span length, double requests, double cost) {
         size_t asked = 0;
         refused_ = 0;
         for (const Time end = now_ + length; now_ < end; now_ = now_ + step) {
-            for (due_ += requests * step.s; due_ >= 1; --due_, ++asked) request({cost, 1});
-            for (; !returns_.empty() && returns_.front().first <= now_; returns_.pop_front())
-                request(returns_.front().second);
+            for (due_requests_ += requests * step.s; due_requests_ >= 1; --due_requests_, ++asked) request({cost, 1});
+            for (; !retries_.empty() && retries_.front().first <= now_; retries_.pop_front())
+                request(retries_.front().second);
             serve();
-            for (auto& holder : holders_) act(holder);
+            for (auto& holder : holders_) poll(holder);
             if (now_ >= tick_at_) {
                 allocator_.tick(now_);
                 tick_at_ = now_ + Span{0.1};
@@ -66,18 +69,18 @@
         }
         return static_cast<double>(refused_) / static_cast<double>(asked);
     }
-    // The leader answers nothing for so long.
+    // The leader answers nothing for this span.
     void stall(Span span) { free_at_ = std::max(free_at_, now_) + span; }
-    size_t queue() const { return asks_.size(); }
+    size_t queue() const { return lease_requests_.size(); }
 
 private:
-    static constexpr Span step{0.005}, comes_back{0.05};
-    static constexpr int most_tries = 4;
+    static constexpr Span step{0.005}, retry_delay{0.05};
+    static constexpr int max_tries = 4;
     static std::string name(size_t i) { return "tenant-" + std::to_string(i); }
 
     struct Request {
         double cost = 0;
-        int tries = 1;   // this one included
+        int tries = 1;   // including this one
     };
     void request(const Request& request) {
         auto& holder = holders_[chance_.next() % holders_.size()];
@@ -89,37 +92,38 @@
         if (decision.verdict == leases::Verdict::waiting) return;
         auto request = waiting_.extract(ticket).mapped();
         if (decision.verdict == leases::Verdict::granted) return;
-        if (request.tries++ < most_tries)
-            returns_.emplace_back(now_ + comes_back, request);
+        if (request.tries++ < max_tries)
+            retries_.emplace_back(now_ + retry_delay, request);
         else
             ++refused_;
     }
-    void act(leases::Holder& holder) {
+    void poll(leases::Holder& holder) {
         holder.tick(now_);
-        for (const auto& each : holder.take_decided()) decided(each.ticket, each.decision);
-        if (auto ask = holder.next_request(now_)) asks_.emplace_back(&holder, std::move(*ask));
+        for (const auto& result : holder.take_decided()) decided(result.ticket, result.decision);
+        if (auto request = holder.next_request(now_)) lease_requests_.emplace_back(&holder, std::move(*request));
     }
     void serve() {
-        for (free_at_ = std::max(free_at_, now_ - step); !asks_.empty() && free_at_ + for_an_ask_ <= now_;) {
-            free_at_ = free_at_ + for_an_ask_;
-            auto [holder, ask] = std::move(asks_.front());
-            asks_.pop_front();
-            if (const auto reply = allocator_.handle(ask, now_)) holder->apply(*reply, now_);
+        for (free_at_ = std::max(free_at_, now_ - step);
+             !lease_requests_.empty() && free_at_ + time_per_request_ <= now_;) {
+            free_at_ = free_at_ + time_per_request_;
+            auto [holder, request] = std::move(lease_requests_.front());
+            lease_requests_.pop_front();
+            if (const auto reply = allocator_.handle(request, now_)) holder->apply(*reply, now_);
         }
     }
 
     size_t tenants_;
-    Span for_an_ask_;
+    Span time_per_request_;
     Time now_{100}, free_at_ = long_ago, tick_at_ = long_ago;
     Pcg chance_{7};
-    double due_ = 0;
+    double due_requests_ = 0;
     uint64_t ticket_ = 0;
     size_t refused_ = 0;
     std::map<uint64_t, Request> waiting_;
-    std::deque<std::pair<Time, Request>> returns_;   // refused requests whose clients come back
+    std::deque<std::pair<Time, Request>> retries_;   // refused requests that clients will retry
     std::deque<leases::Holder> holders_;
     leases::Allocator allocator_{{140000, 0.1, Span{8}}};
-    std::deque<std::pair<leases::Holder*, leases::LeaseRequest>> asks_;
+    std::deque<std::pair<leases::Holder*, leases::LeaseRequest>> lease_requests_;
 };
 
 double processor_time() {
@@ -128,16 +132,16 @@
     return static_cast<double>(spent.tv_sec) + 1e-9 * static_cast<double>(spent.tv_nsec);
 }
 
-// Processor time of one run, in seconds: the least of several, so that what else the machine does is not counted.
-double least_processor_time(const std::function<void()>& run) {
+// Processor time of one run, in seconds: the minimum of several, so that other load on the machine is not counted.
+double min_processor_time(const std::function<void()>& run) {
     constexpr int runs = 15;
-    double least = 1e9;
+    double minimum = 1e9;
     for (int i = 0; i < runs; ++i) {
         const double began = processor_time();
         run();
-        least = std::min(least, processor_time() - began);
+        minimum = std::min(minimum, processor_time() - began);
     }
-    return least;
+    return minimum;
 }
 
 std::string document_with(size_t routes, size_t tenants) {
@@ -152,34 +156,35 @@
     return text + "]}";
 }
 
-// One control node that leads and lends; proxies that have asked for units of all tenants.
+// One control node that is the leader and grants leases; proxies that have requested units of all tenants.
 class Leader {
 public:
     explicit Leader(size_t holders) : control_({}, document_with(4, tenants)) {
         control_.advance(Span{2});
         for (size_t i = 0; i < holders; ++i) {
-            ask_.tenants.clear();
-            for (size_t t = 0; t < tenants; ++t) ask_.tenants["tenant-" + std::to_string(t)] = {900, 0, 0, 0, 0, 0, 0};
-            ask_.holder = {"edge-" + std::to_string(i), 1};
-            ask_.number = 1;
-            control_.node->received(Control::proxy_connection, ask_, control_.now);
+            request_.tenants.clear();
+            for (size_t t = 0; t < tenants; ++t)
+                request_.tenants["tenant-" + std::to_string(t)] = {900, 0, 0, 0, 0, 0, 0};
+            request_.holder = {"edge-" + std::to_string(i), 1};
+            request_.number = 1;
+            control_.node->received(Control::proxy_connection, request_, control_.now);
         }
-        control_.advance(Span{0.3});   // all are admitted, and have a reply
+        control_.advance(Span{0.3});   // all are admitted and have a reply
         REQUIRE(control_.count_on<leases::LeaseReply>(Control::proxy_connection) >= holders);
     }
-    void answer_an_ask() {
-        ++ask_.number;
-        control_.node->received(Control::proxy_connection, ask_, control_.now);
+    void handle_lease_request() {
+        ++request_.number;
+        control_.node->received(Control::proxy_connection, request_, control_.now);
         control_.node->take_outputs();
     }
 
 private:
     static constexpr size_t tenants = 40;
     Control control_;
-    leases::LeaseRequest ask_;
+    leases::LeaseRequest request_;
 };
 
-// One of three control nodes, to which another one tells of hosts that drain.
+// One of three control nodes, to which another one reports draining hosts.
 class Follower {
 public:
     explicit Follower(size_t routes) : control_({"10.0.0.2", "10.0.0.3"}, document_with(routes, 1)) {
@@ -187,8 +192,8 @@
                                 control_.now);
         control_.carry_out();
     }
-    void hear_of_a_drain() {
-        const auto number = ++told_;
+    void receive_drain() {
+        const auto number = ++last_update_;
         const registry::Host leaving{"i-" + std::to_string(number), "s",   "10.9.0.1:80", "north", 1,
                                      registry::HostState::draining, number};
         control_.node->received(other_connection, messages::HostsUpdate{{leaving}, number, false}, control_.now);
@@ -197,13 +202,13 @@
 
 private:
     Control control_;
-    uint64_t told_ = 0;
+    uint64_t last_update_ = 0;
 };
 
 }   // namespace
 
-TEST_CASE("proxies get their units from a leader that is busy, and again once it has stood still") {
-    SlowLeader fleet(300, 40, Span{0.0005});   // 2,000 asks a second
+TEST_CASE("proxies get units from a busy leader, and again after it was paused") {
+    SlowLeader fleet(300, 40, Span{0.0005});   // 2,000 lease requests per second
     fleet.refused_share(Span{3}, 1500, 800);
     CHECK(fleet.refused_share(Span{5}, 1500, 800) < 0.05);
     fleet.stall(Span{1.5});
@@ -212,23 +217,23 @@
     CHECK(fleet.queue() <= 300);
 }
 
-TEST_CASE("what an ask for units costs the leader does not grow with the number of proxies") {
+TEST_CASE("the cost of a lease request at the leader does not grow with the number of proxies") {
     Leader small(30), large(300);
     const auto cost = [](Leader& leader) {
-        return least_processor_time([&] {
-            for (int i = 0; i < 20; ++i) leader.answer_an_ask();
+        return min_processor_time([&] {
+            for (int i = 0; i < 20; ++i) leader.handle_lease_request();
         });
     };
     const double of_small = cost(small), of_large = cost(large);
-    INFO("20 asks: " << of_small * 1e6 << " us with 30 proxies, " << of_large * 1e6 << " us with 300");
+    INFO("20 lease requests: " << of_small * 1e6 << " us with 30 proxies, " << of_large * 1e6 << " us with 300");
     CHECK(of_large < 2.5 * of_small);
 }
 
-TEST_CASE("what word of a host that drains costs a control node does not grow with the configuration") {
+TEST_CASE("the cost of a host drain at a control node does not grow with the configuration") {
     Follower small(4), large(2000);
     const auto cost = [](Follower& follower) {
-        return least_processor_time([&] {
-            for (int i = 0; i < 20; ++i) follower.hear_of_a_drain();
+        return min_processor_time([&] {
+            for (int i = 0; i < 20; ++i) follower.receive_drain();
         });
     };
     const double of_small = cost(small), of_large = cost(large);
--- a/tests/system/registry_test.cpp
+++ b/tests/system/registry_test.cpp
@@ -1,4 +1,4 @@
-// The table of hosts: cases, and random histories against a slow plain model.
+// The host table: single cases, and random histories against a slow plain model.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -22,14 +22,14 @@
 
 }   // namespace
 
-TEST_CASE("a heartbeat that comes late changes nothing") {
+TEST_CASE("a late heartbeat changes nothing") {
     HostTable table({});
     CHECK(table.merge(host("1", 5, HostState::draining), Time{0}));
     CHECK_FALSE(table.merge(host("1", 4), Time{1}));
     CHECK(state_of(table, "1") == HostState::draining);
 }
 
-TEST_CASE("a drain is not taken back, neither by a later heartbeat nor after a silence") {
+TEST_CASE("a drain is not undone by a later heartbeat or after lost contact") {
     HostTable table({});
     table.merge(host("1", 1, HostState::draining), Time{0});
     table.merge(host("1", 2), Time{1});
@@ -39,7 +39,7 @@
     CHECK(state_of(table, "1") == HostState::draining);
 }
 
-TEST_CASE("who has left stays gone, who was silent comes back") {
+TEST_CASE("a host that has left stays gone, a lost host comes back") {
     HostTable table({});
     table.merge(host("1", 1), Time{0});
     table.merge(host("2", 1), Time{0});
@@ -52,7 +52,7 @@
     CHECK(state_of(table, "1") == HostState::gone);
 }
 
-TEST_CASE("who is lost to one table may be heard of by another, and its drain then counts") {
+TEST_CASE("a host lost to one table can be refreshed by another, and its drain then counts") {
     HostTable table({});
     table.merge(host("1", 5), Time{0});
     CHECK(table.expire(Time{6}).size() == 1);
@@ -67,17 +67,17 @@
     CHECK(state_of(table, "1") == HostState::draining);
 }
 
-TEST_CASE("an address that another host takes ends the one before") {
+TEST_CASE("a host that takes another host's address ends that host") {
     HostTable table({});
     table.merge(host("1", 1, HostState::ready, "10.0.0.1:80"), Time{0});
     table.merge(host("2", 1, HostState::ready, "10.0.0.1:80"), Time{1});
-    const auto told = table.expire(Time{1});
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].id == "1");
-    CHECK(told[0].state == HostState::gone);
+    const auto updates = table.expire(Time{1});
+    REQUIRE(updates.size() == 1);
+    CHECK(updates[0].id == "1");
+    CHECK(updates[0].state == HostState::gone);
 }
 
-TEST_CASE("time in which nothing could be heard counts for nobody") {
+TEST_CASE("time in which no heartbeats could be received makes no host lost") {
     HostTable table({});
     table.merge(host("1", 1), Time{0});
     table.extend_deadlines(Span{10});
@@ -85,19 +85,19 @@
     CHECK(table.expire(Time{15}).size() == 1);
 }
 
-TEST_CASE("a host known from before a restart is trusted for a short time only") {
+TEST_CASE("a host restored after a restart is lost soon without a heartbeat") {
     registry::HostTableOptions options;
     HostTable table(options);
     table.restore(host("1", 0), Time{100});
     table.restore(host("2", 0), Time{100});
-    CHECK(table.merge(host("1", 7), Time{101}) == false);   // known already, and as before
+    CHECK(table.merge(host("1", 7), Time{101}) == false);   // known already, and unchanged
     CHECK(table.expire(Time{100} + options.restored_timeout - Span{0.1}).empty());
     const auto lost = table.expire(Time{100} + options.restored_timeout + Span{0.1});
     REQUIRE(lost.size() == 1);
     CHECK(lost[0].id == "2");
 }
 
-TEST_CASE("the table is bounded, those that are gone give way first") {
+TEST_CASE("the table is bounded and evicts gone hosts first") {
     registry::HostTableOptions options;
     options.max_hosts = 3;
     HostTable table(options);
@@ -108,31 +108,31 @@
     CHECK(table.find("2") == nullptr);
 }
 
-// The model: of what was told of a host, its end counts for good, a drain for good but for that, and else the highest
-// sequence. It keeps all that was ever told.
-TEST_CASE("tables that are told the same in any order agree with each other and with the plain model") {
+// The plain model keeps all updates ever merged. Of a host's updates, its departure is final, a drain is final except
+// for a departure, and otherwise the highest sequence number decides.
+TEST_CASE("tables with the same updates in any order agree with each other and with the plain model") {
     for (uint64_t seed = 1; seed <= 200; ++seed) {
         CAPTURE(seed);
         Pcg chance(seed);
-        std::vector<Host> told;
+        std::vector<Host> updates;
         for (int i = 0; i < 60; ++i) {
             const auto id = std::to_string(1 + chance.next() % 6);
-            const auto draw = chance.next() % 12;
-            const auto state = draw == 0 ? HostState::gone : draw < 3 ? HostState::draining : HostState::ready;
-            // A host never says that it is ready again: its drains have the highest sequences.
+            const auto pick = chance.next() % 12;
+            const auto state = pick == 0 ? HostState::gone : pick < 3 ? HostState::draining : HostState::ready;
+            // A host never announces that it is ready again: its drains have the highest sequence numbers.
             const uint64_t sequence = chance.next() % 50 + (state == HostState::draining ? 100 : 0);
-            told.push_back(host(id, sequence, state));
+            updates.push_back(host(id, sequence, state));
         }
         HostTable first({}), second({});
-        for (const auto& each : told) first.merge(each, Time{0});
-        for (size_t i = told.size(); i > 1; --i) std::swap(told[i - 1], told[chance.next() % i]);
-        for (const auto& each : told) second.merge(each, Time{0});
+        for (const auto& update : updates) first.merge(update, Time{0});
+        for (size_t i = updates.size(); i > 1; --i) std::swap(updates[i - 1], updates[chance.next() % i]);
+        for (const auto& update : updates) second.merge(update, Time{0});
         std::set<std::string> ids;
-        for (const auto& each : told) ids.insert(each.id);
+        for (const auto& update : updates) ids.insert(update.id);
         for (const auto& id : ids) {
             auto state = HostState::ready;
-            for (const auto& each : told)
-                if (each.id == id) state = std::max(state, each.state);
+            for (const auto& update : updates)
+                if (update.id == id) state = std::max(state, update.state);
             CHECK(state_of(first, id) == state);
             CHECK(state_of(second, id) == state);
         }
--- a/tests/system/rollout_fleet.hpp
+++ b/tests/system/rollout_fleet.hpp
@@ -1,4 +1,5 @@
-// A fleet of proxies that watch one rollout, with the real watchers and the real judge, and hosts whose answers the test draws.
+// A fleet of proxies that observe one rollout, with the real watchers and the real judge, and hosts whose responses the
+// test draws.
 #pragma once
 #include <cmath>
 #include <functional>
@@ -13,32 +14,32 @@
 
 namespace myrtleroute::testing {
 
-// What a request meets at a host.
-struct Answered {
+// The response to a request at a host.
+struct Response {
     bool failed = false;
-    double slower = 1;   // times what it usually takes
+    double slowdown = 1;   // multiple of the usual response time
 };
 
 class RolloutFleet {
 public:
     struct Request {
-        size_t proxy = 0, host = 0;   // candidates are numbered from 0 among themselves
+        size_t proxy = 0, host = 0;   // candidates are numbered separately from 0
         std::string route;
         bool at_candidate = false;
         Time now;
-        double since_order = 0;   // s
+        double since_order = 0;   // seconds
     };
-    using Hosts = std::function<Answered(const Request&, Pcg&)>;
+    using Hosts = std::function<Response(const Request&, Pcg&)>;
     struct Options {
         size_t proxies = 96, candidates = 5, zones = 4;
-        double requests = 500;         // a second, of the service
-        double observed = 11;          // s
-        bool leader_changes = false;   // 4 s after the order its successor has no ballot yet
-        size_t liars = 0;              // proxies that tell of failures at candidates alone
+        double requests = 500;         // requests per second to the service
+        double observed = 11;          // seconds
+        bool leader_changes = false;   // 4 s after the order a new leader begins without reports
+        size_t biased_proxies = 0;     // proxies that report failures at candidates only
     };
     struct Outcome {
         rollout::Finding finding = rollout::Finding::undecided;
-        double found_after = 0;   // s since the order
+        double found_after = 0;   // seconds since the order
         size_t at_candidates = 0, of_all = 0, bad = 0;
     };
 
@@ -52,7 +53,7 @@
         }
     }
 
-    // Serves until the version is found bad, or for as long as it is observed.
+    // Serves until the version is found bad, or until the observation time is over.
     Outcome observe(const Hosts& hosts) {
         serve(hosts, Span{5}, [](Time) { return false; });
         order();
@@ -70,7 +71,7 @@
     }
 
 private:
-    static constexpr Span step{0.05}, judged_every{0.1};
+    static constexpr Span step{0.05}, judge_interval{0.1};
 
     void order() {
         ordered_ = now_;
@@ -81,11 +82,11 @@
     }
     void serve(const Hosts& hosts, Span span, const std::function<bool(Time)>& decided) {
         for (const Time end = now_ + span; now_ < end; now_ = now_ + step) {
-            for (due_ += options_.requests * step.s; due_ >= 1; --due_) request(hosts);
+            for (due_requests_ += options_.requests * step.s; due_requests_ >= 1; --due_requests_) request(hosts);
             if (!ordered_) continue;
-            tell();
+            send_reports();
             if (now_ < judged_at_) continue;
-            judged_at_ = now_ + judged_every;
+            judged_at_ = now_ + judge_interval;
             if (decided(now_)) return;
         }
     }
@@ -103,33 +104,33 @@
             request.at_candidate = request.since_order > 1 && watcher.choose_candidate("s", now_);
         }
         request.host = chance_.next() % (request.at_candidate ? options_.candidates : 60);
-        note(request, hosts(request, chance_), watcher);
+        record(request, hosts(request, chance_), watcher);
     }
-    void note(const Request& request, const Answered& answered, rollout::Watcher& watcher) {
-        const bool lies = request.proxy < options_.liars && request.at_candidate;
-        rollout::AttemptResult end;
-        end.route = request.route;
-        end.host = (request.at_candidate ? "new-" : "old-") + std::to_string(request.host);
-        end.group = request.at_candidate ? rollout::Group::candidate : rollout::Group::serving;
-        end.failed = answered.failed || lies;
-        const double usual = request.route == "summary" ? 0.1 : 0.5;
-        end.duration = Span{usual * answered.slower * std::exp(chance_.uniform() - 0.5)};
-        end.chunks = request.route == "summary" ? 2 : 20;
-        end.streaming_time = end.duration * 0.8;
+    void record(const Request& request, const Response& response, rollout::Watcher& watcher) {
+        const bool reports_failure = request.proxy < options_.biased_proxies && request.at_candidate;
+        rollout::AttemptResult result;
+        result.route = request.route;
+        result.host = (request.at_candidate ? "new-" : "old-") + std::to_string(request.host);
+        result.group = request.at_candidate ? rollout::Group::candidate : rollout::Group::serving;
+        result.failed = response.failed || reports_failure;
+        const double usual_time = request.route == "summary" ? 0.1 : 0.5;
+        result.duration = Span{usual_time * response.slowdown * std::exp(chance_.uniform() - 0.5)};
+        result.chunks = request.route == "summary" ? 2 : 20;
+        result.streaming_time = result.duration * 0.8;
         if (request.at_candidate) {
             ++at_candidates_;
-            bad_ += answered.failed || answered.slower > 2;
+            bad_ += response.failed || response.slowdown > 2;
         }
-        watcher.record("s", end);
+        watcher.record("s", result);
     }
-    void tell() {
+    void send_reports() {
         const bool changes = options_.leader_changes && (now_ - *ordered_).s > 4 && !changed_;
         if (changes) judge_ = rollout::Judge{};
         changed_ = changed_ || changes;
         for (auto& watcher : watchers_)
-            for (const auto& ballot : watcher.take_reports(
+            for (const auto& report : watcher.take_reports(
                      watchers_.size(), [](const auto&) { return size_t{0}; }, now_))
-                judge_.add(ballot, now_);
+                judge_.add(report, now_);
     }
 
     Options options_;
@@ -139,7 +140,7 @@
     std::vector<rollout::Watcher> watchers_;
     rollout::Judge judge_;
     bool changed_ = false;
-    double due_ = 0;
+    double due_requests_ = 0;
     size_t at_candidates_ = 0, of_all_ = 0, bad_ = 0;
 };
 
--- a/tests/system/rollout_judge_test.cpp
+++ b/tests/system/rollout_judge_test.cpp
@@ -1,4 +1,4 @@
-// The verdict on a version: by the real watchers and judge, on good and bad versions beside faults of hosts and proxies.
+// Findings on versions by the real watchers and judge, for good and bad versions beside faults of hosts and proxies.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -9,31 +9,31 @@
 
 using namespace myrtleroute;
 using rollout::Finding;
-using testing::Answered;
+using testing::Response;
 using testing::RolloutFleet;
 using Request = RolloutFleet::Request;
 
 namespace {
 
-// Hosts beside which a rollout takes place, the candidates' version aside.
-struct Surroundings {
+// The conditions during a rollout, apart from the candidates' version.
+struct Conditions {
     std::string name;
     RolloutFleet::Hosts hosts;
     RolloutFleet::Options options = {};
 };
 
-Answered sound(const Request&, Pcg&) { return {}; }
+Response healthy(const Request&, Pcg&) { return {}; }
 
-Answered failing(bool fails) { return {fails, 1}; }
+Response failing(bool fails) { return {fails, 1}; }
 
-std::vector<Surroundings> surroundings() {
-    RolloutFleet::Options changes, liar, small;
+std::vector<Conditions> conditions() {
+    RolloutFleet::Options changes, biased, small;
     changes.leader_changes = true;
-    liar.liars = 1;
+    biased.biased_proxies = 1;
     small.proxies = 8;
     small.requests = 60;
     return {
-        {"calm", sound},
+        {"no faults", healthy},
         {"one in fifty of all answers fails",
          [](const Request&, Pcg& chance) {
              return failing(chance.uniform() < 0.02);
@@ -60,23 +60,23 @@
          }},
         {"everything slow for three seconds",
          [](const Request& r, Pcg&) {
-             return Answered{false, r.since_order > 4 && r.since_order < 7 ? 4.0 : 1.0};
+             return Response{false, r.since_order > 4 && r.since_order < 7 ? 4.0 : 1.0};
          }},
         {"candidates a half slower, as they are cold",
          [](const Request& r, Pcg&) {
-             return Answered{false, r.at_candidate ? 1.5 : 1.0};
+             return Response{false, r.at_candidate ? 1.5 : 1.0};
          }},
-        {"the leader changes", sound, changes},
-        {"one proxy lies", sound, liar},
-        {"a small fleet", sound, small},
+        {"the leader changes", healthy, changes},
+        {"one proxy reports false failures", healthy, biased},
+        {"a small fleet", healthy, small},
     };
 }
 
-// What a bad version does to a request at a candidate.
+// The effect of a bad version on a request at a candidate.
 struct Fault {
     std::string name;
-    std::function<bool(const Request&, Pcg&)> strikes;
-    double slower = 1;   // above 1: it is not a failure, but slow
+    std::function<bool(const Request&, Pcg&)> affects;
+    double slowdown = 1;   // above 1: requests are slow instead of failing
 };
 
 std::vector<Fault> faults() {
@@ -102,68 +102,68 @@
          [](const Request& r, Pcg& chance) {
              return r.route == "draft" && chance.uniform() < 0.5;
          }},
-        {"every second second",
+        {"alternating seconds",
          [](const Request& r, Pcg& chance) {
              return std::fmod(r.since_order, 2) < 1 && chance.uniform() < 0.5;
          }},
     };
 }
 
-RolloutFleet::Outcome play(const Surroundings& around, const Fault* fault, uint64_t seed) {
-    RolloutFleet fleet(around.options, seed);
+RolloutFleet::Outcome run(const Conditions& scenario, const Fault* fault, uint64_t seed) {
+    RolloutFleet fleet(scenario.options, seed);
     return fleet.observe([&](const Request& request, Pcg& chance) {
-        auto answered = around.hosts(request, chance);
-        if (!fault || !request.at_candidate || !fault->strikes(request, chance)) return answered;
-        if (fault->slower > 1)
-            answered.slower *= fault->slower;
+        auto response = scenario.hosts(request, chance);
+        if (!fault || !request.at_candidate || !fault->affects(request, chance)) return response;
+        if (fault->slowdown > 1)
+            response.slowdown *= fault->slowdown;
         else
-            answered.failed = true;
-        return answered;
+            response.failed = true;
+        return response;
     });
 }
 
-// Faint faults beside strong ones, or of few requests, are not sure to be found while candidates are observed.
-bool is_told_apart(const std::string& around, const std::string& fault) {
-    const bool is_plain = fault == "errors" || fault == "slow";
-    if (around == "all hosts fail often") return fault == "errors";
-    if (around == "a small fleet") return is_plain;
-    if (around == "everything slow for three seconds") return fault != "one route";
-    return fault != "every second second" || around == "calm";
+// Weak faults beside strong ones, or with few requests, are not certain to be found while candidates are observed.
+bool is_detectable(const std::string& scenario, const std::string& fault) {
+    const bool is_strong = fault == "errors" || fault == "slow";
+    if (scenario == "all hosts fail often") return fault == "errors";
+    if (scenario == "a small fleet") return is_strong;
+    if (scenario == "everything slow for three seconds") return fault != "one route";
+    return fault != "alternating seconds" || scenario == "no faults";
 }
 
 }   // namespace
 
-TEST_CASE("a bad version is found bad whatever else fails, before it has had a tenth of the requests and fifty more") {
+TEST_CASE("a bad version is found bad beside other faults, before it gets a tenth of the requests plus fifty") {
     constexpr uint64_t seeds = 3;
     double latest = 0;
-    for (const auto& around : surroundings())
+    for (const auto& scenario : conditions())
         for (const auto& fault : faults())
             for (uint64_t seed = 1; seed <= seeds; ++seed) {
-                if (!is_told_apart(around.name, fault.name)) continue;
-                CAPTURE(around.name);
+                if (!is_detectable(scenario.name, fault.name)) continue;
+                CAPTURE(scenario.name);
                 CAPTURE(fault.name);
                 CAPTURE(seed);
-                const auto outcome = play(around, &fault, seed);
+                const auto outcome = run(scenario, &fault, seed);
                 CHECK(outcome.finding == Finding::bad);
                 CHECK(static_cast<double>(outcome.at_candidates) < 0.1 * static_cast<double>(outcome.of_all) + 50);
                 latest = std::max(latest, outcome.found_after);
             }
-    MESSAGE("latest verdict " << latest << " s after the order");
+    MESSAGE("latest finding " << latest << " s after the order");
 }
 
-TEST_CASE("good versions are not found bad beside faults of hosts, proxies and zones") {
+TEST_CASE("a good version is not found bad beside faults of hosts, proxies and zones") {
     constexpr uint64_t seeds = 12;
     size_t rollouts = 0, false_verdicts = 0, undecided = 0;
-    for (const auto& around : surroundings())
+    for (const auto& scenario : conditions())
         for (uint64_t seed = 1; seed <= seeds; ++seed) {
-            const auto outcome = play(around, nullptr, 100 + seed);
+            const auto outcome = run(scenario, nullptr, 100 + seed);
             ++rollouts;
-            CAPTURE(around.name);
+            CAPTURE(scenario.name);
             CAPTURE(seed);
             CHECK(outcome.finding != Finding::bad);
             false_verdicts += outcome.finding == Finding::bad;
             undecided += outcome.finding == Finding::undecided;
         }
-    MESSAGE(rollouts << " rollouts, " << false_verdicts << " false verdicts, " << undecided << " undecided");
+    MESSAGE(rollouts << " rollouts, " << false_verdicts << " false findings, " << undecided << " undecided");
     CHECK(10 * undecided <= rollouts);
 }
--- a/tests/system/rollout_order_test.cpp
+++ b/tests/system/rollout_order_test.cpp
@@ -1,4 +1,4 @@
-// Orders of rollouts at a control node, and their stages.
+// Rollout orders at a control node, and their stages.
 #include <doctest/doctest.h>
 
 #include <nlohmann/json.hpp>
@@ -18,19 +18,19 @@
     return R"({"service":")" + service + R"(","targetVersion":")" + version + R"(","durationS":12})";
 }
 
-// A control node that leads alone, and a proxy that tells it what it sees of candidates.
+// A control node that leads alone, and a proxy that reports what it observes of candidates.
 struct OrderedRollout {
     Control control{{}, document(3)};
-    rollout::RolloutReport ballot;
+    rollout::RolloutReport report;
 
     OrderedRollout() {
         control.subscribe();
         CHECK(order("v2") == 200);
-        ballot.node = "edge-1";
-        ballot.zone = "north";
-        ballot.incarnation = 1;
-        ballot.rollout = 1;
-        ballot.routes = {{"r", {}, {{"new-1", {}}, {"new-2", {}}}}};
+        report.node = "edge-1";
+        report.zone = "north";
+        report.incarnation = 1;
+        report.rollout = 1;
+        report.routes = {{"r", {}, {{"new-1", {}}, {"new-2", {}}}}};
     }
     int order(const std::string& version) {
         return control.status(control.request("POST", "/rollouts", "", rollout_order(version)));
@@ -40,35 +40,35 @@
         CHECK(control.status(read) == 200);
         return nlohmann::json::parse(control.body(read)).at("state");
     }
-    // Time passes in which the proxy serves, and tells by which stage it acts.
+    // Advances time while the proxy serves, and reports the stage that it acts on.
     void serve(Span span, bool candidates_fail) {
         for (const Time end = control.now + span; control.now < end; control.advance(Span{0.1})) {
-            auto& route = ballot.routes[0];
+            auto& route = report.routes[0];
             route.serving.requests += 10;
             for (auto& candidate : route.candidates) candidate.tally.add(candidates_fail);
-            ballot.age += 0.1;
-            ballot.stage = static_cast<uint64_t>(stage());
-            ++ballot.sequence;
-            control.node->received(Control::proxy_connection, ballot, control.now);
+            report.age += 0.1;
+            report.stage = static_cast<uint64_t>(stage());
+            ++report.sequence;
+            control.node->received(Control::proxy_connection, report, control.now);
             control.carry_out();
         }
     }
-    // As the proxy was told last.
+    // The stage last sent to the proxy.
     Stage stage() {
         for (const auto& message : control.to_proxy)
-            if (const auto* told = std::get_if<messages::RolloutsUpdate>(&message))
-                if (!told->rollouts.all.empty()) told_ = told->rollouts.all[0].stage;
+            if (const auto* update = std::get_if<messages::RolloutsUpdate>(&message))
+                if (!update->rollouts.all.empty()) stage_ = update->rollouts.all[0].stage;
         control.to_proxy.clear();
-        return told_;
+        return stage_;
     }
 
 private:
-    Stage told_ = Stage::observing;
+    Stage stage_ = Stage::observing;
 };
 
 }   // namespace
 
-TEST_CASE("an order of a rollout is acknowledged, and its state is told") {
+TEST_CASE("a rollout order is acknowledged, and its state can be read") {
     Control control({}, document(3));
     CHECK(control.status(control.request("POST", "/rollouts", "", rollout_order("v2"))) == 200);
     const auto read = control.request("GET", "/rollouts/s");
@@ -78,14 +78,14 @@
     CHECK(state.at("targetVersion") == "v2");
 }
 
-TEST_CASE("an order of a rollout sent again is acknowledged again, another one for the service meanwhile is not") {
+TEST_CASE("a repeated rollout order is acknowledged again, another one for the service meanwhile is refused") {
     OrderedRollout ordered;
     CHECK(ordered.order("v2") == 200);
     CHECK(ordered.order("v3") == 409);
     CHECK(ordered.state() == "in_progress");
 }
 
-TEST_CASE("an unsound order of a rollout is refused with the place of its fault") {
+TEST_CASE("an invalid rollout order is refused with the location of its fault") {
     Control control({}, document(3));
     const auto refused = [&](const std::string& body) {
         const auto request = control.request("POST", "/rollouts", "", body);
@@ -101,7 +101,7 @@
     CHECK(control.status(control.request("GET", "/rollouts")) == 405);
 }
 
-TEST_CASE("a version whose candidates fail is rolled back within two seconds, and stays so") {
+TEST_CASE("a version whose candidates fail is rolled back within two seconds, and stays rolled back") {
     OrderedRollout ordered;
     ordered.serve(Span{1}, false);
     ordered.serve(Span{2}, true);
@@ -112,15 +112,15 @@
     CHECK(ordered.state() == "rolled_back");
 }
 
-TEST_CASE("a sound version completes before its deadline, once no request is under way at hosts that served") {
+TEST_CASE("a good version completes before its deadline, once no request is in progress at serving hosts") {
     OrderedRollout ordered;
     ordered.serve(Span{6.5}, false);
     CHECK(ordered.stage() == Stage::observing);
-    ordered.ballot.open_at_serving = 1;
+    ordered.report.open_at_serving = 1;
     ordered.serve(Span{2.5}, false);
     CHECK(ordered.stage() == Stage::moving);
     CHECK(ordered.state() == "in_progress");
-    ordered.ballot.open_at_serving = 0;
+    ordered.report.open_at_serving = 0;
     ordered.serve(Span{0.5}, false);
     CHECK(ordered.stage() == Stage::completed);
     CHECK(ordered.state() == "completed");
@@ -129,7 +129,7 @@
     CHECK(ordered.state() == "in_progress");
 }
 
-TEST_CASE("a version that turns bad once all requests have moved to it is still rolled back") {
+TEST_CASE("a version that turns bad after all requests have moved to it is still rolled back") {
     OrderedRollout ordered;
     ordered.serve(Span{7.6}, false);
     REQUIRE(ordered.stage() == Stage::moving);
@@ -137,27 +137,27 @@
     CHECK(ordered.state() == "rolled_back");
 }
 
-TEST_CASE("a rollout of which no proxy tells anything is rolled back, not completed") {
+TEST_CASE("a rollout without reports of proxies is rolled back, not completed") {
     OrderedRollout ordered;
     ordered.control.advance(Span{duration});
     CHECK(ordered.state() == "rolled_back");
 }
 
-TEST_CASE("a node that starts in the middle of a rollout learns from the proxies how long it has taken") {
+TEST_CASE("a node that starts during a rollout learns its age from the proxies") {
     OrderedRollout ordered;
-    ordered.ballot.age = 6;
+    ordered.report.age = 6;
     ordered.serve(Span{2}, false);
     CHECK(ordered.stage() == Stage::moving);
 }
 
-TEST_CASE("rollouts are told to a proxy before the hosts that they are about") {
+TEST_CASE("rollouts are sent to a proxy before the hosts that they concern") {
     Control control({}, document(3));
     control.request("POST", "/rollouts", "", rollout_order("v2"));
     control.subscribe();
-    bool rollouts_told = false;
+    bool has_rollouts = false;
     for (const auto& message : control.to_proxy) {
-        rollouts_told = rollouts_told || std::holds_alternative<messages::RolloutsUpdate>(message);
-        if (std::holds_alternative<messages::HostsUpdate>(message)) CHECK(rollouts_told);
+        has_rollouts = has_rollouts || std::holds_alternative<messages::RolloutsUpdate>(message);
+        if (std::holds_alternative<messages::HostsUpdate>(message)) CHECK(has_rollouts);
     }
-    CHECK(rollouts_told);
+    CHECK(has_rollouts);
 }
