--- a/src/registry/host_table.hpp
+++ b/src/registry/host_table.hpp
@@ -40,8 +40,8 @@
 public:
     explicit HostTable(HostTableOptions options) : options_(options) {}
 
-    // Merges an update about a host, from itself or from another table. Returns true if something changed that others
-    // must be told of.
+    // Merges an update about a host, from itself or from another table. Returns true if something changed that
+    // must be sent to others.
     bool merge(const Host& update, Time now);
     // Adds a host known from before a restart; it must send a heartbeat within `restored_timeout` to stay.
     void restore(const Host& host, Time now);
--- a/src/roles/control/rollout_service.cpp
+++ b/src/roles/control/rollout_service.cpp
@@ -70,8 +70,8 @@
 }
 
 void RolloutService::begin(RequestId request, const rollout::Order& order, Time now) {
-    auto rollouts =
-        rollout::with_new_rollout(replica_.entry()->state.rollouts, order.service, order.target_version, order.duration);
+    auto rollouts = rollout::with_new_rollout(replica_.entry()->state.rollouts, order.service, order.target_version,
+                                              order.duration);
     const auto answer = state_answer(request, *rollouts.find(order.service));
     if (!propose(std::move(rollouts), now)) {
         outputs_.push_back(refusal(request, 503, "leadership was lost, send it again"));
--- a/tests/system/leases_test.cpp
+++ b/tests/system/leases_test.cpp
@@ -178,13 +178,13 @@
         REQUIRE_MESSAGE(!violated, violated.value_or(""));
     }
 
-    // `demand`: units per second at all proxies together, in requests of many sizes. `trouble`: called at each step.
+    // `demand`: units per second at all proxies together, in requests of many sizes. `inject_faults`: called at each step.
     void run(
-        Span length, double demand, const std::function<void()>& trouble = [] {}) {
+        Span length, double demand, const std::function<void()>& inject_faults = [] {}) {
         constexpr Span step{0.01};
         int steps = 0;
         for (const Time end = now + length; now < end; now = now + step, ++steps) {
-            trouble();
+            inject_faults();
             if (!begun && now >= allocator_from) {
                 allocator->set_limits({{tenant, limit}}, now);
                 allocator->begin(++term, nodes(), now);
@@ -343,7 +343,7 @@
         fleet.loss = 0.1;
         fleet.duplicated = 0.1;
         fleet.max_delay = Span{seed % 2 ? 0.1 : 1.0};
-        const auto trouble = [&] {
+        const auto inject_faults = [&] {
             auto& proxy = fleet.proxies[fleet.chance.next() % fleet.proxies.size()];
             if (fleet.chance.uniform() < 0.003) fleet.kill(fleet.number(proxy), Span{0.5});
             if (fleet.chance.uniform() < 0.003) proxy.frozen_until = fleet.now + Span{6 * fleet.chance.uniform()};
@@ -352,8 +352,8 @@
             fleet.change_allocator(Span{2 * fleet.chance.uniform()});
         };
         for (int phase = 0; phase < 4; ++phase) {
-            fleet.run(Span{8}, fleet.limit.rate / 1.3, trouble);
-            fleet.run(Span{8}, 8 * fleet.limit.rate, trouble);
+            fleet.run(Span{8}, fleet.limit.rate / 1.3, inject_faults);
+            fleet.run(Span{8}, 8 * fleet.limit.rate, inject_faults);
         }
         CHECK(fleet.worst <= fleet.allowed());
     }
--- a/tests/system/lending_load_test.cpp
+++ b/tests/system/lending_load_test.cpp
@@ -54,10 +54,11 @@
     // Share of the requests that are refused after all retries in this span. `requests`: per second, at all proxies
     // together.
     double refused_share(Span length, double requests, double cost) {
-        size_t asked = 0;
+        size_t submitted = 0;
         refused_ = 0;
         for (const Time end = now_ + length; now_ < end; now_ = now_ + step) {
-            for (due_requests_ += requests * step.s; due_requests_ >= 1; --due_requests_, ++asked) request({cost, 1});
+            for (due_requests_ += requests * step.s; due_requests_ >= 1; --due_requests_, ++submitted)
+                request({cost, 1});
             for (; !retries_.empty() && retries_.front().first <= now_; retries_.pop_front())
                 request(retries_.front().second);
             serve();
@@ -67,7 +68,7 @@
                 tick_at_ = now_ + Span{0.1};
             }
         }
-        return static_cast<double>(refused_) / static_cast<double>(asked);
+        return static_cast<double>(refused_) / static_cast<double>(submitted);
     }
     // The leader answers nothing for this span.
     void stall(Span span) { free_at_ = std::max(free_at_, now_) + span; }
