--- a/src/roles/control/configuration_fanout.hpp
+++ b/src/roles/control/configuration_fanout.hpp
@@ -1,9 +1,9 @@
-// Which subscribers are sent the newest configuration when.
+// Schedules sending the newest configuration to subscribers.
 //
-// A configuration is sent whole, over a link that the control node shares with the proxy on its machine. Copies leave one
-// by one, to whoever has been out of date the longest, at a pace that leaves most of the link to others; where there are
-// many subscribers the pace rises, up to a bound. While changes come faster than that, subscribers skip versions: what is
-// out of date before it leaves is not sent.
+// A configuration is sent in full, over a network link that the control node shares with the proxy on its machine.
+// Copies are sent one at a time, to the subscriber that has been out of date the longest, at a rate that leaves most of
+// the link to other traffic. With many subscribers the rate rises, up to a bound. While changes arrive faster than
+// that, subscribers skip versions: a version that is superseded before it is sent to a subscriber is not sent to it.
 #pragma once
 #include <map>
 #include <string>
@@ -17,37 +17,38 @@
 
 class ConfigurationFanout {
 public:
-    // `link_megabits`: of the machine's own link, in Mbit/s; 0: not known, copies are not paced.
+    // `link_megabits`: capacity of the machine's link in Mbit/s; 0 means unknown, and copies are not rate-limited.
     explicit ConfigurationFanout(double link_megabits) : link_megabits_(link_megabits) {}
 
-    // The newest one that is committed. False: it is known already, or older.
+    // Sets the newest committed configuration. False if it is known already or older.
     bool committed(uint64_t version, const PackedText& body, Time now);
     uint64_t version() const { return version_; }
     const PackedText& body() const { return body_; }
-    messages::ConfigurationUpdate told() const { return {version_, body_}; }
+    messages::ConfigurationUpdate message() const { return {version_, body_}; }
 
-    // A subscription that holds this version begins, or has ended.
-    void subscribed(ConnectionId link, uint64_t version) { held_[link] = {version, long_ago}; }
-    void left(ConnectionId link) { held_.erase(link); }
+    // `version`: the one that the subscriber holds already. A known subscriber is replaced.
+    void add_subscriber(ConnectionId connection, uint64_t version) { subscribers_[connection] = {version, long_ago}; }
+    void remove_subscriber(ConnectionId connection) { subscribers_.erase(connection); }
 
-    // Those to send it to now; it counts as sent to them. Called at least ten times a second.
+    // Subscribers to send the newest configuration to now; they count as up to date afterwards. Call it at least ten
+    // times a second.
     std::vector<ConnectionId> take_due(Time now);
 
 private:
-    struct Held {
-        uint64_t version = 0;   // sent last
+    struct Subscriber {
+        uint64_t version = 0;   // sent last, or held when the subscription started
         Time out_of_date_since =
-            long_ago;   // where there is a newer one; since the subscription began, if that was before
+            long_ago;   // since a newer version exists; long_ago for a subscriber that was out of date from the start
     };
-    std::vector<ConnectionId> out_of_date() const;   // the longest first
-    Span pause(size_t waiting) const;                // after a copy, while so many subscribers wait
+    std::vector<ConnectionId> out_of_date() const;   // longest out of date first
+    Span interval(size_t waiting) const;             // between two copies while that many subscribers wait
 
     double link_megabits_;
     uint64_t version_ = 0;
     PackedText body_;
-    std::map<ConnectionId, Held> held_;   // by subscriber
-    Time next_ = long_ago;                // when the next copy may leave
-    bool was_idle_ = true;                // nobody waited at the last call
+    std::map<ConnectionId, Subscriber> subscribers_;   // by connection
+    Time next_copy_at_ = long_ago;                     // earliest time of the next copy
+    bool was_idle_ = true;                             // no subscriber was left waiting at the last call
 };
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/configuration_service.cpp
+++ b/src/roles/control/configuration_service.cpp
@@ -12,12 +12,13 @@
 namespace myrtleroute::control {
 namespace {
 
-constexpr size_t most_waiting = 64;
-constexpr Span patience{2.5};            // an order is left without a clear answer after this
-constexpr size_t most_accepted = 1024;   // configurations that are recognised when sent again
+constexpr size_t max_waiting = 64;
+constexpr Span operation_timeout{2.5};   // after this the response is 503: the operation may or may not take effect
+constexpr size_t max_accepted_digests = 1024;   // digests of accepted operations, to recognise one that is sent again
 
-constexpr size_t most_document = 4 << 20;            // bytes; a record on disk holds it with its escapes
-constexpr std::string_view patch_mark = "PATCH\n";   // a patch is never taken for a whole configuration sent again
+constexpr size_t max_document_bytes = 4 << 20;   // bytes; a disk record must hold it with its JSON escapes
+// Hashed before a patch, so that a patch never has the digest of a PUT.
+constexpr std::string_view patch_prefix = "PATCH\n";
 
 std::string digest(std::string_view text) {
     const auto hash = XXH3_128bits(text.data(), text.size());
@@ -32,133 +33,134 @@
     return hexadecimal;
 }
 
-HttpResponse accepted(RequestId request, uint64_t version) {
+HttpResponse accepted_response(RequestId request, uint64_t version) {
     return {request, 200, nlohmann::json{{"version", version}}.dump(), {}};
 }
 
 }   // namespace
 
-HttpResponse findings_answer(RequestId request, const Findings& findings) {
+HttpResponse findings_response(RequestId request, const Findings& findings) {
     auto list = nlohmann::json::array();
     for (const auto& finding : findings) list.push_back({{"place", finding.location}, {"fault", finding.message}});
     const nlohmann::json body{{"findings", std::move(list)}};
     return {request, 400, body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace), {}};
 }
 
-HttpResponse refusal(RequestId request, int status, const std::string& fault) {
+HttpResponse error_response(RequestId request, int status, const std::string& fault) {
     return {request, status, nlohmann::json{{"fault", fault}}.dump(), {}};
 }
 
 void ConfigurationService::put(RequestId request, std::optional<uint64_t> if_match, std::string body, Time now) {
-    take({request, Kind::put, if_match, std::move(body), now}, now);
+    enqueue({request, Kind::put, if_match, std::move(body), now}, now);
 }
 
 void ConfigurationService::patch(RequestId request, std::optional<uint64_t> if_match, std::string body, Time now) {
-    take({request, Kind::patch, if_match, std::move(body), now}, now);
+    enqueue({request, Kind::patch, if_match, std::move(body), now}, now);
 }
 
-void ConfigurationService::get(RequestId request, Time now) { take({request, Kind::read, {}, {}, now}, now); }
+void ConfigurationService::get(RequestId request, Time now) { enqueue({request, Kind::read, {}, {}, now}, now); }
 
-void ConfigurationService::take(Order order, Time now) {
-    if (waiting_.size() >= most_waiting) {
+void ConfigurationService::enqueue(Operation operation, Time now) {
+    if (waiting_.size() >= max_waiting) {
         ++bounds_.orders;
-        outputs_.push_back(refusal(order.request, 503, "too many orders wait"));
+        outputs_.push_back(error_response(operation.request, 503, "too many orders wait"));
         return;
     }
-    waiting_.push_back(std::move(order));
-    proceed(now);
+    waiting_.push_back(std::move(operation));
+    start_next(now);
 }
 
-void ConfigurationService::proceed(Time now) {
+void ConfigurationService::start_next(Time now) {
     while (!in_progress_ && !waiting_.empty()) {
-        Order order = std::move(waiting_.front());
+        Operation operation = std::move(waiting_.front());
         waiting_.pop_front();
-        begin(std::move(order), now);
+        start(std::move(operation), now);
     }
 }
 
-void ConfigurationService::begin(Order order, Time now) {
+void ConfigurationService::start(Operation operation, Time now) {
     const auto& state = replica_.entry()->state;
-    const auto request = order.request;
-    if (order.kind == Kind::read) {
-        HttpResponse answer = state.version ? HttpResponse{request, 200, state.configuration, {}}
-                                            : refusal(request, 404, "there is no configuration yet");
-        return wait_for_barrier(std::move(order), std::move(answer), now);
+    const auto request = operation.request;
+    if (operation.kind == Kind::read) {
+        HttpResponse response = state.version ? HttpResponse{request, 200, state.configuration, {}}
+                                              : error_response(request, 404, "there is no configuration yet");
+        return wait_for_barrier(std::move(operation), std::move(response), now);
     }
-    const auto sent = digest_of(order);
-    const auto known =
-        std::find_if(state.accepted.rbegin(), state.accepted.rend(), [&](const auto& a) { return a.digest == sent; });
-    if (known != state.accepted.rend())   // sent again: it is in force or has been
-        return wait_for_barrier(std::move(order), accepted(request, known->version), now);
-    decide(std::move(order), sent, now);
+    const auto request_digest = digest_of(operation);
+    const auto known = std::find_if(state.accepted.rbegin(), state.accepted.rend(),
+                                    [&](const auto& a) { return a.digest == request_digest; });
+    if (known != state.accepted.rend())   // sent again: it is or has been in effect
+        return wait_for_barrier(std::move(operation), accepted_response(request, known->version), now);
+    decide(std::move(operation), request_digest, now);
 }
 
-std::string ConfigurationService::digest_of(const Order& order) {
-    return order.kind == Kind::put ? digest(order.body) : digest(std::string(patch_mark) + order.body);
+std::string ConfigurationService::digest_of(const Operation& operation) {
+    return operation.kind == Kind::put ? digest(operation.body) : digest(std::string(patch_prefix) + operation.body);
 }
 
-ParseResult<configuration::Patched> ConfigurationService::result_of(const Order& order,
+ParseResult<configuration::Patched> ConfigurationService::result_of(const Operation& operation,
                                                                     const consensus::ClusterState& state) {
-    if (order.kind == Kind::patch) return configuration::apply_patch(state.configuration.text(), order.body);
-    auto checked = configuration::read_configuration(order.body);
+    if (operation.kind == Kind::patch) return configuration::apply_patch(state.configuration.text(), operation.body);
+    auto checked = configuration::read_configuration(operation.body);
     if (auto* findings = std::get_if<Findings>(&checked)) return std::move(*findings);
-    return configuration::Patched{std::get<configuration::Configuration>(checked).version, order.body};
+    return configuration::Patched{std::get<configuration::Configuration>(checked).version, operation.body};
 }
 
-// An answer that depends on the current configuration waits for a barrier.
-void ConfigurationService::decide(Order order, const std::string& sent, Time now) {
+// A response that depends on the current configuration waits for a barrier.
+void ConfigurationService::decide(Operation operation, const std::string& request_digest, Time now) {
     const auto& state = replica_.entry()->state;
-    const auto request = order.request;
-    if (order.body.size() > most_document) {
-        outputs_.push_back(refusal(request, 413, "the body may hold 4 MB"));
+    const auto request = operation.request;
+    if (operation.body.size() > max_document_bytes) {
+        outputs_.push_back(error_response(request, 413, "the body may hold 4 MB"));
         return;
     }
-    auto checked = result_of(order, state);
+    auto checked = result_of(operation, state);
     const auto* findings = std::get_if<Findings>(&checked);
-    if (findings && order.kind == Kind::put) {   // a whole configuration is at fault by itself
-        outputs_.push_back(findings_answer(request, *findings));
+    if (findings && operation.kind == Kind::put) {   // a PUT is invalid whatever the current configuration is
+        outputs_.push_back(findings_response(request, *findings));
         return;
     }
-    if (!order.if_match) {
-        outputs_.push_back(refusal(request, 428, "If-Match must name the version that this one builds on"));
+    if (!operation.if_match) {
+        outputs_.push_back(error_response(request, 428, "If-Match must name the version that this one builds on"));
         return;
     }
-    if (*order.if_match != state.version) {
-        auto answer = refusal(request, 412, "the current version is " + std::to_string(state.version));
-        return wait_for_barrier(std::move(order), std::move(answer), now);
+    if (*operation.if_match != state.version) {
+        auto response = error_response(request, 412, "the current version is " + std::to_string(state.version));
+        return wait_for_barrier(std::move(operation), std::move(response), now);
     }
-    if (findings) return wait_for_barrier(std::move(order), findings_answer(request, *findings), now);
+    if (findings) return wait_for_barrier(std::move(operation), findings_response(request, *findings), now);
     auto& result = std::get<configuration::Patched>(checked);
     if (result.version <= state.version) {
-        auto answer = findings_answer(
+        auto response = findings_response(
             request, {{"/version", "must be above the current version " + std::to_string(state.version)}});
-        return wait_for_barrier(std::move(order), std::move(answer), now);
+        return wait_for_barrier(std::move(operation), std::move(response), now);
     }
-    if (result.document.size() > most_document) {
-        auto answer = refusal(request, 413, "the configuration that results may hold 4 MB");
-        return wait_for_barrier(std::move(order), std::move(answer), now);
+    if (result.document.size() > max_document_bytes) {
+        auto response = error_response(request, 413, "the configuration that results may hold 4 MB");
+        return wait_for_barrier(std::move(operation), std::move(response), now);
     }
-    propose(std::move(order), std::move(result), sent, now);
+    propose(std::move(operation), std::move(result), request_digest, now);
 }
 
-void ConfigurationService::wait_for_barrier(Order order, HttpResponse answer, Time now) {
-    in_progress_ = InProgress{std::move(order), std::move(answer), {}, {}};
+void ConfigurationService::wait_for_barrier(Operation operation, HttpResponse response, Time now) {
+    in_progress_ = InProgress{std::move(operation), std::move(response), {}, {}};
     in_progress_->barrier = replica_.barrier(consensus::BarrierAt::last, now);
     if (!in_progress_->barrier) leadership_lost();
 }
 
-void ConfigurationService::propose(Order order, configuration::Patched result, const std::string& sent, Time now) {
+void ConfigurationService::propose(Operation operation, configuration::Patched result,
+                                   const std::string& request_digest, Time now) {
     auto state = replica_.entry()->state;
     const auto version = result.version;
     state.version = version;
     state.configuration = std::move(result.document);
-    if (state.accepted.size() >= most_accepted) {
+    if (state.accepted.size() >= max_accepted_digests) {
         state.accepted.erase(state.accepted.begin());
         ++bounds_.accepted_digests;
     }
-    state.accepted.push_back({version, sent});
-    auto answer = accepted(order.request, version);
-    in_progress_ = InProgress{std::move(order), std::move(answer), {}, {}};
+    state.accepted.push_back({version, request_digest});
+    auto response = accepted_response(operation.request, version);
+    in_progress_ = InProgress{std::move(operation), std::move(response), {}, {}};
     const auto position = replica_.propose(std::move(state), now);
     if (!position) return leadership_lost();
     in_progress_->index = position->index;
@@ -173,29 +175,29 @@
 }
 
 void ConfigurationService::finish(Time now) {
-    outputs_.push_back(std::move(in_progress_->answer));
+    outputs_.push_back(std::move(in_progress_->response));
     in_progress_.reset();
-    proceed(now);
+    start_next(now);
 }
 
 void ConfigurationService::leadership_lost() {
     const std::string fault = "leadership was lost, send it again";
-    if (in_progress_) outputs_.push_back(refusal(in_progress_->order.request, 503, fault));
+    if (in_progress_) outputs_.push_back(error_response(in_progress_->operation.request, 503, fault));
     in_progress_.reset();
-    for (const auto& order : waiting_) outputs_.push_back(refusal(order.request, 503, fault));
+    for (const auto& operation : waiting_) outputs_.push_back(error_response(operation.request, 503, fault));
     waiting_.clear();
 }
 
 void ConfigurationService::tick(Time now) {
     const std::string fault = "no majority has answered in time, send it again";
-    while (!waiting_.empty() && now - waiting_.front().arrived > patience) {
-        outputs_.push_back(refusal(waiting_.front().request, 503, fault));
+    while (!waiting_.empty() && now - waiting_.front().arrived > operation_timeout) {
+        outputs_.push_back(error_response(waiting_.front().request, 503, fault));
         waiting_.pop_front();
     }
-    if (!in_progress_ || now - in_progress_->order.arrived <= patience) return;
-    outputs_.push_back(refusal(in_progress_->order.request, 503, fault));
+    if (!in_progress_ || now - in_progress_->operation.arrived <= operation_timeout) return;
+    outputs_.push_back(error_response(in_progress_->operation.request, 503, fault));
     in_progress_.reset();
-    proceed(now);
+    start_next(now);
 }
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/configuration_service.hpp
+++ b/src/roles/control/configuration_service.hpp
@@ -1,8 +1,9 @@
-// The operator's API for configurations: decides each order in its turn on the replicated state. An order brings a whole
-// configuration (PUT) or changes named items of the current one (PATCH); what is replicated is the whole that results.
+// The operator's API for configurations: processes operations one after another on the replicated state. An operation
+// brings a full configuration (PUT), changes named items of the current one (PATCH) or reads it (GET); the replicated
+// value is always the full configuration that results.
 //
-// Only the leader decides. An order is answered once what the answer says is committed: an acceptance when its entry
-// is, a refusal or a reading when a barrier shows that this replica still led.
+// Only the leader decides. A response is sent once its content is certain: an acceptance when its entry is committed, a
+// refusal or a read when a barrier shows that this replica was still the leader.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -21,7 +22,7 @@
     ConfigurationService(consensus::Replica& replica, Outputs& outputs, BoundsReached& bounds)
         : replica_(replica), outputs_(outputs), bounds_(bounds) {}
 
-    // The caller has made sure that this replica leads. `if_match`: nothing where the header is missing or unsound.
+    // Precondition: this replica is the leader. `if_match`: nullopt if the header is missing or malformed.
     void put(RequestId request, std::optional<uint64_t> if_match, std::string body, Time now);
     void patch(RequestId request, std::optional<uint64_t> if_match, std::string body, Time now);
     void get(RequestId request, Time now);
@@ -33,7 +34,7 @@
 
 private:
     enum class Kind { read, put, patch };
-    struct Order {
+    struct Operation {
         RequestId request = 0;
         Kind kind = Kind::read;
         std::optional<uint64_t> if_match;
@@ -41,26 +42,27 @@
         Time arrived;
     };
     struct InProgress {
-        Order order;
-        HttpResponse answer;               // to be given then
-        std::optional<uint64_t> index;     // waits for this entry
+        Operation operation;
+        HttpResponse response;             // sent when the wait ends
+        std::optional<uint64_t> index;     // waits for the commit of this entry
         std::optional<uint64_t> barrier;   // waits for this barrier
     };
-    void take(Order order, Time now);
-    void proceed(Time now);
-    void begin(Order order, Time now);
-    void decide(Order order, const std::string& digest, Time now);
-    void wait_for_barrier(Order order, HttpResponse answer, Time now);
-    void propose(Order order, configuration::Patched result, const std::string& digest, Time now);
-    // What the order makes of the current configuration.
-    static ParseResult<configuration::Patched> result_of(const Order& order, const consensus::ClusterState& state);
-    static std::string digest_of(const Order& order);
+    void enqueue(Operation operation, Time now);
+    void start_next(Time now);
+    void start(Operation operation, Time now);
+    void decide(Operation operation, const std::string& digest, Time now);
+    void wait_for_barrier(Operation operation, HttpResponse response, Time now);
+    void propose(Operation operation, configuration::Patched result, const std::string& digest, Time now);
+    // The configuration that results from the operation.
+    static ParseResult<configuration::Patched> result_of(const Operation& operation,
+                                                         const consensus::ClusterState& state);
+    static std::string digest_of(const Operation& operation);
     void finish(Time now);
 
     consensus::Replica& replica_;
     Outputs& outputs_;
     BoundsReached& bounds_;
-    std::deque<Order> waiting_;
+    std::deque<Operation> waiting_;
     std::optional<InProgress> in_progress_;
 };
 
--- a/src/roles/control/disk_writer.cpp
+++ b/src/roles/control/disk_writer.cpp
@@ -6,7 +6,7 @@
 namespace myrtleroute::control {
 namespace {
 
-constexpr std::chrono::milliseconds retry_after{100};   // of a write that the disk has refused
+constexpr std::chrono::milliseconds retry_after{100};   // after a write that failed
 
 }   // namespace
 
@@ -16,9 +16,9 @@
 DiskWriter::~DiskWriter() {
     {
         const std::lock_guard lock(mutex_);
-        ending_ = true;
+        stopping_ = true;
     }
-    wanted_.notify_one();
+    wakeup_.notify_one();
     thread_.join();
 }
 
@@ -27,22 +27,22 @@
         const std::lock_guard lock(mutex_);
         queue_.add(std::move(write));
     }
-    wanted_.notify_one();
+    wakeup_.notify_one();
 }
 
 void DiskWriter::run() {
     std::unique_lock lock(mutex_);
     for (;;) {
-        wanted_.wait(lock, [this] { return !queue_.empty() || ending_; });
-        if (ending_) return;
+        wakeup_.wait(lock, [this] { return !queue_.empty() || stopping_; });
+        if (stopping_) return;
         auto next = queue_.take();
         lock.unlock();
-        const bool made = write_to(ring_, next);
-        if (made) done_(next.write.number);
+        const bool written = write_to(ring_, next);
+        if (written) done_(next.write.number);
         lock.lock();
-        if (made) continue;
+        if (written) continue;
         queue_.retry(std::move(next.write));
-        wanted_.wait_for(lock, retry_after, [this] { return ending_; });
+        wakeup_.wait_for(lock, retry_after, [this] { return stopping_; });
     }
 }
 
--- a/src/roles/control/disk_writer.hpp
+++ b/src/roles/control/disk_writer.hpp
@@ -1,4 +1,4 @@
-// Writes the replica's records from a thread of its own, so that a disk that hangs does not stop the event loop.
+// Writes the replica's records on a separate thread, so that a disk that hangs does not block the event loop.
 #pragma once
 #include <condition_variable>
 #include <functional>
@@ -12,10 +12,10 @@
 
 class DiskWriter {
 public:
-    // `done` is called on the writer's thread with the number of the last write that is safe.
+    // `done` is called on the writer's thread with the number of the last write that is synced to disk.
     DiskWriter(storage::RecordRing ring, std::function<void(uint64_t)> done);
     ~DiskWriter();
-    void write(Write write);   // of several that wait only the last one is made, as the whole state
+    void write(Write write);   // of several that wait only the last one is written, as the full state
 
 private:
     void run();
@@ -23,9 +23,9 @@
     storage::RecordRing ring_;
     std::function<void(uint64_t)> done_;
     std::mutex mutex_;
-    std::condition_variable wanted_;
+    std::condition_variable wakeup_;
     WriteQueue queue_;
-    bool ending_ = false;
+    bool stopping_ = false;
     std::thread thread_;
 };
 
--- a/src/roles/control/host_service.cpp
+++ b/src/roles/control/host_service.cpp
@@ -9,10 +9,11 @@
 using registry::Host;
 using registry::HostState;
 
-constexpr Span confirm_within{0.8};   // a host waits for its acknowledgement for a second
-constexpr Span batch_every{0.6};
-constexpr Span longest_tick{0.6};    // a longer pause was a freeze: heartbeats may have been missed
-constexpr size_t most_owed = 1024;   // confirmations; a node that waits in vain is told again by the host
+constexpr Span confirm_timeout{0.8};   // a host waits one second for its acknowledgement
+constexpr Span batch_interval{0.6};
+constexpr Span max_tick_interval{
+    0.6};   // a longer interval means that the process was suspended and may have missed heartbeats
+constexpr size_t max_pending_confirmations = 1024;   // if a confirmation is dropped, the host repeats its request
 
 std::optional<Host> read_heartbeat(const std::string& id, const std::string& body) {
     try {
@@ -36,99 +37,100 @@
 
 void HostService::acknowledge(RequestId request) { outputs_.push_back(HttpResponse{request, 200, "{}", {}}); }
 
-void HostService::spread(const Host& host, uint64_t confirm) {
-    spread_.tell_all(messages::HostsUpdate{{host}, confirm});
-    spread_.tell_subscribers({host});
+void HostService::publish(const Host& host, uint64_t confirm) {
+    callbacks_.send_to_peers(messages::HostsUpdate{{host}, confirm});
+    callbacks_.send_to_subscribers({host});
 }
 
 void HostService::heartbeat(RequestId request, const std::string& id, const std::string& body, bool current, Time now) {
     const auto host = read_heartbeat(id, body);
     if (!host) {
-        outputs_.push_back(refusal(request, 400, "a heartbeat has service, address and sequence"));
+        outputs_.push_back(error_response(request, 400, "a heartbeat has service, address and sequence"));
         return;
     }
     const bool changed = table_.merge(*host, now);
-    if (!changed) heard_[id] = host->sequence;
+    if (!changed) heartbeats_[id] = host->sequence;
     const Host* merged = table_.find(id);
-    if (host->state == HostState::draining) return announce(request, *merged, now);
-    if (changed) spread(*merged, 0);
+    if (host->state == HostState::draining) return publish_and_confirm(request, *merged, now);
+    if (changed) publish(*merged, 0);
     if (current) return acknowledge(request);
-    outputs_.push_back(refusal(request, 503, "this node is not in touch with a majority, tell another one"));
+    outputs_.push_back(error_response(request, 503, "this node is not in touch with a majority, tell another one"));
 }
 
-void HostService::leave(RequestId request, const std::string& id, Time now) {
+void HostService::deregister(RequestId request, const std::string& id, Time now) {
     Host host;
     if (const Host* known = table_.find(id)) host = *known;
     host.id = id;
     host.state = HostState::gone;
     table_.merge(host, now);
-    announce(request, host, now);
+    publish_and_confirm(request, host, now);
 }
 
-void HostService::announce(RequestId request, const Host& host, Time now) {
+void HostService::publish_and_confirm(RequestId request, const Host& host, Time now) {
     const auto number = next_confirm_++;
-    unconfirmed_[number] = {request, host.id, host.state, {}, spread_.write(), now + confirm_within};
-    spread(host, number);
-    settle_written();
+    unconfirmed_[number] = {request, host.id, host.state, {}, callbacks_.write(), now + confirm_timeout};
+    publish(host, number);
+    complete_written();
 }
 
 void HostService::confirmed(const consensus::ReplicaId& by, uint64_t number) {
     const auto it = unconfirmed_.find(number);
     if (it == unconfirmed_.end()) return;
     it->second.by.insert(by);
-    settle(number);
+    complete_if_confirmed(number);
 }
 
 void HostService::written(uint64_t number) {
     written_ = std::max(written_, number);
-    settle_written();
+    complete_written();
 }
 
-// What waits for this node's own disk.
-void HostService::settle_written() {
+// Handles what waited for this node's own disk.
+void HostService::complete_written() {
     std::vector<uint64_t> safe;
     for (auto& [number, announced] : unconfirmed_)
         if (announced.write <= written_ && announced.by.insert(self_).second) safe.push_back(number);
-    for (const auto number : safe) settle(number);
-    while (!owed_.empty() && owed_.front().write <= written_) {
-        spread_.tell(owed_.front().to, messages::HostsConfirmation{owed_.front().confirm});
-        owed_.pop_front();
+    for (const auto number : safe) complete_if_confirmed(number);
+    while (!pending_confirmations_.empty() && pending_confirmations_.front().write <= written_) {
+        callbacks_.send_to_peer(pending_confirmations_.front().to,
+                                messages::HostsConfirmation{pending_confirmations_.front().confirm});
+        pending_confirmations_.pop_front();
     }
 }
 
-void HostService::settle(uint64_t number) {
+void HostService::complete_if_confirmed(uint64_t number) {
     const auto it = unconfirmed_.find(number);
-    if (!spread_.is_majority(it->second.by)) return;
+    if (!callbacks_.is_majority(it->second.by)) return;
     acknowledge(it->second.request);
     unconfirmed_.erase(it);
 }
 
-void HostService::remember(const std::vector<Host>& hosts, Time now) {
+void HostService::restore(const std::vector<Host>& hosts, Time now) {
     for (const auto& host : hosts) table_.restore(host, now);
 }
 
-void HostService::told(const consensus::ReplicaId& by, const messages::HostsUpdate& hosts, Time now) {
+void HostService::apply_update(const consensus::ReplicaId& by, const messages::HostsUpdate& hosts, Time now) {
     std::vector<Host> changed;
     for (const auto& host : hosts.hosts)
         if (table_.merge(host, now)) changed.push_back(*table_.find(host.id));
-    if (!changed.empty()) spread_.tell_subscribers(changed);
+    if (!changed.empty()) callbacks_.send_to_subscribers(changed);
     if (!hosts.confirmation_id) return;
-    if (owed_.size() >= most_owed) {
+    if (pending_confirmations_.size() >= max_pending_confirmations) {
         ++bounds_.confirmations;
         return;
     }
-    owed_.push_back({by, hosts.confirmation_id, spread_.write()});
-    settle_written();
+    pending_confirmations_.push_back({by, hosts.confirmation_id, callbacks_.write()});
+    complete_written();
 }
 
-void HostService::heard(const messages::HostHeartbeats& heard, Time now) {
+void HostService::apply_heartbeats(const messages::HostHeartbeats& heartbeats, Time now) {
     std::vector<Host> back;
-    for (const auto& [id, sequence] : heard.sequences)
+    for (const auto& [id, sequence] : heartbeats.sequences)
         if (table_.refresh(id, sequence, now)) back.push_back(*table_.find(id));
-    if (!back.empty()) spread_.tell_subscribers(back);
+    if (!back.empty()) callbacks_.send_to_subscribers(back);
 }
 
-std::map<std::string, size_t> HostService::versions(const std::string& service) const {
+std::map<std::string, size_t> HostService::ready_by_version(const std::string& service) const {
     std::map<std::string, size_t> ready;
     for (const auto& host : table_.all())
         if (host.service == service && host.state != HostState::gone)
@@ -137,23 +139,24 @@
 }
 
 void HostService::tick(Time now, bool current) {
-    const Span pause = now - last_tick_;
-    if (pause > longest_tick && last_tick_ > long_ago) table_.extend_deadlines(pause);
+    const Span interval = now - last_tick_;
+    if (interval > max_tick_interval && last_tick_ > long_ago) table_.extend_deadlines(interval);
     last_tick_ = now;
-    // Out of touch with the others, this node misses what they hear: nobody is taken for crashed then.
-    if (!current) table_.extend_deadlines(std::min(pause, longest_tick));
-    if (const auto lost = table_.expire(now); !lost.empty()) spread_.tell_subscribers(lost);
+    // Without contact to the others, this node misses the heartbeats that they receive, so no host may expire.
+    if (!current) table_.extend_deadlines(std::min(interval, max_tick_interval));
+    if (const auto lost = table_.expire(now); !lost.empty()) callbacks_.send_to_subscribers(lost);
     for (auto it = unconfirmed_.begin(); it != unconfirmed_.end();) {
         const bool late = now > it->second.until;
-        if (late) outputs_.push_back(refusal(it->second.request, 503, "no majority knows of it yet, send it again"));
+        if (late)
+            outputs_.push_back(error_response(it->second.request, 503, "no majority knows of it yet, send it again"));
         it = late ? unconfirmed_.erase(it) : std::next(it);
     }
-    if (now < batch_at_ || heard_.empty()) return;
-    batch_at_ = now + batch_every;
+    if (now < next_batch_ || heartbeats_.empty()) return;
+    next_batch_ = now + batch_interval;
     messages::HostHeartbeats batch;
-    for (auto& [id, sequence] : heard_) batch.sequences.emplace_back(id, sequence);
-    heard_.clear();
-    spread_.tell_all(std::move(batch));
+    for (auto& [id, sequence] : heartbeats_) batch.sequences.emplace_back(id, sequence);
+    heartbeats_.clear();
+    callbacks_.send_to_peers(std::move(batch));
 }
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/host_service.hpp
+++ b/src/roles/control/host_service.hpp
@@ -1,8 +1,9 @@
-// Takes hosts' heartbeats and spreads what they say to the other control nodes and to the subscribed proxies.
+// Receives hosts' heartbeats and distributes host states to the other control nodes and to the subscribed proxies.
 //
-// A heartbeat that changes nothing is acknowledged at once, where this node is in touch with a majority; elsewhere it is
-// taken, but the host is told to go on to another node. A drain or an end is acknowledged only when a majority of the
-// voters has it on disk, since from then on no proxy may send to that host for long, whichever of them are lost.
+// A heartbeat of a ready host is acknowledged at once if this node is in contact with a majority of the voters;
+// otherwise it is applied, but answered with 503 so that the host tries another node. A drain or a deregistration is
+// acknowledged only when a majority of the voters has it on disk: from the acknowledgement on proxies must soon stop
+// sending to that host, whichever control nodes are lost.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -20,33 +21,38 @@
 
 class HostService {
 public:
-    // `tell_all`: to every other control node; `tell_subscribers`: to every subscribed proxy.
-    struct Spread {
-        std::function<void(const messages::Message&)> tell_all;
-        std::function<void(const std::vector<registry::Host>&)> tell_subscribers;
+    // `send_to_peers`: to every other control node; `send_to_subscribers`: to every subscribed proxy; `send_to_peer`: to one
+    // control node.
+    struct Callbacks {
+        std::function<void(const messages::Message&)> send_to_peers;
+        std::function<void(const std::vector<registry::Host>&)> send_to_subscribers;
         std::function<bool(const std::set<consensus::ReplicaId>&)> is_majority;   // of the voters
-        std::function<uint64_t()> write;   // the hosts as known now; the number that `written` will be told
-        std::function<void(const consensus::ReplicaId&, const messages::Message&)> tell;   // one control node
+        std::function<uint64_t()> write;   // starts to write the hosts as known now; returns the number for `written`
+        std::function<void(const consensus::ReplicaId&, const messages::Message&)> send_to_peer;
     };
-    HostService(registry::HostTableOptions options, Outputs& outputs, BoundsReached& bounds, Spread spread,
+    HostService(registry::HostTableOptions options, Outputs& outputs, BoundsReached& bounds, Callbacks callbacks,
                 consensus::ReplicaId self)
-        : table_(options), outputs_(outputs), bounds_(bounds), spread_(std::move(spread)), self_(std::move(self)) {}
+        : table_(options),
+          outputs_(outputs),
+          bounds_(bounds),
+          callbacks_(std::move(callbacks)),
+          self_(std::move(self)) {}
 
-    // `current`: this node is in touch with a majority.
+    // `current`: this node is in contact with a majority of the voters.
     void heartbeat(RequestId request, const std::string& id, const std::string& body, bool current, Time now);
-    void leave(RequestId request, const std::string& id, Time now);
+    void deregister(RequestId request, const std::string& id, Time now);
 
-    // Hosts as they were before a restart. They count until they should have been heard of again.
-    void remember(const std::vector<registry::Host>& hosts, Time now);
-    void told(const consensus::ReplicaId& by, const messages::HostsUpdate& hosts, Time now);
-    void heard(const messages::HostHeartbeats& heard, Time now);
+    // Hosts as stored before a restart. They stay valid until their next heartbeats are overdue.
+    void restore(const std::vector<registry::Host>& hosts, Time now);
+    void apply_update(const consensus::ReplicaId& by, const messages::HostsUpdate& hosts, Time now);
+    void apply_heartbeats(const messages::HostHeartbeats& heartbeats, Time now);
     void confirmed(const consensus::ReplicaId& by, uint64_t number);
-    void written(uint64_t number);   // the hosts up to that write are safe on this node's disk
+    void written(uint64_t number);   // all writes up to this number are synced to this node's disk
     void tick(Time now, bool current);
 
     std::vector<registry::Host> all() const { return table_.all(); }
-    // How many hosts of that service are ready, by version; those that are not ready count as none.
-    std::map<std::string, size_t> versions(const std::string& service) const;
+    // Number of ready hosts of that service by version. A version whose hosts are all not ready has the value 0.
+    std::map<std::string, size_t> ready_by_version(const std::string& service) const;
     uint64_t evicted() const { return table_.evicted(); }
 
 private:
@@ -54,33 +60,33 @@
         RequestId request = 0;
         std::string host;
         registry::HostState state = registry::HostState::draining;
-        std::set<consensus::ReplicaId> by;   // that have it on disk
-        uint64_t write = 0;                  // of this node, that holds it
+        std::set<consensus::ReplicaId> by;   // replicas that have it on disk
+        uint64_t write = 0;                  // number of this node's write that holds it
         Time until;
     };
-    // Another node waits for the word that this one has on disk what it was told.
-    struct OwedConfirmation {
+    // A confirmation to another node, to be sent when `write` is synced to this node's disk.
+    struct PendingConfirmation {
         consensus::ReplicaId to;
         uint64_t confirm = 0;
         uint64_t write = 0;
     };
     void acknowledge(RequestId request);
-    void spread(const registry::Host& host, uint64_t confirm);
-    void announce(RequestId request, const registry::Host& host, Time now);
-    void settle_written();
-    void settle(uint64_t number);
+    void publish(const registry::Host& host, uint64_t confirm);
+    void publish_and_confirm(RequestId request, const registry::Host& host, Time now);
+    void complete_written();
+    void complete_if_confirmed(uint64_t number);
 
     registry::HostTable table_;
     Outputs& outputs_;
     BoundsReached& bounds_;
-    Spread spread_;
+    Callbacks callbacks_;
     consensus::ReplicaId self_;
     uint64_t written_ = 0;
     std::map<uint64_t, Unconfirmed> unconfirmed_;
-    std::deque<OwedConfirmation> owed_;
+    std::deque<PendingConfirmation> pending_confirmations_;
     uint64_t next_confirm_ = 1;
-    std::map<std::string, uint64_t> heard_;   // to be told with the next batch
-    Time batch_at_ = long_ago, last_tick_ = long_ago;
+    std::map<std::string, uint64_t> heartbeats_;   // sequence by host id, to be sent with the next batch
+    Time next_batch_ = long_ago, last_tick_ = long_ago;
 };
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/http_api.cpp
+++ b/src/roles/control/http_api.cpp
@@ -7,7 +7,7 @@
 namespace myrtleroute::control {
 namespace {
 
-constexpr size_t most_body = 8 << 20, most_connections = 1024;
+constexpr size_t max_body_bytes = 8 << 20, max_connections = 1024;
 
 struct Traits : restinio::default_single_thread_traits_t {
     using request_handler_t = std::function<restinio::request_handling_status_t(restinio::request_handle_t)>;
@@ -62,8 +62,8 @@
                 .read_next_http_message_timelimit(seconds(30))
                 .handle_request_timeout(seconds(8))
                 .write_http_response_timelimit(seconds(5))
-                .max_parallel_connections(most_connections)
-                .incoming_http_msg_limits(restinio::incoming_http_msg_limits_t{}.max_body_size(most_body))
+                .max_parallel_connections(max_connections)
+                .incoming_http_msg_limits(restinio::incoming_http_msg_limits_t{}.max_body_size(max_body_bytes))
                 .separate_accept_and_create_connect(false);
         });
     server_->http->open_async([] {},
@@ -78,16 +78,16 @@
 
 HttpApi::~HttpApi() = default;
 
-void HttpApi::answer(const HttpResponse& answer) {
-    const auto it = server_->waiting.find(answer.request);
+void HttpApi::respond(const HttpResponse& response) {
+    const auto it = server_->waiting.find(response.request);
     if (it == server_->waiting.end()) return;
     const auto handle = std::move(it->second);
     server_->waiting.erase(it);
-    auto response = handle->create_response(status_line(answer.status));
-    response.append_header(restinio::http_field::content_type, "application/json");
-    if (!answer.location.empty()) response.append_header(restinio::http_field::location, answer.location);
-    response.set_body(answer.body);
-    response.done();
+    auto reply = handle->create_response(status_line(response.status));
+    reply.append_header(restinio::http_field::content_type, "application/json");
+    if (!response.location.empty()) reply.append_header(restinio::http_field::location, response.location);
+    reply.set_body(response.body);
+    reply.done();
 }
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/http_api.hpp
+++ b/src/roles/control/http_api.hpp
@@ -1,4 +1,4 @@
-// The HTTP interface for hosts and the operator, by RESTinio on the caller's io_context.
+// HTTP server for hosts and the operator, using RESTinio on the caller's io_context.
 #pragma once
 #include <asio.hpp>
 
@@ -12,11 +12,12 @@
 
 class HttpApi {
 public:
-    // `on_request` gets each request; its answer comes by `answer`. `on_failed`: it can't listen, with the reason.
+    // `on_request` receives each request; `respond` sends the response. `on_failed` is called with the reason if the
+    // server cannot listen.
     HttpApi(asio::io_context& context, const Endpoint& at, std::function<void(const HttpRequest&)> on_request,
             std::function<void(const std::string&)> on_failed);
     ~HttpApi();
-    void answer(const HttpResponse& answer);
+    void respond(const HttpResponse& response);
 
 private:
     struct Server;
--- a/src/roles/control/metrics_server.cpp
+++ b/src/roles/control/metrics_server.cpp
@@ -9,7 +9,7 @@
 namespace myrtleroute::control {
 namespace {
 
-constexpr size_t most_body = 1024, most_connections = 8;
+constexpr size_t max_body_bytes = 1024, max_connections = 8;
 
 struct Traits : restinio::default_single_thread_traits_t {
     using request_handler_t = std::function<restinio::request_handling_status_t(restinio::request_handle_t)>;
@@ -48,8 +48,8 @@
                 .read_next_http_message_timelimit(seconds(5))
                 .handle_request_timeout(seconds(5))
                 .write_http_response_timelimit(seconds(5))
-                .max_parallel_connections(most_connections)
-                .incoming_http_msg_limits(restinio::incoming_http_msg_limits_t{}.max_body_size(most_body))
+                .max_parallel_connections(max_connections)
+                .incoming_http_msg_limits(restinio::incoming_http_msg_limits_t{}.max_body_size(max_body_bytes))
                 .separate_accept_and_create_connect(false);
         });
     server_->http->open_async([] {},
--- a/src/roles/control/metrics_server.hpp
+++ b/src/roles/control/metrics_server.hpp
@@ -1,4 +1,4 @@
-// Serves the control role's figures over HTTP, by RESTinio on the caller's io_context, at a port of their own.
+// Serves the control role's metrics over HTTP on a separate port, using RESTinio on the caller's io_context.
 #pragma once
 #include <asio.hpp>
 
@@ -12,8 +12,8 @@
 
 class MetricsServer {
 public:
-    // `render` gives the text of the figures as they are now. `on_failed`: it can't listen, with the reason; nothing
-    // is served then.
+    // `render` returns the metrics in text format. `on_failed` is called with the reason if the server cannot listen;
+    // nothing is served then.
     MetricsServer(asio::io_context& context, const Endpoint& at, std::string path, std::function<std::string()> render,
                   std::function<void(const std::string&)> on_failed);
     ~MetricsServer();
--- a/src/roles/control/node_metrics.cpp
+++ b/src/roles/control/node_metrics.cpp
@@ -11,10 +11,10 @@
       leads_(registry.gauge("myrtleroute_control_leads", "1: this node leads; else 0.")),
       current_(registry.gauge("myrtleroute_control_current", "1: lately in touch with a majority; else 0.")),
       term_(registry.gauge("myrtleroute_control_term", "Term of this node's replica.")),
-      lends_(registry.gauge("myrtleroute_control_lends", "1: this node lends the tenants' limits; else 0.")),
-      lending_violations_(registry.counter("myrtleroute_invariant_violations_total",
-                                           "Violations of what must always hold; any is a fault.",
-                                           {{"invariant", "lent_within_budget"}})) {
+      grants_leases_(registry.gauge("myrtleroute_control_lends", "1: this node lends the tenants' limits; else 0.")),
+      lease_violations_(registry.counter("myrtleroute_invariant_violations_total",
+                                         "Violations of what must always hold; any is a fault.",
+                                         {{"invariant", "lent_within_budget"}})) {
     const std::pair<const char*, uint64_t BoundsReached::*> tables[] = {
         {"orders", &BoundsReached::orders},
         {"accepted_digests", &BoundsReached::accepted_digests},
@@ -35,11 +35,11 @@
     leads_.set(state.leads ? 1 : 0);
     current_.set(state.is_current ? 1 : 0);
     term_.set(static_cast<double>(state.term));
-    lends_.set(state.lends ? 1 : 0);
-    lending_violations_.add(static_cast<double>(state.lending_violations - shown_violations_));
-    if (state.lending_violations > 0 && shown_violations_ == 0)
-        log_error() << "invariant lent_within_budget is violated: " << state.last_lending_violation;
-    shown_violations_ = state.lending_violations;
+    grants_leases_.set(state.grants_leases ? 1 : 0);
+    lease_violations_.add(static_cast<double>(state.lease_violations - shown_violations_));
+    if (state.lease_violations > 0 && shown_violations_ == 0)
+        log_error() << "invariant lent_within_budget is violated: " << state.last_lease_violation;
+    shown_violations_ = state.lease_violations;
     for (auto& bound : bounds_)
         bound.counter.add(static_cast<double>(state.bounds.*bound.reached) - bound.counter.value());
 }
--- a/src/roles/control/node_metrics.hpp
+++ b/src/roles/control/node_metrics.hpp
@@ -1,4 +1,4 @@
-// The control role's figures: what a node knows of the fleet and of its own standing among the voters.
+// Metrics of the control role: the fleet as a node knows it, and the node's status in the replicated log.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -12,14 +12,14 @@
 
 // A node's state at one moment.
 struct NodeState {
-    size_t proxies = 0;       // of the fleet, known here
-    size_t subscribers = 0;   // proxies that subscribe to this node
+    size_t proxies = 0;       // proxies of the fleet that this node knows
+    size_t subscribers = 0;   // proxies subscribed to this node
     bool leads = false;
-    bool is_current = false;   // lately in touch with a majority
+    bool is_current = false;   // in contact with a majority of the voters recently
     uint64_t term = 0;
-    bool lends = false;                   // the tenants' limits
-    uint64_t lending_violations = 0;      // of the allocator's invariant, since the start
-    std::string last_lending_violation;   // what the last one was
+    bool grants_leases = false;         // grants leases on the tenants' limits
+    uint64_t lease_violations = 0;      // of the lease allocator's invariant, since the start
+    std::string last_lease_violation;   // description of the last one
     BoundsReached bounds;
 };
 
@@ -29,13 +29,13 @@
     void update(const NodeState& state);
 
 private:
-    // How often one table was full.
+    // Counter of how often one bounded table was full.
     struct Bound {
         uint64_t BoundsReached::*reached;
         metrics::Counter counter;
     };
-    metrics::Gauge proxies_, subscribers_, leads_, current_, term_, lends_;
-    metrics::Counter lending_violations_;
+    metrics::Gauge proxies_, subscribers_, leads_, current_, term_, grants_leases_;
+    metrics::Counter lease_violations_;
     uint64_t shown_violations_ = 0;
     std::vector<Bound> bounds_;
 };
--- a/src/roles/control/outputs.hpp
+++ b/src/roles/control/outputs.hpp
@@ -1,4 +1,4 @@
-// What the control role's state machine asks of the runtime.
+// Outputs of the control role's state machine, for the runtime to carry out.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -10,16 +10,16 @@
 
 namespace myrtleroute::control {
 
-using RequestId = uint64_t;      // of an HTTP request that waits for its answer
-using ConnectionId = uint64_t;   // of a connection that another process has opened to this one
+using RequestId = uint64_t;      // of an HTTP request that waits for its response
+using ConnectionId = uint64_t;   // of a connection that another process opened to this one
 
-// To another control node, on the connection that this one keeps to it; dropped where there is none.
+// To another control node, on the connection that this node keeps to it; dropped if there is none.
 struct SendToPeer {
     Endpoint peer;
     messages::Message message;
 };
 
-// To a process that has connected to this one.
+// To a process that has connected to this node.
 struct SendToConnection {
     ConnectionId connection = 0;
     messages::Message message;
@@ -29,22 +29,23 @@
     RequestId request = 0;
     int status = 200;
     std::string body;       // JSON
-    std::string location;   // of a 307
+    std::string location;   // Location header of a 307
 };
 
-// To be written and synced; `persisted` is told the number, which rises. Where several wait, the last one is enough. What is
-// written in the end is made into text only then: a busy disk leaves most of them out, and a machine without one all.
+// A record to be written and synced; Node::persisted is called with its number, which increases. Of several that wait
+// only the last one is needed. Records are serialised only when they are written: with a busy disk most of them are
+// skipped, and on a machine without a disk all of them.
 struct Write {
     uint64_t number = 0;
-    messages::Record change, whole;
+    messages::Record change, full_state;
 };
 
 using Output = std::variant<SendToPeer, SendToConnection, HttpResponse, Write>;
 using Outputs = std::vector<Output>;
 
-// An answer that names a fault.
-HttpResponse refusal(RequestId request, int status, const std::string& fault);
-// 400, with each fault and its place.
-HttpResponse findings_answer(RequestId request, const Findings& findings);
+// A response with the fault as JSON body.
+HttpResponse error_response(RequestId request, int status, const std::string& fault);
+// A 400 response that lists each fault and its place in the document.
+HttpResponse findings_response(RequestId request, const Findings& findings);
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/peer_network.cpp
+++ b/src/roles/control/peer_network.cpp
@@ -13,18 +13,18 @@
 using asio::ip::tcp;
 using std::chrono::steady_clock;
 
-constexpr int unacknowledged_ms = 1500;   // then the other end counts as dead
-constexpr std::chrono::milliseconds redial_after{100};
-// A connection that does not come up is given up after this, longer each time until one does: a machine that starts a moment
-// later than this one says nothing, and the system tries again only after a second.
-constexpr std::chrono::milliseconds least_connect_within{200}, most_connect_within{1000};
+constexpr int user_timeout_ms = 1500;   // unacknowledged data for this long: the connection counts as dead
+constexpr std::chrono::milliseconds reconnect_delay{100};
+// Timeout of a connection attempt; it doubles with each failure, up to the maximum. A machine that starts slightly
+// later than this one does not answer the first SYN, and the kernel retransmits it only after a second.
+constexpr std::chrono::milliseconds min_connect_timeout{200}, max_connect_timeout{1000};
 
 void set_options(tcp::socket& socket) {
     asio::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     const int on = 1, idle_s = 2, interval_s = 1, count = 2;
     const int fd = socket.native_handle();
-    ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_ms, sizeof unacknowledged_ms);
+    ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms, sizeof user_timeout_ms);
     ::setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
     ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
     ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
@@ -60,7 +60,7 @@
     if (closed_) return;
     auto bytes = messages::frame(messages::encode(message));
     queued_bytes_ += bytes.size();
-    if (queued_bytes_ > most_queued) {
+    if (queued_bytes_ > max_queued_bytes) {
         if (on_overflow) on_overflow();
         return closed();
     }
@@ -109,7 +109,7 @@
     acceptor_.async_accept([this](asio::error_code error, tcp::socket socket) {
         if (error == asio::error::operation_aborted) return;
         if (!error) {
-            const auto number = next_link_++;
+            const auto number = next_id_++;
             auto connection = std::make_shared<FramedConnection>(std::move(socket));
             connection->on_message = [this, number](const messages::Message& message, steady_clock::time_point began) {
                 events_.received(number, message, began);
@@ -118,10 +118,10 @@
                 ++slow_readers_;
             };
             connection->on_closed = [this, number] {
-                links_.erase(number);
+                accepted_.erase(number);
                 events_.connection_closed(number);
             };
-            links_[number] = connection;
+            accepted_[number] = connection;
             connection->start();
         }
         accept();
@@ -130,48 +130,48 @@
 
 void PeerNetwork::keep_connected(const std::vector<Endpoint>& peers) {
     const auto now = steady_clock::now();
-    for (auto it = dialed_.begin(); it != dialed_.end();) {
+    for (auto it = outgoing_.begin(); it != outgoing_.end();) {
         const bool wanted = std::find(peers.begin(), peers.end(), it->first) != peers.end();
         if (!wanted && it->second.connection) it->second.connection->close();
-        it = wanted ? std::next(it) : dialed_.erase(it);
+        it = wanted ? std::next(it) : outgoing_.erase(it);
     }
     for (const auto& peer : peers) {
-        auto& dialed = dialed_[peer];
-        if (dialed.connection && !dialed.up && now > dialed.give_up) {
-            dialed.connection->close();
-            dialed.connection.reset();
-            dialed.connect_within = std::min(dialed.connect_within * 2, most_connect_within);
+        auto& outgoing = outgoing_[peer];
+        if (outgoing.connection && !outgoing.connected && now > outgoing.deadline) {
+            outgoing.connection->close();
+            outgoing.connection.reset();
+            outgoing.connect_timeout = std::min(outgoing.connect_timeout * 2, max_connect_timeout);
         }
-        if (!dialed.connection && now >= dialed.next_try) dial(peer, dialed);
+        if (!outgoing.connection && now >= outgoing.next_attempt) connect(peer, outgoing);
     }
 }
 
-void PeerNetwork::dial(const Endpoint& peer, Dialed& dialed) {
-    dialed.next_try = steady_clock::now() + redial_after;
-    dialed.connect_within = std::max(dialed.connect_within, least_connect_within);
-    dialed.give_up = steady_clock::now() + dialed.connect_within;
-    dialed.up = false;
+void PeerNetwork::connect(const Endpoint& peer, Outgoing& outgoing) {
+    outgoing.next_attempt = steady_clock::now() + reconnect_delay;
+    outgoing.connect_timeout = std::max(outgoing.connect_timeout, min_connect_timeout);
+    outgoing.deadline = steady_clock::now() + outgoing.connect_timeout;
+    outgoing.connected = false;
     auto connection = std::make_shared<FramedConnection>(tcp::socket(context_));
-    dialed.connection = connection;
+    outgoing.connection = connection;
     connection->on_overflow = [this] {
         ++slow_readers_;
     };
     connection->on_closed = [this, peer, raw = connection.get()] {
-        const auto it = dialed_.find(peer);
-        if (it == dialed_.end() || it->second.connection.get() != raw) return;
+        const auto it = outgoing_.find(peer);
+        if (it == outgoing_.end() || it->second.connection.get() != raw) return;
         it->second.connection.reset();
         log_info() << "lost the control node at " << peer.text();
     };
     connection->socket().async_connect(address(peer), [this, peer, connection](asio::error_code error) {
-        const auto it = dialed_.find(peer);
-        if (it == dialed_.end() || it->second.connection != connection) return;
+        const auto it = outgoing_.find(peer);
+        if (it == outgoing_.end() || it->second.connection != connection) return;
         if (error) {
             connection->close();
             it->second.connection.reset();
             return;
         }
-        it->second.up = true;
-        it->second.connect_within = least_connect_within;
+        it->second.connected = true;
+        it->second.connect_timeout = min_connect_timeout;
         log_info() << "connected to the control node at " << peer.text();
         connection->start();
         events_.connected(peer);
@@ -179,14 +179,14 @@
 }
 
 void PeerNetwork::send(const Endpoint& peer, const messages::Message& message) {
-    const auto it = dialed_.find(peer);
-    if (it != dialed_.end() && it->second.up && it->second.connection) it->second.connection->send(message);
+    const auto it = outgoing_.find(peer);
+    if (it != outgoing_.end() && it->second.connected && it->second.connection) it->second.connection->send(message);
 }
 
-void PeerNetwork::send(ConnectionId link, const messages::Message& message) {
-    const auto it = links_.find(link);
-    if (it == links_.end()) return;
-    const auto connection = it->second;   // sending may close it
+void PeerNetwork::send(ConnectionId id, const messages::Message& message) {
+    const auto it = accepted_.find(id);
+    if (it == accepted_.end()) return;
+    const auto connection = it->second;   // keeps it alive: sending may close it and remove it from the map
     connection->send(message);
 }
 
--- a/src/roles/control/peer_network.hpp
+++ b/src/roles/control/peer_network.hpp
@@ -1,4 +1,4 @@
-// Connections between processes of the system: those opened to this node and those that it keeps to its peers.
+// TCP connections between control nodes and proxies: accepted ones, and the ones that this node keeps to its peers.
 #pragma once
 #include <asio.hpp>
 
@@ -18,15 +18,16 @@
 // A connection that carries framed messages.
 class FramedConnection : public std::enable_shared_from_this<FramedConnection> {
 public:
-    static constexpr size_t most_queued = 40 << 20;   // bytes; a reader that slow is given up
+    // The connection is closed beyond this: its reader is too slow.
+    static constexpr size_t max_queued_bytes = 40 << 20;
 
     explicit FramedConnection(asio::ip::tcp::socket socket) : socket_(std::move(socket)) {}
     std::function<void(const messages::Message&, std::chrono::steady_clock::time_point began)>
-        on_message;                      // to be read
-    std::function<void()> on_overflow;   // before `on_closed`
+        on_message;                      // `began`: when the message's bytes started to be read
+    std::function<void()> on_overflow;   // called before `on_closed`
     std::function<void()> on_closed;
 
-    void start();   // the socket is connected
+    void start();   // the socket must be connected
     void send(const messages::Message& message);
     void close();
     asio::ip::tcp::socket& socket() { return socket_; }
@@ -47,7 +48,7 @@
 class PeerNetwork {
 public:
     struct Events {
-        // `began`: when the message's bytes began to be read.
+        // `began`: when the message's bytes started to be read.
         std::function<void(ConnectionId, const messages::Message&, std::chrono::steady_clock::time_point began)>
             received;
         std::function<void(ConnectionId)> connection_closed;
@@ -57,27 +58,28 @@
         : context_(context), acceptor_(context), events_(std::move(events)) {}
 
     void listen(const Endpoint& at);                           // throws asio::system_error
-    void keep_connected(const std::vector<Endpoint>& peers);   // called again and again
+    void keep_connected(const std::vector<Endpoint>& peers);   // called at every tick; reconnects and drops as needed
     void send(const Endpoint& peer, const messages::Message& message);
-    void send(ConnectionId link, const messages::Message& message);
-    uint64_t slow_readers() const { return slow_readers_; }   // connections given up since the start
+    void send(ConnectionId id, const messages::Message& message);
+    // Connections closed since the start because their reader was too slow.
+    uint64_t slow_readers() const { return slow_readers_; }
 
 private:
-    struct Dialed {
+    struct Outgoing {
         std::shared_ptr<FramedConnection> connection;
-        bool up = false;
-        std::chrono::steady_clock::time_point next_try{}, give_up{};
-        std::chrono::milliseconds connect_within{};   // of the attempt under way, or the last one
+        bool connected = false;
+        std::chrono::steady_clock::time_point next_attempt{}, deadline{};
+        std::chrono::milliseconds connect_timeout{};   // of the current or last attempt
     };
     void accept();
-    void dial(const Endpoint& peer, Dialed& dialed);
+    void connect(const Endpoint& peer, Outgoing& outgoing);
 
     asio::io_context& context_;
     asio::ip::tcp::acceptor acceptor_;
     Events events_;
-    std::map<ConnectionId, std::shared_ptr<FramedConnection>> links_;
-    std::map<Endpoint, Dialed> dialed_;
-    ConnectionId next_link_ = 1;
+    std::map<ConnectionId, std::shared_ptr<FramedConnection>> accepted_;
+    std::map<Endpoint, Outgoing> outgoing_;
+    ConnectionId next_id_ = 1;
     uint64_t slow_readers_ = 0;
 };
 
--- a/src/roles/control/proxy_directory.hpp
+++ b/src/roles/control/proxy_directory.hpp
@@ -1,4 +1,4 @@
-// The proxies of the fleet and each one's place among them; which of them subscribe to this control node, and how many to
+// The proxies of the fleet in sorted order; which of them subscribe to this control node, and how many subscribe to
 // others.
 #pragma once
 #include <map>
@@ -14,32 +14,33 @@
 
 class ProxyDirectory {
 public:
-    // A proxy that subscribes here. One that does so again has only its newest subscription: the links of earlier ones are
-    // returned. Nothing: there is a newer one already.
-    std::optional<std::vector<ConnectionId>> add_subscriber(ConnectionId link, const messages::Subscribe& subscribe,
-                                                            Time now);
-    void remove_subscriber(ConnectionId link, Time now);
-    // What another control node tells of its subscribers and itself.
+    // Adds the subscription of a proxy. A proxy has only its newest subscription: the connections of earlier ones are
+    // returned. nullopt if there is a newer one already.
+    std::optional<std::vector<ConnectionId>> add_subscriber(ConnectionId connection,
+                                                            const messages::Subscribe& subscribe, Time now);
+    void remove_subscriber(ConnectionId connection, Time now);
+    // Applies another control node's update on its subscribers and itself.
     void update_peer(const Endpoint& by, messages::ProxiesStatus proxies, Time now);
     void tick(Time now);
 
-    bool is_subscriber(ConnectionId link) const { return subscribers_.count(link) > 0; }
+    bool is_subscriber(ConnectionId connection) const { return subscribers_.count(connection) > 0; }
     std::vector<ConnectionId> subscribers() const;
-    std::optional<ConnectionId> link_of(const std::string& node) const;
+    std::optional<ConnectionId> connection_of(const std::string& node) const;
     size_t subscriber_count() const { return subscribers_.size(); }
-    // Names of the subscribers here, and of those that have just been moved to another node and are not known there yet.
+    // Names of the subscribers here, and of those that were just moved to another node and may not be known there yet.
     std::vector<std::string> own_names() const;
 
-    // Sorted names of all proxies, the same at every control node that has heard of the same ones.
+    // Sorted names of all known proxies; the same at every control node that knows the same proxies.
     std::vector<std::string> names() const;
-    const std::string& name(ConnectionId link) const { return subscribers_.at(link).node; }
+    const std::string& name(ConnectionId connection) const { return subscribers_.at(connection).node; }
 
-    // Whether that node has told of itself lately; and that it is current.
-    bool hears(const Endpoint& peer, Time now) const;
-    bool hears_current(const Endpoint& peer, Time now) const;
-    bool hears_any_current(Time now) const;
+    // Whether that node has sent an update recently, and whether the update said that the node is current.
+    bool has_recent_update(const Endpoint& peer, Time now) const;
+    bool is_current(const Endpoint& peer, Time now) const;
+    bool any_current(Time now) const;
 
-    // Which subscribers are to move where. `self` has no count yet; `nodes`: the other control nodes that there are.
+    // Moves of subscribers to other nodes. `self.subscribers` is filled in here; `nodes`: the other known control
+    // nodes.
     std::vector<Move> plan_moves(NodeLoad self, const std::map<Endpoint, messages::ControlNode>& nodes, Time now);
 
 private:
@@ -47,15 +48,15 @@
         std::string node, zone;
         Time since;
     };
-    struct Elsewhere {
+    struct Peer {
         std::vector<std::string> names;
-        messages::ProxiesStatus told;
+        messages::ProxiesStatus update;
         Time at, names_at;
     };
     std::map<ConnectionId, Subscriber> subscribers_;
-    std::map<std::string, Time> moved_;     // by name: when a proxy that was told to move has left
-    std::map<ConnectionId, Time> moving_;   // when they were told to
-    std::map<Endpoint, Elsewhere> elsewhere_;
+    std::map<std::string, Time> moved_;     // by name: when a proxy that was asked to move disconnected
+    std::map<ConnectionId, Time> moving_;   // when the subscriber was asked to move
+    std::map<Endpoint, Peer> peers_;
 };
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/rollout_service.hpp
+++ b/src/roles/control/rollout_service.hpp
@@ -1,9 +1,9 @@
-// Rollouts of service versions at a control node: takes the operator's orders and readings where it leads, gathers the proxies'
-// ballots, and moves each rollout on.
+// Rollouts of service versions at a control node: handles the operator's orders and reads while this node is the
+// leader, collects the proxies' reports, and advances each rollout through its stages.
 //
-// An order and each stage is an entry of the replicated log. An order is answered once its entry is committed, a reading or
-// an order that is known already once a barrier shows that this replica still led. A new leader finds the stages in its last entry; the
-// proxies tell it their sums again.
+// An order and each change of stage is an entry of the replicated log. An order is answered once its entry is
+// committed; a read, or an order that is known already, once a barrier shows that this replica was still the leader. A
+// new leader finds the stages in its last entry; the proxies send it their cumulative reports again.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -23,62 +23,62 @@
 
 class RolloutService {
 public:
-    struct Fleet {
-        std::function<size_t()> proxies;   // that there are, as far as known
-        // Hosts of that service that are ready, by version; a version may have none.
+    struct FleetView {
+        std::function<size_t()> proxies;   // number of known proxies
+        // Number of ready hosts of that service by version; may be 0.
         std::function<std::map<std::string, size_t>(const std::string& service)> versions;
         std::function<void(const std::string& line)> log;
     };
-    RolloutService(consensus::Replica& replica, Outputs& outputs, BoundsReached& bounds, Fleet fleet)
+    RolloutService(consensus::Replica& replica, Outputs& outputs, BoundsReached& bounds, FleetView fleet)
         : replica_(replica), outputs_(outputs), bounds_(bounds), fleet_(std::move(fleet)) {}
 
-    // The caller has made sure that this replica leads.
-    void order(RequestId request, const std::string& body, Time now);     // POST /rollouts
-    void read(RequestId request, const std::string& service, Time now);   // GET /rollouts/SERVICE
+    // Precondition: this replica is the leader.
+    void handle_order(RequestId request, const std::string& body, Time now);     // POST /rollouts
+    void handle_read(RequestId request, const std::string& service, Time now);   // GET /rollouts/SERVICE
 
-    void ballot(const rollout::RolloutReport& ballot, Time now);
-    // What is committed, at any control node. True: it is newer than what was known.
-    bool committed(const rollout::Rollouts& rollouts, Time now);
-    const rollout::Rollouts& known() const { return known_; }
+    void add_report(const rollout::RolloutReport& report, Time now);
+    // Sets the committed rollouts, on leaders and followers. True if they are newer than the known ones.
+    bool set_committed(const rollout::Rollouts& rollouts, Time now);
+    const rollout::Rollouts& rollouts() const { return rollouts_; }
 
-    void committed_index(uint64_t index);
-    bool barrier_passed(uint64_t number);   // false: it is somebody else's
+    void entry_committed(uint64_t index);
+    bool barrier_passed(uint64_t number);   // false if the barrier was not requested here
     void leadership_lost();
     void tick(Time now);
 
 private:
-    // An answer that waits for an entry or a barrier.
+    // A response that waits for an entry to be committed or a barrier to pass.
     struct Waiting {
-        HttpResponse answer;
+        HttpResponse response;
         std::optional<uint64_t> index, barrier;
         Time since;
     };
-    // A rollout in progress, as this node knows it.
-    struct Watched {
-        Time since;         // when this node learnt of the order
-        Time stage_since;   // and of its stage
+    // A rollout in progress, as observed by this node.
+    struct Progress {
+        Time since;         // when this node learned of the order
+        Time stage_since;   // when this node learned of the current stage
         rollout::Stage stage = rollout::Stage::observing;
         rollout::Judge judge;
     };
-    void answer_behind_barrier(HttpResponse answer, Time now);
+    void respond_after_barrier(HttpResponse response, Time now);
     void begin(RequestId request, const rollout::Order& order, Time now);
-    void log_progress(const rollout::Rollout& rollout, const Watched& watched, Time now);
-    void move_on(const rollout::Rollout& rollout, const Watched& watched, Time now);
-    static Span elapsed(const Watched& watched, Time now);   // since the order
-    rollout::Stage next_stage(const rollout::Rollout& rollout, const Watched& watched, Time now) const;
+    void log_progress(const rollout::Rollout& rollout, const Progress& progress, Time now);
+    void advance(const rollout::Rollout& rollout, const Progress& progress, Time now);
+    static Span elapsed(const Progress& progress, Time now);   // time since the order
+    rollout::Stage next_stage(const rollout::Rollout& rollout, const Progress& progress, Time now) const;
     bool propose(rollout::Rollouts rollouts, Time now);
-    bool has_room(const rollout::Rollout& rollout) const;   // the candidates could serve all requests
-    bool is_settled() const;                                // what this leader knows as its state is committed
+    bool has_capacity(const rollout::Rollout& rollout) const;   // the hosts of the new version can serve all requests
+    bool has_committed_in_term() const;                         // the last entry is of this leader's term and committed
 
     consensus::Replica& replica_;
     Outputs& outputs_;
     BoundsReached& bounds_;
-    Fleet fleet_;
-    rollout::Rollouts known_;               // committed
-    std::map<uint64_t, Watched> watched_;   // by number of the order
-    std::map<uint64_t, Time> ended_;        // when this node learnt of an end, by number
+    FleetView fleet_;
+    rollout::Rollouts rollouts_;              // as committed
+    std::map<uint64_t, Progress> progress_;   // by rollout number
+    std::map<uint64_t, Time> ended_;          // when this node learned that the rollout had ended, by rollout number
     std::vector<Waiting> waiting_;
-    Time judged_at_ = long_ago, logged_at_ = long_ago;
+    Time next_judgement_ = long_ago, next_log_ = long_ago;
 };
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/runtime.hpp
+++ b/src/roles/control/runtime.hpp
@@ -1,10 +1,11 @@
-// Runs the control role: joins its state machine to sockets, disk, clock and signals.
+// Runs the control role: connects its state machine to sockets, disk, clock and signals.
 #pragma once
 #include "configuration/node_settings.hpp"
 
 namespace myrtleroute::control {
 
-// Until SIGTERM or SIGINT. The process's exit code; a fault at the start leaves one line that names key and place.
+// Runs until SIGTERM or SIGINT and returns the process's exit code. A startup error is logged in one line that names
+// the settings key and the place.
 int run(const configuration::NodeSettings& settings);
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/start.cpp
+++ b/src/roles/control/start.cpp
@@ -25,7 +25,7 @@
 
 namespace {
 
-// The first start of the whole system: the seeds are the voters, and all of them begin with the same entry.
+// At the first start of the whole system the seeds are the voters, and all of them start with the same entry.
 StoredState first_state(const configuration::NodeSettings& settings, uint64_t fresh_disk) {
     StoredState state;
     const auto self = peer_endpoint(settings, settings.reachable_address());
--- a/src/roles/control/subscriber_balance.hpp
+++ b/src/roles/control/subscriber_balance.hpp
@@ -1,8 +1,8 @@
-// Which proxies should subscribe at another control node: subscribers are spread over the nodes that are current, in
-// proportion to what their links carry, and each proxy's node is of its zone where that one has room.
+// Selects proxies that should move to another control node: subscribers are spread over the nodes that are current, in
+// proportion to the capacity of their links, and a proxy subscribes in its own zone if a node there has free capacity.
 //
-// A function of what one node knows. Every node plans for its own subscribers only, and few moves at a time, since what it
-// knows of the others is a moment old.
+// A pure function of what one node knows. Every node plans only for its own subscribers, and only a few moves at a
+// time, since its data on the others is slightly outdated.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -14,18 +14,18 @@
 
 namespace myrtleroute::control {
 
-// A control node that is current, as known to the one that plans.
+// A control node that is current, as known to the planning node.
 struct NodeLoad {
     messages::ControlNode node;
-    double weight = 1;   // how many subscribers it bears, in proportion to others
+    double weight = 1;   // capacity for subscribers, relative to other nodes
     size_t subscribers = 0;
 };
 
-// A proxy that subscribes to the node that plans.
+// A proxy that subscribes to the planning node.
 struct PlacedSubscriber {
     ConnectionId connection = 0;
     std::string zone;
-    Span age;   // of its subscription
+    Span age;   // time since its subscription started
 };
 
 struct Move {
@@ -33,7 +33,7 @@
     messages::ControlNode to;
 };
 
-// The moves to be made now; called once a second. `self`: the node that plans.
+// Returns the moves to make now; called once a second. `self`: the planning node.
 std::vector<Move> plan_moves(const NodeLoad& self, const std::vector<NodeLoad>& others,
                              const std::vector<PlacedSubscriber>& subscribers);
 
--- a/src/roles/control/work_report.cpp
+++ b/src/roles/control/work_report.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr Span second{1};
-constexpr double mostly = 0.6;   // of a second: then it is told what the time went into
-constexpr Span late{0.3};        // of a tick
+constexpr double busy_threshold = 0.6;   // of a second: more than this is logged
+constexpr Span late_threshold{0.3};      // delay of a tick that is logged
 
-// Of each kind of message, in the order of messages::Message.
+// Kind of work of each message type, in the order of messages::Message.
 struct KindOf {
     WorkKind operator()(const messages::PeerHello&) const { return WorkKind::proxies; }
     WorkKind operator()(const messages::ConsensusMessage&) const { return WorkKind::consensus; }
@@ -57,7 +57,7 @@
           const auto labels = [](WorkKind kind) {
               return metrics::Labels{{"kind", std::string(to_string(kind))}};
           };
-          return std::array{Work{registry.counter("myrtleroute_control_work_total", "Pieces of work handled, by kind.",
+          return std::array{Work{registry.counter("myrtleroute_control_work_total", "Work items handled, by kind.",
                                                   labels(work_kinds[number])),
                                  registry.counter("myrtleroute_control_work_seconds_total",
                                                   "Time in which they were handled, waits for the processor included.",
@@ -66,45 +66,45 @@
       }(std::make_index_sequence<work_kinds.size()>())),
       busy_(registry.gauge("myrtleroute_control_busy_ratio", "Share of the last second in which work was handled.")) {}
 
-void WorkReport::note(WorkKind kind, Span took) {
+void WorkReport::record(WorkKind kind, Span duration) {
     auto& work = work_[static_cast<size_t>(kind)];
-    work.pieces.add();
-    work.seconds.add(took.s);
-    ++work.pieces_since;
-    work.took_since = work.took_since + took;
+    work.count.add();
+    work.seconds.add(duration.s);
+    ++work.count_since;
+    work.duration_since = work.duration_since + duration;
 }
 
 std::optional<std::string> WorkReport::tick(Time now, Span every) {
-    if (last_tick_ > long_ago) latest_ = std::max(latest_, now - last_tick_ - every);
+    if (last_tick_ > long_ago) max_tick_delay_ = std::max(max_tick_delay_, now - last_tick_ - every);
     last_tick_ = now;
     if (second_began_ <= long_ago) second_began_ = now;
     const Span passed = now - second_began_;
     if (passed < second) return {};
     Span busy;
-    for (const auto& work : work_) busy = busy + work.took_since;
+    for (const auto& work : work_) busy = busy + work.duration_since;
     busy_.set(busy.s / passed.s);
-    std::optional<std::string> told;
-    if (busy > passed * mostly || latest_ > late) told = line(passed, busy);
+    std::optional<std::string> report;
+    if (busy > passed * busy_threshold || max_tick_delay_ > late_threshold) report = line(passed, busy);
     for (auto& work : work_) {
-        work.pieces_since = 0;
-        work.took_since = Span{};
+        work.count_since = 0;
+        work.duration_since = Span{};
     }
-    latest_ = Span{};
+    max_tick_delay_ = Span{};
     second_began_ = now;
-    return told;
+    return report;
 }
 
 std::string WorkReport::line(Span passed, Span busy) const {
     std::ostringstream text;
     text.precision(3);
-    text << "busy for " << busy.s << " s of " << passed.s << " s, a tick " << latest_.s << " s late:";
+    text << "busy for " << busy.s << " s of " << passed.s << " s, a tick " << max_tick_delay_.s << " s late:";
     for (const auto kind : work_kinds) {
         const auto& work = work_[static_cast<size_t>(kind)];
-        if (work.pieces_since > 0)
-            text << ' ' << to_string(kind) << ' ' << work.pieces_since << " in " << work.took_since.s << " s,";
+        if (work.count_since > 0)
+            text << ' ' << to_string(kind) << ' ' << work.count_since << " in " << work.duration_since.s << " s,";
     }
     auto line = text.str();
-    line.pop_back();   // the last comma, or the colon
+    line.pop_back();   // removes the last comma, or the colon
     return line;
 }
 
--- a/src/roles/control/work_report.hpp
+++ b/src/roles/control/work_report.hpp
@@ -1,8 +1,8 @@
-// What a control node spends its time on: how often it handles which kind of work and for how long, as counters, and as a log
-// line in each second in which it is busy for most of the time or late.
+// Accounts for a control node's event loop: number and duration of handled work items by kind, as counters, and as a
+// log line for each second in which the loop was busy most of the time or a tick was late.
 //
-// Time is what passes between the beginning and the end of handling on the steady clock. Where the machine gives the process
-// only a share of a core, waiting for the processor counts: what matters is what other work waits for.
+// Durations are wall time on the steady clock. If the process gets only part of a core, time waiting for the processor
+// is included, because other work waits for that time too.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -18,14 +18,14 @@
 
 enum class WorkKind {
     consensus,       // messages of the replicated log
-    hosts,           // what other control nodes tell of hosts
-    proxies,         // what they tell of their subscribers
-    subscriptions,   // proxies that begin one, or prove that their configuration is the newest
+    hosts,           // host updates of other control nodes
+    proxies,         // their updates on their subscribers
+    subscriptions,   // of proxies, and requests for configuration leases
     lease_asks,
     lease_replies,
     ballots,
-    requests,   // of hosts and the operator
-    writes,     // that have ended
+    requests,   // HTTP requests of hosts and the operator
+    writes,     // completed disk writes
     ticks,
 };
 inline constexpr std::array work_kinds{
@@ -37,23 +37,24 @@
 class WorkReport {
 public:
     explicit WorkReport(metrics::Registry& registry);
-    // A piece of work took that long, reading and answering it included.
-    void note(WorkKind kind, Span took);
-    // Called for each tick, with the time between two that is meant. A line where a second has ended that was busy or late.
+    // Records one work item and its duration, including reading and answering it.
+    void record(WorkKind kind, Span duration);
+    // Called at each tick; `every` is the intended interval. Returns a log line if a second has ended that was busy or
+    // had a late tick.
     std::optional<std::string> tick(Time now, Span every);
 
 private:
     struct Work {
-        metrics::Counter pieces, seconds;
-        uint64_t pieces_since = 0;   // since the last second ended
-        Span took_since;
+        metrics::Counter count, seconds;
+        uint64_t count_since = 0;   // since the last report period ended
+        Span duration_since;
     };
     std::string line(Span passed, Span busy) const;
 
     std::array<Work, work_kinds.size()> work_;
-    metrics::Gauge busy_;   // share of the last second
+    metrics::Gauge busy_;   // busy fraction of the last second
     Time second_began_ = long_ago, last_tick_ = long_ago;
-    Span latest_;   // tick since the last second ended
+    Span max_tick_delay_;   // longest delay of a tick since the last second ended
 };
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/write_queue.hpp
+++ b/src/roles/control/write_queue.hpp
@@ -1,4 +1,4 @@
-// Writes that wait for a disk that is busy. They are merged: each carries the whole state, so the newest is enough.
+// Queue of writes that wait for a busy disk. They are merged: each carries the full state, so the newest is enough.
 #pragma once
 #include <algorithm>
 #include <optional>
@@ -13,42 +13,42 @@
 public:
     struct Next {
         Write write;
-        bool alone = true;   // nothing was left out before it: its change is enough, else its whole state is needed
+        bool change_suffices = true;   // no earlier write was skipped; otherwise the full state must be written
     };
 
     void add(Write write) {
         if (next_) {
-            alone_ = false;
+            change_suffices_ = false;
             write.number = std::max(write.number, next_->number);
         }
         next_ = std::move(write);
     }
-    // The disk has refused it: it is made again, or is part of what has come meanwhile.
+    // Queues a write again that has failed, unless a newer one, which includes it, is queued.
     void retry(Write write) {
         if (next_)
             next_->number = std::max(next_->number, write.number);
         else
             next_ = std::move(write);
-        alone_ = false;
+        change_suffices_ = false;
     }
     bool empty() const { return !next_; }
     Next take() {
-        Next next{std::move(*next_), std::exchange(alone_, true)};
+        Next next{std::move(*next_), std::exchange(change_suffices_, true)};
         next_.reset();
         return next;
     }
 
 private:
     std::optional<Write> next_;
-    bool alone_ = true;
+    bool change_suffices_ = true;
 };
 
-// Writes it to the ring and syncs it; false: the disk has refused it.
+// Appends the record to the ring and syncs it; false if that failed.
 inline bool write_to(storage::RecordRing& ring, const WriteQueue::Next& next) {
-    const auto whole = [&] {
-        return messages::encode_record(next.write.whole);
+    const auto full_state = [&] {
+        return messages::encode_record(next.write.full_state);
     };
-    return ring.append(next.alone ? messages::encode_record(next.write.change) : whole(), whole);
+    return ring.append(next.change_suffices ? messages::encode_record(next.write.change) : full_state(), full_state);
 }
 
 }   // namespace myrtleroute::control
--- a/tests/system/configuration_fanout_test.cpp
+++ b/tests/system/configuration_fanout_test.cpp
@@ -1,4 +1,5 @@
-// Copies of the configuration to subscribers: what they take of a machine's link, and that the newest comes to everybody.
+// Distribution of configurations: the copies' share of a machine's link, and that every subscriber receives the newest
+// version.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -15,10 +16,10 @@
 
 namespace {
 
-constexpr double small_link = 10;   // Mbit/s
-constexpr Span tick{0.1}, storm_gap{0.06};
+constexpr double slow_link_megabits = 10;   // Mbit/s
+constexpr Span tick{0.1}, change_interval{0.06};
 
-// A machine's link as a queue: whatever is sent waits behind what was sent before it.
+// A machine's link as a queue: each message waits until all earlier ones are sent.
 struct Link {
     double megabits;
     Time empty_at = long_ago;
@@ -27,21 +28,21 @@
     Span wait(Time now) const { return std::max(Span{}, empty_at - now); }
 };
 
-// A node with subscribers whose configuration changes again and again.
-struct Storm {
-    ConfigurationFanout fanout{small_link};
-    Link link{small_link};
+// A node with subscribers whose configuration changes continually.
+struct RapidChanges {
+    ConfigurationFanout fanout{slow_link_megabits};
+    Link link{slow_link_megabits};
     std::string body;
     std::map<ConnectionId, uint64_t> held;
     uint64_t version = 0;
     double bytes = 0;
-    Span longest_wait;         // of an answer that is sent at any moment
-    size_t most_at_once = 0;   // copies
+    Span longest_wait;         // of a response that is sent at any moment
+    size_t most_at_once = 0;   // number of copies
     Time now{100};
 
-    Storm(size_t subscribers, size_t body_bytes) : body(testing::random_text(body_bytes)) {
+    RapidChanges(size_t subscribers, size_t body_bytes) : body(testing::random_text(body_bytes)) {
         for (ConnectionId number = 1; number <= subscribers; ++number) {
-            fanout.subscribed(number, 0);
+            fanout.add_subscriber(number, 0);
             held[number] = 0;
         }
     }
@@ -57,14 +58,14 @@
         longest_wait = std::max(longest_wait, link.wait(now));
     }
     void change() { fanout.committed(++version, body, now); }
-    // Changes come for so long; then time passes without any.
+    // Runs with changes for `changes`, then without any for `after`.
     void play(Span changes, Span after) {
         const Time end = now + changes + after, last_change = now + changes;
         Time next_change = now, next_tick = now;
         for (; now < end; now = now + Span{0.01}) {
             if (now >= next_change && now < last_change) {
                 change();
-                next_change = next_change + storm_gap;
+                next_change = next_change + change_interval;
                 send_due();   // as a node does when an entry is committed
             }
             if (now < next_tick) continue;
@@ -79,44 +80,45 @@
 
 }   // namespace
 
-TEST_CASE("in a storm of changes copies take a part of the link only, and everybody has the newest soon after it") {
-    Storm storm(12, 27000);
-    storm.play(Span{20}, Span{});
-    CHECK(storm.bytes * 8 / 1e6 / 20 < 0.45 * small_link);
-    storm.play(Span{}, Span{1});
-    CHECK(storm.all_have_the_newest());
+TEST_CASE("during rapid changes copies use only their link share, and every subscriber has the newest soon after") {
+    RapidChanges run(12, 27000);
+    run.play(Span{20}, Span{});
+    CHECK(run.bytes * 8 / 1e6 / 20 < 0.45 * slow_link_megabits);
+    run.play(Span{}, Span{1});
+    CHECK(run.all_have_the_newest());
 }
 
-TEST_CASE("an answer on a small link waits behind a few copies at the most, however many subscribers there are") {
-    constexpr double lost_after = 0.2;   // seconds: what a client waits for an answer before it counts as lost
+TEST_CASE("a response on a small link waits behind a few copies at most, for any number of subscribers") {
+    constexpr double lost_after = 0.2;   // seconds: a client counts a response as lost after this
     for (const size_t subscribers : {1, 15, 40, 300})
         for (const size_t body_bytes : {5000, 40000, 80000}) {
             CAPTURE(subscribers);
             CAPTURE(body_bytes);
-            Storm storm(subscribers, body_bytes);
-            storm.play(Span{20}, Span{});
-            CHECK(storm.longest_wait.s < lost_after / 1.5);
-            CHECK(storm.bytes * 8 / 1e6 / 20 < 0.65 * small_link);
-            storm.play(Span{}, Span{1 + static_cast<double>(subscribers * body_bytes) * 8 / 1e6 / (0.55 * small_link)});
-            CHECK(storm.all_have_the_newest());
+            RapidChanges run(subscribers, body_bytes);
+            run.play(Span{20}, Span{});
+            CHECK(run.longest_wait.s < lost_after / 1.5);
+            CHECK(run.bytes * 8 / 1e6 / 20 < 0.65 * slow_link_megabits);
+            run.play(Span{},
+                     Span{1 + static_cast<double>(subscribers * body_bytes) * 8 / 1e6 / (0.55 * slow_link_megabits)});
+            CHECK(run.all_have_the_newest());
         }
 }
 
-TEST_CASE("copies leave one by one on a slow link, and who has waited longest is next") {
-    ConfigurationFanout fanout(small_link);
+TEST_CASE("copies are sent one at a time on a slow link, longest-waiting subscriber first") {
+    ConfigurationFanout fanout(slow_link_megabits);
     constexpr ConnectionId subscribers = 6;
-    for (ConnectionId link = 1; link <= subscribers; ++link) fanout.subscribed(link, 0);
+    for (ConnectionId link = 1; link <= subscribers; ++link) fanout.add_subscriber(link, 0);
     const std::string body = testing::random_text(40000);
     fanout.committed(1, body, Time{100});
     CHECK(fanout.take_due(Time{100}).size() == 1);
     std::vector<ConnectionId> order;
     uint64_t version = 1;
     for (Time now{100.05}; now < Time{101.5}; now = now + Span{0.05}) {
-        fanout.committed(++version, body, now);   // nobody ever has the newest
+        fanout.committed(++version, body, now);   // no subscriber ever has the newest
         for (const auto link : fanout.take_due(now)) order.push_back(link);
     }
     REQUIRE(order.size() >= 2 * subscribers);
-    // Each has its turn before anybody has a second one.
+    // Every subscriber is sent a copy before any is sent a second one.
     for (size_t at = 0; at + subscribers <= order.size(); ++at) {
         std::vector<ConnectionId> turn(order.begin() + static_cast<std::ptrdiff_t>(at),
                                        order.begin() + static_cast<std::ptrdiff_t>(at + subscribers));
@@ -125,29 +127,29 @@
     }
 }
 
-TEST_CASE("a change after a quiet time leaves at once, and where nothing is known of the link all copies do") {
-    ConfigurationFanout slow(small_link);
+TEST_CASE("a change after an idle period is sent at once, and on a link of unknown capacity all copies are") {
+    ConfigurationFanout slow(slow_link_megabits);
     ConfigurationFanout unknown(0);
     for (ConnectionId link = 1; link <= 300; ++link) {
-        slow.subscribed(link, 0);
-        unknown.subscribed(link, 0);
+        slow.add_subscriber(link, 0);
+        unknown.add_subscriber(link, 0);
     }
     for (auto* fanout : {&slow, &unknown}) fanout->committed(1, testing::random_text(27000), Time{100});
     CHECK_FALSE(slow.take_due(Time{100}).empty());
     CHECK(unknown.take_due(Time{100}).size() == 300);
 }
 
-TEST_CASE("whoever subscribes is sent the newest once, and an older one is never sent") {
-    ConfigurationFanout fanout(small_link);
+TEST_CASE("a new subscriber is sent the newest configuration once, and an older one is never sent") {
+    ConfigurationFanout fanout(slow_link_megabits);
     CHECK(fanout.committed(5, "five", Time{100}));
     CHECK_FALSE(fanout.committed(5, "other", Time{100}));
     CHECK_FALSE(fanout.committed(4, "four", Time{100}));
-    fanout.subscribed(1, 5);
+    fanout.add_subscriber(1, 5);
     CHECK(fanout.take_due(Time{101}).empty());
-    fanout.subscribed(2, 3);
+    fanout.add_subscriber(2, 3);
     CHECK(fanout.take_due(Time{102}) == std::vector<ConnectionId>{2});
     CHECK(fanout.take_due(Time{103}).empty());
-    fanout.left(2);
+    fanout.remove_subscriber(2);
     fanout.committed(6, "six", Time{104});
     CHECK(fanout.take_due(Time{104}) == std::vector<ConnectionId>{1});
 }
--- a/tests/system/control_node.hpp
+++ b/tests/system/control_node.hpp
@@ -1,4 +1,4 @@
-// One control node by itself, whose disk, peers and callers the test plays.
+// Test fixture: a single control node; the test simulates its disk, peers and callers.
 #pragma once
 #include <doctest/doctest.h>
 
@@ -36,11 +36,11 @@
     Time now{100};
     std::unique_ptr<Node> node;
     bool disk_works = true;
-    uint64_t unwritten = 0;
-    std::vector<HttpResponse> answers;
+    uint64_t pending_write = 0;
+    std::vector<HttpResponse> responses;
     std::vector<messages::Message> to_proxy, to_peers;
-    std::map<ConnectionId, std::vector<messages::Message>> sent_on;   // by link, all that was sent on it
-    size_t host_updates_sent = 0;                                     // messages to the proxy
+    std::map<ConnectionId, std::vector<messages::Message>> sent_on;   // by connection, all messages sent on it
+    size_t host_updates_sent = 0;                                     // HostsUpdate messages to the proxy
     RequestId next = 1;
 
     explicit Control(std::vector<std::string> others = {}, const std::string& known = "", double link_megabits = 0) {
@@ -70,20 +70,21 @@
         write();
         for (auto outputs = node->take_outputs(); !outputs.empty(); outputs = node->take_outputs()) {
             for (auto& output : outputs) {
-                if (auto* answer = std::get_if<HttpResponse>(&output)) answers.push_back(*answer);
+                if (auto* response = std::get_if<HttpResponse>(&output)) responses.push_back(*response);
                 if (auto* connection = std::get_if<SendToConnection>(&output)) {
                     to_proxy.push_back(connection->message);
                     sent_on[connection->connection].push_back(connection->message);
                     host_updates_sent += std::holds_alternative<messages::HostsUpdate>(connection->message);
                 }
                 if (auto* peer = std::get_if<SendToPeer>(&output)) to_peers.push_back(peer->message);
-                if (const auto* wanted = std::get_if<Write>(&output)) unwritten = std::max(unwritten, wanted->number);
+                if (const auto* write = std::get_if<Write>(&output))
+                    pending_write = std::max(pending_write, write->number);
             }
             write();
         }
     }
     void write() {
-        if (unwritten && disk_works) node->persisted(std::exchange(unwritten, 0), now);
+        if (pending_write && disk_works) node->persisted(std::exchange(pending_write, 0), now);
     }
     RequestId request(const std::string& method, const std::string& path, const std::string& if_match = "",
                       const std::string& body = "") {
@@ -92,22 +93,22 @@
         return next++;
     }
     int status(RequestId request) const {
-        for (const auto& answer : answers)
-            if (answer.request == request) return answer.status;
+        for (const auto& response : responses)
+            if (response.request == request) return response.status;
         return 0;
     }
     std::string body(RequestId request) const {
-        for (const auto& answer : answers)
-            if (answer.request == request) return answer.body;
+        for (const auto& response : responses)
+            if (response.request == request) return response.body;
         return {};
     }
     std::optional<uint64_t> sent_configuration() {
         std::optional<uint64_t> version;
         for (const auto& message : to_proxy)
-            if (const auto* told = std::get_if<messages::ConfigurationUpdate>(&message)) {
-                const auto checked = configuration::read_configuration(told->body.text());
+            if (const auto* update = std::get_if<messages::ConfigurationUpdate>(&message)) {
+                const auto checked = configuration::read_configuration(update->body.text());
                 version = std::get<configuration::Configuration>(checked).version;
-                CHECK(version == told->version);
+                CHECK(version == update->version);
             }
         to_proxy.clear();
         return version;
--- a/tests/system/control_test.cpp
+++ b/tests/system/control_test.cpp
@@ -1,4 +1,4 @@
-// The control role's state machine by itself: a cluster of one voter, whose disk the test plays.
+// Tests of the control role's state machine alone, mostly as a cluster of one voter with a simulated disk.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 using testing::other_connection;
 using testing::other_node;
 
-TEST_CASE("a configuration is taken, read back as it was sent and told to a proxy") {
+TEST_CASE("a configuration is accepted, read back unchanged and sent to a proxy") {
     Control control;
     control.subscribe();
     CHECK(control.status(control.request("GET", "/config")) == 404);
@@ -30,9 +30,9 @@
     CHECK(control.sent_configuration() == 3);
 }
 
-TEST_CASE("in a storm of changes a proxy is sent no more than a part of the link carries, and then the newest") {
-    constexpr double small_link = 0.01;   // Mbit/s: a copy takes over a quarter of a second of its part
-    Control control({}, "", small_link);
+TEST_CASE("during rapid changes a proxy is sent no more copies than the link share allows, and then the newest one") {
+    constexpr double slow_link = 0.01;   // Mbit/s: at the share for copies, one takes over a quarter of a second
+    Control control({}, "", slow_link);
     control.subscribe();
     int version = 0;
     for (int change = 0; change < 20; ++change) {
@@ -50,10 +50,10 @@
     CHECK(control.sent_configuration() == version);
 }
 
-TEST_CASE("on a slow link copies of a configuration leave one by one, whoever has waited longest first") {
-    constexpr double small_link = 10;   // Mbit/s
+TEST_CASE("on a slow link copies of a configuration are sent one at a time to the longest-waiting subscriber") {
+    constexpr double slow_link = 10;   // Mbit/s
     constexpr ConnectionId subscribers = 15;
-    Control control({}, "", small_link);
+    Control control({}, "", slow_link);
     for (ConnectionId link = 1; link <= subscribers; ++link) control.subscribe(0, link, "edge-" + std::to_string(link));
     const auto copies = [&] {
         size_t count = 0;
@@ -73,27 +73,27 @@
     CHECK(before == subscribers);
 }
 
-TEST_CASE("a proxy that subscribes anew is sent nothing more on its old connection") {
+TEST_CASE("a proxy that subscribes again is sent nothing more on its old connection") {
     Control control;
     control.subscribe();
-    constexpr ConnectionId anew = 8;
-    control.subscribe(0, anew);
+    constexpr ConnectionId new_connection = 8;
+    control.subscribe(0, new_connection);
     const auto before = control.sent_on[Control::proxy_connection].size();
     CHECK(control.status(control.request("PUT", "/config", "0", document(3))) == 200);
     control.request("PUT", "/instances/i-1", "", heartbeat);
     control.advance(Span{3});
     CHECK(control.sent_on[Control::proxy_connection].size() == before);
-    CHECK(control.count_on<messages::ConfigurationUpdate>(anew) == 1);
-    CHECK(control.count_on<messages::HostsUpdate>(anew) >= 1);
-    // What comes late on the old connection takes nothing from the new one.
+    CHECK(control.count_on<messages::ConfigurationUpdate>(new_connection) == 1);
+    CHECK(control.count_on<messages::HostsUpdate>(new_connection) >= 1);
+    // A late message on the old connection does not affect the new one.
     control.subscribe(0, Control::proxy_connection);
     CHECK(control.status(control.request("PUT", "/config", "3", document(4))) == 200);
     control.advance(Span{1});
     CHECK(control.sent_on[Control::proxy_connection].size() == before);
-    CHECK(control.count_on<messages::ConfigurationUpdate>(anew) == 2);
+    CHECK(control.count_on<messages::ConfigurationUpdate>(new_connection) == 2);
 }
 
-TEST_CASE("orders are judged by the version that they build on, and one sent again is taken again") {
+TEST_CASE("operations are checked against the version that they build on, and a repeated one is accepted again") {
     Control control;
     CHECK(control.status(control.request("PUT", "/config", "0", document(3))) == 200);
     CHECK(control.status(control.request("PUT", "/config", "0", document(4))) == 412);
@@ -107,7 +107,7 @@
     CHECK(control.status(control.request("GET", "/other")) == 404);
 }
 
-TEST_CASE("of two orders on the same version one is taken, also while the first is still being written") {
+TEST_CASE("of two operations on the same version one is accepted, even while the first is still being written") {
     Control control;
     control.request("PUT", "/config", "0", document(3));
     control.disk_works = false;
@@ -121,7 +121,7 @@
     CHECK(control.status(second) == 412);
 }
 
-TEST_CASE("an order that is not safe is neither acknowledged nor told, not even to a proxy that comes then") {
+TEST_CASE("an operation that is not on disk is neither acknowledged nor sent, not even to a new subscriber") {
     Control control;
     control.request("PUT", "/config", "0", document(3));
     control.disk_works = false;
@@ -136,7 +136,7 @@
     CHECK(control.sent_configuration() == 5);
 }
 
-TEST_CASE("heartbeats are acknowledged, and what they say is told to a proxy") {
+TEST_CASE("heartbeats are acknowledged, and their host states are sent to a proxy") {
     Control control;
     control.subscribe();
     control.to_proxy.clear();
@@ -147,15 +147,16 @@
     CHECK(control.status(control.request("DELETE", "/instances/i-1")) == 200);
     std::vector<registry::HostState> states;
     for (const auto& message : control.to_proxy)
-        if (const auto* told = std::get_if<messages::HostsUpdate>(&message))
-            for (const auto& host : told->hosts) states.push_back(host.state);
+        if (const auto* update = std::get_if<messages::HostsUpdate>(&message))
+            for (const auto& host : update->hosts) states.push_back(host.state);
     using registry::HostState;
     CHECK(states == std::vector<HostState>{HostState::ready, HostState::draining, HostState::gone});
 }
 
 TEST_CASE("a drain is acknowledged only when a majority of the voters knows of it") {
     Control control({"10.0.0.2", "10.0.0.3"});
-    CHECK(control.status(control.request("PUT", "/instances/i-1", "", heartbeat)) == 503);   // taken, not acknowledged
+    CHECK(control.status(control.request("PUT", "/instances/i-1", "", heartbeat)) ==
+          503);   // applied, not acknowledged
     const auto alone = control.request("PUT", "/instances/i-1", "", drain);
     control.advance(Span{1.2});
     CHECK(control.status(alone) == 503);
@@ -168,13 +169,13 @@
     CHECK(control.status(again) == 200);
 }
 
-TEST_CASE("a node that does not lead and knows no leader says so at once") {
+TEST_CASE("a node that is not the leader and knows no leader answers 503 at once") {
     Control control({"10.0.0.2", "10.0.0.3"});
     CHECK(control.status(control.request("PUT", "/config", "0", document(3))) == 503);
     CHECK(control.status(control.request("GET", "/config")) == 503);
 }
 
-TEST_CASE("a drain is acknowledged only when it is on disk, its own and a majority's") {
+TEST_CASE("a drain is acknowledged only when it is on the node's disk") {
     Control control;
     control.request("PUT", "/instances/i-1", "", heartbeat);
     control.disk_works = false;
@@ -188,7 +189,7 @@
     CHECK(control.status(taken) == 200);
 }
 
-TEST_CASE("a node confirms to another one what it has been told only once that is on its disk") {
+TEST_CASE("a node confirms a host update to another node only once it is on its disk") {
     Control control({"10.0.0.2", "10.0.0.3"});
     control.node->received(other_connection, messages::PeerHello{{other_node.peer, 0}, other_node, true, {}},
                            control.now);
@@ -209,12 +210,12 @@
     control.carry_out();
     CHECK(confirmations() == 1);
     control.node->received(other_connection, messages::HostsUpdate{{leaving}, 7, false},
-                           control.now);   // it is there already
+                           control.now);   // it is on disk already
     control.carry_out();
     CHECK(confirmations() == 2);
 }
 
-TEST_CASE("a proxy is told nothing of hosts and configuration by a node that reaches no majority") {
+TEST_CASE("a node without a majority sends a proxy neither hosts nor a configuration") {
     Control control({"10.0.0.2", "10.0.0.3"}, document(3));
     control.subscribe();
     control.advance(Span{3});
@@ -222,7 +223,7 @@
     CHECK(control.host_updates_sent == 0);
 }
 
-TEST_CASE("a node that is alone in its cluster tells a new proxy at once, a proxy that is up to date only the hosts") {
+TEST_CASE("a single-node cluster sends a new proxy everything at once, and an up-to-date proxy only the hosts") {
     Control control({}, document(3));
     control.subscribe();
     CHECK(control.sent_configuration() == 3);
@@ -234,7 +235,7 @@
 
 namespace {
 
-// Two of three voters: the test is the second one.
+// Two of three voters; the test simulates the second one.
 struct TwoOfThree {
     Control control{{"10.0.0.2", "10.0.0.3"}, document(3)};
 
@@ -249,25 +250,25 @@
                 if (const auto* message = std::get_if<Kind>(&consensus->message)) return *message;
         return {};
     }
-    void say(consensus::Message message) {
+    void receive(consensus::Message message) {
         control.node->received(other_connection, messages::ConsensusMessage{0, std::move(message)}, control.now);
         control.carry_out();
     }
     void answer() {
         const auto append = last_sent<consensus::Append>();
-        if (append) say(consensus::AppendReply{append->term, append->round, append->last});
+        if (append) receive(consensus::AppendReply{append->term, append->round, append->last});
     }
     void elect() {
         while (!last_sent<consensus::VoteRequest>()) control.advance(Span{0.1});
-        say(consensus::VoteReply{true, last_sent<consensus::VoteRequest>()->term, true});
-        say(consensus::VoteReply{false, last_sent<consensus::VoteRequest>()->term, true});
+        receive(consensus::VoteReply{true, last_sent<consensus::VoteRequest>()->term, true});
+        receive(consensus::VoteReply{false, last_sent<consensus::VoteRequest>()->term, true});
         answer();
     }
 };
 
 }   // namespace
 
-TEST_CASE("a leader answers a reading, a refusal and an order sent again only once a majority has answered it since") {
+TEST_CASE("a leader answers reads, refusals and repeated operations only after a majority has answered it again") {
     for (const std::string kind : {"reading", "refusal", "again"}) {
         CAPTURE(kind);
         TwoOfThree cluster;
@@ -288,7 +289,7 @@
     }
 }
 
-TEST_CASE("a leader that nobody answers any more gives no reading") {
+TEST_CASE("a leader without answers from the other voters serves no reads") {
     TwoOfThree cluster;
     cluster.elect();
     const auto asked = cluster.control.request("GET", "/config");
@@ -296,21 +297,21 @@
     CHECK(cluster.control.status(asked) == 503);
 }
 
-TEST_CASE("a node that stops may leave once its leader says that every voter that answers holds what it holds") {
+TEST_CASE("a stopping node may shut down once its leader reports that all answering voters hold its state") {
     TwoOfThree cluster;
     auto state = cluster.control.node->replica().entry()->state;
     state.version = 4;
     consensus::Append append{7, 1, {7, 2}, 1, false, 0, state};
-    cluster.say(append);
+    cluster.receive(append);
     CHECK_FALSE(cluster.control.node->may_shut_down());
     append.state.reset();
     append.round = 2;
     append.fully_replicated = true;
-    cluster.say(append);
+    cluster.receive(append);
     CHECK(cluster.control.node->may_shut_down());
 }
 
-TEST_CASE("a node begins a subscription only when a majority has told it all the hosts that they know") {
+TEST_CASE("a node starts a subscription only when a majority has sent it all hosts that they know") {
     TwoOfThree cluster;
     cluster.elect();
     auto& control = cluster.control;
@@ -333,7 +334,7 @@
 
 namespace {
 
-// The second voter leads, and answers each question for what is committed so much later.
+// The second voter is the leader, and answers each read request after the given delay.
 class LateLeader {
 public:
     explicit LateLeader(Span late) : late_(late) {
@@ -346,7 +347,7 @@
     void pass(Span span) {
         auto& control = cluster.control;
         for (const Time end = control.now + span; control.now < end; control.advance(Span{0.1})) {
-            cluster.say(append_);
+            cluster.receive(append_);
             ++append_.round;
             append_.acknowledged_round = append_.round - 1;
             for (; seen_ < control.to_peers.size(); ++seen_)
@@ -354,7 +355,7 @@
                     if (const auto* request = std::get_if<consensus::ReadRequest>(&message->message))
                         asked_.emplace_back(control.now, *request);
             for (; !asked_.empty() && control.now - asked_.front().first >= late_; asked_.pop_front())
-                cluster.say(consensus::ReadReply{append_.term, asked_.front().second.number, append_.last.index});
+                cluster.receive(consensus::ReadReply{append_.term, asked_.front().second.number, append_.last.index});
         }
     }
     TwoOfThree cluster;
@@ -368,7 +369,7 @@
 
 }   // namespace
 
-TEST_CASE("a proxy that subscribes while the leader answers late is told the configuration once it has answered") {
+TEST_CASE("a proxy that subscribes while the leader is slow is sent the configuration once the leader has answered") {
     for (const double late : {0.1, 0.3, 0.8, 1.5}) {
         CAPTURE(late);
         LateLeader leader(Span{late});
@@ -381,16 +382,16 @@
     }
 }
 
-TEST_CASE("a node's figures tell of its proxies and of its standing") {
+TEST_CASE("a node's metrics show its proxies and its replica status") {
     Control control;
     control.subscribe();
     metrics::Registry registry;
     NodeMetrics figures(registry);
-    const auto told = [&] {
+    const auto render = [&] {
         figures.update(control.node->state(control.now));
         return "\n" + registry.render();
     };
-    auto text = told();
+    auto text = render();
     CHECK(text.find("\nmyrtleroute_control_proxies 1\n") != text.npos);
     CHECK(text.find("\nmyrtleroute_control_subscribers 1\n") != text.npos);
     CHECK(text.find("\nmyrtleroute_control_leads 1\n") != text.npos);
@@ -398,19 +399,19 @@
     CHECK(text.find("\nmyrtleroute_control_term " + std::to_string(control.node->replica().term()) + "\n") !=
           text.npos);
     control.node->connection_closed(Control::proxy_connection, control.now);
-    text = told();
+    text = render();
     CHECK(text.find("\nmyrtleroute_control_proxies 0\n") != text.npos);
     CHECK(text.find("\nmyrtleroute_control_subscribers 0\n") != text.npos);
 }
 
-TEST_CASE("a node that is cut off from the other voters tells that it is not current") {
+TEST_CASE("a node that is cut off from the other voters reports that it is not current") {
     Control control({"10.0.0.2", "10.0.0.3"});
     const auto state = control.node->state(control.now);
     CHECK_FALSE(state.leads);
     CHECK_FALSE(state.is_current);
 }
 
-TEST_CASE("a seed that is behind a relay finds itself among the seeds by the address that it advertises") {
+TEST_CASE("a seed behind a relay recognises itself among the seeds by its advertised address") {
     configuration::NodeSettings settings;
     settings.address = "10.1.0.3";
     settings.advertised_address = "10.9.0.3";
