--- a/src/roles/proxy/proxy.hpp
+++ b/src/roles/proxy/proxy.hpp
@@ -19,10 +19,10 @@
 
 namespace myrtleroute::proxy {
 
-class Proxy : public memory::Owner {
+class Proxy : public memory::ConnectionHandler {
 public:
     // `reread`: loads the settings file again; nothing if the file is invalid.
-    Proxy(configuration::NodeSettings settings, run::Home& home, uint64_t seed,
+    Proxy(configuration::NodeSettings settings, run::System& system, uint64_t seed,
           std::function<std::optional<configuration::NodeSettings>()> reread);
     int run();   // runs until SIGTERM or SIGINT; returns the exit code of the process
 
@@ -68,9 +68,9 @@
 
     // The process.
     std::string render_metrics();   // renders the current metrics
-    void came(memory::Connection& connection) override;
-    void broke(memory::Connection&, int) override {}
-    void due(memory::Connection& connection) override;
+    void on_readable(memory::Connection& connection) override;
+    void on_error(memory::Connection&, int) override {}
+    void on_timer(memory::Connection& connection) override;
     void woke(uint64_t cookie);
     void tick();
     void settle();
