--- a/src/lab/application.cpp
+++ b/src/lab/application.cpp
@@ -14,10 +14,10 @@
 
 }  // namespace
 
-struct Application::Connection : wire::HttpReader {
-    explicit Connection(Handle s) : socket(std::move(s)), machine(wire::HttpMachine::Side::answer, *this) {}
+struct Application::Connection : wire::HttpHandler {
+    explicit Connection(Handle s) : socket(std::move(s)), machine(wire::HttpParser::Side::response, *this) {}
     Handle socket;
-    wire::HttpMachine machine;
+    wire::HttpParser machine;
     int status = 0;
     std::string text;
     bool busy = false, sent = false, partial = false, stray = false, stray_answered = false;
@@ -27,7 +27,7 @@
     std::string request;   // sent once the connection is established
     size_t written = 0;
     int start(std::string_view, std::string_view code, std::string_view) override {
-        status = wire::whole<int>(code).value_or(0);
+        status = wire::parse_integer<int>(code).value_or(0);
         text.clear();
         return 0;
     }
@@ -160,7 +160,7 @@
     while (!left.empty() && !connection.machine.fault()) {
         left.remove_prefix(connection.machine.feed(left));
         if (!connection.machine.done()) continue;
-        const bool keeps = connection.machine.keeps();
+        const bool keeps = connection.machine.keeps_alive();
         connection.machine.next();
         connection.stray_answered = true;
         if (connection.busy && connection.sent && !connection.partial && !connection.stray)
--- a/src/lab/net.cpp
+++ b/src/lab/net.cpp
@@ -218,7 +218,7 @@
     s.write_blocked = !s.unsent.empty();
 }
 
-void Net::end_sending(Socket& s, Time arrives) {
+void Net::shutdown_write(Socket& s, Time arrives) {
     if (s.fin_out || s.state != State::established) return;
     send_rest(s, s.unsent.size());   // the operating system keeps sending after a close
     s.fin_out = true;
@@ -233,7 +233,7 @@
         for (const auto& pending : std::exchange(s.backlog, {})) reset(*pending);
     } else if (s.state == State::established) {
         if (!s.in.empty()) enqueue(*s.peer, {Kind::reset, {}}, arrives);
-        else end_sending(s, arrives);
+        else shutdown_write(s, arrives);
     }
     s.closed = true;
     s.in.clear();
--- a/src/lab/net.hpp
+++ b/src/lab/net.hpp
@@ -23,7 +23,7 @@
 struct Socket;
 using Handle = std::shared_ptr<Socket>;
 
-// Gets the events of its sockets: a simulated client, server or discovery, or the virtual home of a proxy.
+// Gets the events of its sockets: a simulated client, server or discovery, or the virtual system of a proxy.
 class SocketObserver {
 public:
     virtual ~SocketObserver() = default;
@@ -95,7 +95,7 @@
     std::string read_all(Socket& s);
     ssize_t write(Socket& s, std::string_view bytes, Time arrives = {});   // as write(2); arrives not before `arrives`
     void send(Socket& s, std::string_view bytes, Time arrives = {});   // all of it, as room becomes free
-    void end_sending(Socket& s, Time arrives = {});
+    void shutdown_write(Socket& s, Time arrives = {});
     void close(Socket& s, Time arrives = {});   // sends a reset if input is left unread
     void reset(Socket& s);                      // sends a reset to the peer
     void vanish(Socket& s);                     // loses all state without a word to the peer; later data is reset
--- a/src/lab/oracle.cpp
+++ b/src/lab/oracle.cpp
@@ -29,7 +29,7 @@
 };
 
 // Reads the fields that the oracle needs from requests and responses.
-struct Reader : wire::HttpReader {
+struct Reader : wire::HttpHandler {
     uint64_t number = 0;
     bool has_number = false;
     int status = 0;
@@ -41,19 +41,19 @@
         has_number = false;
         timeout = {};
         text.clear();
-        status = first.starts_with("HTTP/") ? wire::whole<int>(second).value_or(0) : 0;
+        status = first.starts_with("HTTP/") ? wire::parse_integer<int>(second).value_or(0) : 0;
         return 0;
     }
     int field(std::string_view name, std::string_view value) override {
-        if (wire::same(name, "X-Request-ID"))
-            if (const auto n = wire::whole<uint64_t>(value)) {
+        if (wire::equals_ignore_case(name, "X-Request-ID"))
+            if (const auto n = wire::parse_integer<uint64_t>(value)) {
                 number = *n;
                 has_number = true;
             }
-        if (wire::same(name, "X-Timeout")) timeout = wire::read_time_out(value);
+        if (wire::equals_ignore_case(name, "X-Timeout")) timeout = wire::parse_timeout(value);
         return 0;
     }
-    int head_ends(Body) override {
+    int head_ended(Body) override {
         if (head) head();
         return 0;
     }
@@ -72,10 +72,10 @@
 
 struct Oracle::Connection {
     explicit Connection(bool to_server_side)
-        : machine(to_server_side ? wire::HttpMachine::Side::ask : wire::HttpMachine::Side::answer, reader),
+        : machine(to_server_side ? wire::HttpParser::Side::request : wire::HttpParser::Side::response, reader),
           to_server(to_server_side) {}
     Reader reader;
-    wire::HttpMachine machine;
+    wire::HttpParser machine;
     bool to_server;   // else to a client
     int proxy = 0, server = -1;
     Time begun;
@@ -83,7 +83,7 @@
     int attempt = -1;    // index in the call's attempts; < 0: none
     // The response as far as the proxy has read it, and whether the proxy still waits for the rest.
     Reader response_reader;
-    wire::HttpMachine answer{wire::HttpMachine::Side::answer, response_reader};
+    wire::HttpParser answer{wire::HttpParser::Side::response, response_reader};
     bool busy = false;
 };
 
@@ -283,7 +283,7 @@
     if (s.local != 0 && s.peer && stray_connections_.count(s.peer->number)) return;
     auto& c = connection(s);
     while (!bytes.empty()) {
-        if (!c.machine.begun()) {
+        if (!c.machine.started()) {
             c.begun = queue_.now();
             c.attempt = -1;
             if (c.to_server && !std::exchange(c.busy, true)) ++proxies_[c.proxy].busy_connections;
--- a/src/lab/registry.cpp
+++ b/src/lab/registry.cpp
@@ -71,10 +71,10 @@
     return all;
 }
 
-struct Discovery::Call : wire::HttpReader {
-    explicit Call(Handle s) : socket(std::move(s)), machine(wire::HttpMachine::Side::ask, *this) {}
+struct Discovery::Call : wire::HttpHandler {
+    explicit Call(Handle s) : socket(std::move(s)), machine(wire::HttpParser::Side::request, *this) {}
     Handle socket;
-    wire::HttpMachine machine;
+    wire::HttpParser machine;
     std::string target;
     bool is_watch = false;   // is answered when the list changes
     uint64_t from = 0;       // revision that the proxy has
@@ -177,8 +177,8 @@
         if (random_.bernoulli(0.4)) return close_call(socket.number, true);
         return send(call, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     }
-    const auto from = wire::whole<uint64_t>(call.number("from="));
-    const auto hold = wire::whole<uint64_t>(call.number("hold_ms="));
+    const auto from = wire::parse_integer<uint64_t>(call.number("from="));
+    const auto hold = wire::parse_integer<uint64_t>(call.number("hold_ms="));
     call.from = from && *from >= first_revision_ ? std::min(*from - first_revision_, registry_.rev()) : 0;
     call.is_watch = from && hold;
     call.until = site_.queue.now() + Span{static_cast<double>(hold.value_or(0)) / 1000};
@@ -205,9 +205,9 @@
                                                    "<html>busy</html>"};
         if (random_.bernoulli(0.5)) body = nonsense[random_.below(4)];
         else body.resize(body.size() / 2);
-        return send(call, wire::answer(200, body, true));
+        return send(call, wire::format_response(200, body, true));
     }
-    const auto text = wire::answer(200, body, true);
+    const auto text = wire::format_response(200, body, true);
     call.sent_lists.push_back(
         {call.socket->bytes_sent + call.socket->unsent.size() + text.size(), whole, Registry::to_listed(entries)});
     send(call, text);
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -14,10 +14,10 @@
 
 }  // namespace
 
-struct Server::Connection : wire::HttpReader {
-    explicit Connection(Handle s) : socket(std::move(s)), machine(wire::HttpMachine::Side::ask, *this) {}
+struct Server::Connection : wire::HttpHandler {
+    explicit Connection(Handle s) : socket(std::move(s)), machine(wire::HttpParser::Side::request, *this) {}
     Handle socket;
-    wire::HttpMachine machine;
+    wire::HttpParser machine;
     std::string path;
     uint64_t call = 0;
     bool has_call = false, busy = false, malformed_sent = false;
@@ -28,8 +28,8 @@
         return 0;
     }
     int field(std::string_view name, std::string_view value) override {
-        if (wire::same(name, "X-Request-ID"))
-            if (const auto n = wire::whole<uint64_t>(value)) {
+        if (wire::equals_ignore_case(name, "X-Request-ID"))
+            if (const auto n = wire::parse_integer<uint64_t>(value)) {
                 call = *n;
                 has_call = true;
             }
@@ -296,7 +296,7 @@
     else
         fields = "X-Server-Load: TEXT inflight=" + std::to_string(running_count_) +
                  ", queue=" + std::to_string(queued_jobs_.size()) + "\r\n";
-    auto text = wire::answer(200, body, true, fields);
+    auto text = wire::format_response(200, body, true, fields);
     if (is_active(FaultKind::spoilt) && random.bernoulli(strength(FaultKind::spoilt) * 0.5)) {
         connection.malformed_sent = true;
         switch (random.below(5)) {
@@ -346,7 +346,7 @@
     connection.busy = false;
     if (connection.has_call)
         if (auto* s = site_.oracle.attempt(connection.call, *connection.socket)) site_.oracle.attempt_answered(*s);
-    send(connection, wire::answer(status, body, true, fields));
+    send(connection, wire::format_response(status, body, true, fields));
 }
 
 void Server::send(Connection& connection, std::string text, Time arrives) {
--- a/src/lab/sweep.cpp
+++ b/src/lab/sweep.cpp
@@ -7,13 +7,13 @@
 #include <vector>
 
 #include "lab/play.hpp"
-#include "run/posix_home.hpp"
+#include "run/posix_system.hpp"
 
 namespace myrtleroute::lab {
 
 bool sweep(const Sweep& options, std::ostream& out, std::ostream& progress) {
-    run::PosixHome home;
-    const Time started = home.now();
+    run::PosixSystem system;
+    const Time started = system.now();
     std::atomic<uint64_t> next{0};
     std::mutex mutex;
     Summary total;
@@ -31,13 +31,13 @@
             ++finished;
             if (finished * 10 / options.seeds != (finished - 1) * 10 / options.seeds)
                 progress << finished << " of " << options.seeds << " seeds, " << std::fixed << std::setprecision(1)
-                         << (home.now() - started).s << " s" << std::endl;
+                         << (system.now() - started).s << " s" << std::endl;
         }
     };
     std::vector<std::thread> threads;
     for (unsigned i = 0; i < options.jobs; ++i) threads.emplace_back(worker);
     for (auto& t : threads) t.join();
-    const double took = (home.now() - started).s;
+    const double took = (system.now() - started).s;
 
     size_t violations = 0;
     std::map<std::string, uint64_t> by_rule;
--- a/src/lab/virtual_home.cpp
+++ b/src/lab/virtual_system.cpp
@@ -1,4 +1,4 @@
-#include "lab/virtual_home.hpp"
+#include "lab/virtual_system.hpp"
 
 #include <arpa/inet.h>
 
@@ -17,47 +17,47 @@
 
 }  // namespace
 
-double VirtualHome::unix_time() { return unix_time_at_zero + queue_.now().s; }
+double VirtualSystem::unix_time() { return unix_time_at_zero + queue_.now().s; }
 
-void VirtualHome::signal(int number) {
+void VirtualSystem::signal(int number) {
     signals_.push_back(number);
     on_event_();
 }
 
-void VirtualHome::end_process() {
+void VirtualSystem::end_process() {
     for (size_t fd = 0; fd < table_.size(); ++fd)
         if (table_[fd]) close(static_cast<int>(fd));
     if (signal_fd_ >= 0) close(signal_fd_);
     signals_.clear();
 }
 
-size_t VirtualHome::server_connections() const {
+size_t VirtualSystem::server_connections() const {
     size_t n = 0;
     for (const auto& s : table_) n += s && s->remote >> 16 >= server_ip && s->remote >> 16 < discovery_ip;
     return n;
 }
 
-size_t VirtualHome::pending_server_connections() const {
+size_t VirtualSystem::pending_server_connections() const {
     size_t n = 0;
     for (const auto& s : table_)
         n += s && s->remote >> 16 >= server_ip && s->remote >> 16 < discovery_ip && s->state == State::connecting;
     return n;
 }
 
-size_t VirtualHome::accepted() const {
+size_t VirtualSystem::accepted() const {
     size_t n = 0;
     for (const auto& s : table_) n += s && s->local != 0 && s->state != State::listening;
     return n;
 }
 
-bool VirtualHome::connecting_to(uint32_t ip) const {
+bool VirtualSystem::connecting_to(uint32_t ip) const {
     for (const auto& s : table_)
         if (s && s->remote >> 16 == ip && s->state == State::connecting) return true;
     return false;
 }
 
 // Returns the events that poll(2) reports for a stream socket in this state on Linux.
-short VirtualHome::poll_events(const Socket& s) const {
+short VirtualSystem::poll_events(const Socket& s) const {
     if (s.state == State::listening) return s.backlog.empty() ? 0 : POLLIN;
     if (s.state == State::connecting) return 0;
     if (s.state == State::reset) return POLLIN | POLLOUT | POLLRDHUP | POLLHUP | (s.error ? POLLERR : 0);
@@ -69,7 +69,7 @@
     return events;
 }
 
-int VirtualHome::wait(pollfd* polled, size_t n, int ms) {
+int VirtualSystem::poll(pollfd* polled, size_t n, int ms) {
     int ready_count = 0;
     for (size_t i = 0; i < n; ++i) {
         const int fd = polled[i].fd;
@@ -82,7 +82,7 @@
     return ready_count;
 }
 
-int VirtualHome::allocate_descriptor(Handle socket) {
+int VirtualSystem::allocate_descriptor(Handle socket) {
     size_t fd = 3;   // 0 to 2 are the standard streams
     while (fd < table_.size() && (table_[fd] || static_cast<int>(fd) == signal_fd_)) ++fd;
     if (open_ + 3 >= descriptors) {
@@ -95,14 +95,14 @@
     return static_cast<int>(fd);
 }
 
-int VirtualHome::listen_at(const sockaddr_in& where) {
+int VirtualSystem::listen(const sockaddr_in& where) {
     const HeapCounterPause pause;
     auto socket = net_.listen(machine_, *this, address(where));
     if (!socket) errno = EADDRINUSE;
     return socket ? allocate_descriptor(std::move(socket)) : -1;
 }
 
-int VirtualHome::connect_to(const sockaddr_in& where, bool& at_once) {
+int VirtualSystem::connect(const sockaddr_in& where, bool& at_once) {
     const HeapCounterPause pause;
     at_once = false;
     const int fd = allocate_descriptor(nullptr);
@@ -110,7 +110,7 @@
     return fd;
 }
 
-int VirtualHome::accept(int fd) {
+int VirtualSystem::accept(int fd) {
     const HeapCounterPause pause;
     if (at(fd).backlog.empty()) {
         errno = EAGAIN;
@@ -124,9 +124,9 @@
     return fresh;
 }
 
-int VirtualHome::error_of(int fd) { return std::exchange(at(fd).error, 0); }
+int VirtualSystem::connect_error(int fd) { return std::exchange(at(fd).error, 0); }
 
-ssize_t VirtualHome::read(int fd, const iovec* parts, int n) {
+ssize_t VirtualSystem::read(int fd, const iovec* parts, int n) {
     const HeapCounterPause pause;
     ssize_t total = 0;
     for (int i = 0; i < n; ++i) {
@@ -139,26 +139,26 @@
     return total;
 }
 
-ssize_t VirtualHome::write(int fd, const iovec* parts, int n) {
+ssize_t VirtualSystem::write(int fd, const iovec* parts, int n) {
     const HeapCounterPause pause;
     std::string total;
     for (int i = 0; i < n; ++i) total.append(static_cast<const char*>(parts[i].iov_base), parts[i].iov_len);
     return net_.write(at(fd), total);
 }
 
-bool VirtualHome::still_quiet(int fd) {
+bool VirtualSystem::is_idle(int fd) {
     const auto& s = at(fd);
     return s.in.empty() && !s.fin_in && !s.error && s.state != State::reset;
 }
 
-bool VirtualHome::has_unread(int fd) { return !at(fd).in.empty(); }
+bool VirtualSystem::has_unread(int fd) { return !at(fd).in.empty(); }
 
-void VirtualHome::end_sending(int fd) {
+void VirtualSystem::shutdown_write(int fd) {
     const HeapCounterPause pause;
-    net_.end_sending(at(fd));
+    net_.shutdown_write(at(fd));
 }
 
-void VirtualHome::close(int fd) {
+void VirtualSystem::close(int fd) {
     const HeapCounterPause pause;
     --open_;
     if (fd == signal_fd_) {
@@ -168,13 +168,13 @@
     if (auto socket = std::exchange(table_[static_cast<size_t>(fd)], nullptr)) net_.close(*socket);
 }
 
-int VirtualHome::hear_signals() {
+int VirtualSystem::watch_signals() {
     const HeapCounterPause pause;
     const int fd = allocate_descriptor(nullptr);
     return signal_fd_ = fd;
 }
 
-int VirtualHome::next_signal(int) {
+int VirtualSystem::next_signal(int) {
     const HeapCounterPause pause;
     if (signals_.empty()) return 0;
     const int number = signals_.front();
@@ -182,12 +182,12 @@
     return number;
 }
 
-const char* VirtualHome::variable(const char* name) {
+const char* VirtualSystem::environment_variable(const char* name) {
     const auto it = variables.find(name);
     return it == variables.end() ? nullptr : it->second.c_str();
 }
 
-std::optional<std::string> VirtualHome::file(const std::string& path) {
+std::optional<std::string> VirtualSystem::read_file(const std::string& path) {
     const auto it = files.find(path);
     if (it == files.end()) return {};
     return it->second;
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -42,7 +42,7 @@
     Machine machine;
     LogSink log_sink;
     std::ostream log;
-    std::unique_ptr<VirtualHome> home;
+    std::unique_ptr<VirtualSystem> system;
     std::unique_ptr<run::Proxy> proxy;
     uint64_t starts = 0, schedule_version = 0;
     bool scheduled = false;
@@ -85,8 +85,8 @@
             if (d->bytes_arrived(proxy, s)) return;
     };
     oracle_.is_connecting = [this](int proxy, int server) {
-        const auto& home = instances_[proxy]->home;
-        return home && home->connecting_to(server_ip + 1 + static_cast<uint32_t>(server));
+        const auto& system = instances_[proxy]->system;
+        return system && system->connecting_to(server_ip + 1 + static_cast<uint32_t>(server));
     };
     for (auto& i : instances_)
         queue_.in({random_.between(0, 0.1)}, [this, &i = *i] { start(i, queue_.now() - Span{random_.between(0, 3)}); });
@@ -137,7 +137,7 @@
     std::vector<Oracle::ListedServer> servers;
     const auto list = server_list(i.list_known_at, servers);
     const auto seed = mix(scenario_.seed ^ mix(static_cast<uint64_t>(i.number) * 1000 + i.starts));
-    i.home->files["config.json"] =
+    i.system->files["config.json"] =
         configuration(scenario_, i.number, seed, discoveries_[current_discovery_]->ip(), list);
 }
 
@@ -150,16 +150,16 @@
     i.scheduled = false;
     i.rounds = 0;
     i.held_bytes = 0;
-    i.home = std::make_unique<VirtualHome>(queue_, net_, i.machine, [this, &i] { schedule_round(i, queue_.now()); });
-    i.home->variables["BALANCER_CONFIG"] = "config.json";
-    i.home->variables["MYRTLEROUTE_LOG"] = trace_.has_sink() ? "debug" : "error";
+    i.system = std::make_unique<VirtualSystem>(queue_, net_, i.machine, [this, &i] { schedule_round(i, queue_.now()); });
+    i.system->variables["BALANCER_CONFIG"] = "config.json";
+    i.system->variables["MYRTLEROUTE_LOG"] = trace_.has_sink() ? "debug" : "error";
     configure(i);
     std::vector<Oracle::ListedServer> servers;
     server_list(list_known_at, servers);
     oracle_.proxy_started(i.number, servers);
-    const auto environment = [&](const char* name) { return i.home->variable(name); };
+    const auto environment = [&](const char* name) { return i.system->environment_variable(name); };
     const HeapCounter held(i.held_bytes);
-    i.proxy = std::make_unique<run::Proxy>(run::read_config(*i.home, environment), *i.home, i.log);
+    i.proxy = std::make_unique<run::Proxy>(run::read_config(*i.system, environment), *i.system, i.log);
     if (!i.proxy->start())
         return oracle_.report_violation(Rule::no_crash, {}, "proxy " + std::to_string(i.number) + " can't start");
     schedule_round(i, queue_.now());
@@ -199,7 +199,7 @@
     }
     check(i);
     i.busy_until = queue_.now() + Span{0.00001 + random_.exponential(0.00003)};
-    schedule_round(i, i.home->is_waiting() ? i.home->waits_until() : i.busy_until);
+    schedule_round(i, i.system->is_waiting() ? i.system->waits_until() : i.busy_until);
 }
 
 // Compares the proxy's own counts with those of the system.
@@ -211,19 +211,19 @@
                                      "proxy " + std::to_string(i.number) + " counts " + std::to_string(has) + ' ' +
                                          what + ", there are " + std::to_string(is));
     };
-    compare(Rule::beliefs, "descriptors", state.loop.connections(), i.home->open());
+    compare(Rule::beliefs, "descriptors", state.loop.connections(), i.system->open());
     size_t lines = 0, idle = 0, waiting = 0;
     state.servers.each([&](memory::Server& s) {
-        lines += static_cast<size_t>(s.lines);
+        lines += static_cast<size_t>(s.connections);
         idle += s.idle.size();
     });
-    compare(Rule::beliefs, "connections to servers", lines, i.home->server_connections());
-    const auto busy = static_cast<size_t>(oracle_.busy_connections(i.number)) + i.home->pending_server_connections();
+    compare(Rule::beliefs, "connections to servers", lines, i.system->server_connections());
+    const auto busy = static_cast<size_t>(oracle_.busy_connections(i.number)) + i.system->pending_server_connections();
     compare(Rule::beliefs, "busy connections to servers", lines - idle, busy);
-    state.calls.each([&](memory::Held& call) { waiting += call.client != nullptr; });
+    state.calls.each([&](memory::PendingCall& call) { waiting += call.client != nullptr; });
     const auto open = static_cast<size_t>(oracle_.open_calls(i.number));
     // The oracle counts an answer when it is written whole.
-    if (open < waiting || open > waiting + state.loop.unwritten())
+    if (open < waiting || open > waiting + state.loop.unwritten_connections())
         compare(Rule::beliefs, "calls without an answer", waiting, open);
     if (queue_.now() - i.rounds_counted_since > Span{0.1}) {
         i.rounds_counted_since = queue_.now();
@@ -246,7 +246,7 @@
     i.list_known_at = queue_.now() - Span{random_.between(0, 4)};
     if (oracle_.open_calls(i.number) > 0) oracle_.summary.met(Hard::stops_with_calls_out);
     site_.record(Event::signal, static_cast<uint64_t>(i.number), SIGTERM);
-    i.home->signal(SIGTERM);
+    i.system->signal(SIGTERM);
     check_stop(i, i.starts, queue_.now() + max_stop_time);
 }
 
@@ -262,7 +262,7 @@
 
 void World::process_ended(Instance& i) {
     oracle_.process_ending(i.number);
-    i.home->end_process();
+    i.system->end_process();
     i.proxy.reset();
     oracle_.proxy_ended(i.number);
 }
@@ -295,19 +295,19 @@
                     oracle_.summary.met(Hard::moves_while_watching);
                 configure(*each);
                 site_.record(Event::signal, static_cast<uint64_t>(each->number), SIGHUP);
-                each->home->signal(SIGHUP);
+                each->system->signal(SIGHUP);
             }
             break;
         case FaultKind::bad_file:
             if (!i.proxy) break;
-            i.home->files["config.json"] =
+            i.system->files["config.json"] =
                 fault.strength < 0.3 ? "" : "{\"listen\":" + std::string(fault.strength < 0.6 ? "7}" : "");
-            i.home->signal(SIGHUP);
+            i.system->signal(SIGHUP);
             break;
         case FaultKind::descriptors:
             oracle_.set_descriptors_limited(i.number);
-            if (i.home)
-                i.home->descriptors = std::max<size_t>(16, i.home->open() + static_cast<size_t>(fault.strength * 10));
+            if (i.system)
+                i.system->descriptors = std::max<size_t>(16, i.system->open() + static_cast<size_t>(fault.strength * 10));
             break;
         case FaultKind::pause: {
             const Span lasts{std::min(fault.duration.s, 0.05 + fault.strength * 1.2)};
@@ -345,8 +345,8 @@
         for (auto& s : servers_) s->set_cost_factor(1);
     if (fault.kind == FaultKind::burst)
         for (auto& a : applications_) a->set_load_factor(1);
-    if (fault.kind == FaultKind::descriptors && instances_[fault.target]->home)
-        instances_[fault.target]->home->descriptors = VirtualHome::rlimit;
+    if (fault.kind == FaultKind::descriptors && instances_[fault.target]->system)
+        instances_[fault.target]->system->descriptors = VirtualSystem::rlimit;
     if (fault.kind == FaultKind::bad_file && instances_[fault.target]->proxy) configure(*instances_[fault.target]);
     if (fault.kind != FaultKind::wrong_list) return;
     registry_.restore(queue_.now());
@@ -367,10 +367,10 @@
                     "proxy " + std::to_string(i->number) + " still has " + std::to_string(n) + ' ' + what);
         };
         check_at_most("calls", state.calls.size(), 0);
-        check_at_most("descriptors", i->home->open(), 3 + static_cast<size_t>(scenario_.servers));
-        check_at_most("clients", i->home->accepted(), 0);
-        check_at_most("wakes", state.loop.wakes(), 2);
-        check_at_most("timers", state.loop.timers(), i->home->open());
+        check_at_most("descriptors", i->system->open(), 3 + static_cast<size_t>(scenario_.servers));
+        check_at_most("clients", i->system->accepted(), 0);
+        check_at_most("wakes", state.loop.scheduled(), 2);
+        check_at_most("timers", state.loop.timers(), i->system->open());
         request_stop(*i);
     }
 }
--- a/tests/system/proxy_idle_test.cpp
+++ b/tests/system/proxy_idle_test.cpp
@@ -1,5 +1,5 @@
-// Connections that rest: clients are told for how long they may take one up, and the proxy ends it so much later that no
-// request crosses the end, also where bytes are held up on a full link.
+// Idle client connections: the proxy announces an idle timeout and closes a connection later than that, so that no
+// request crosses the close, even if packets are delayed on a congested link.
 #include <doctest/doctest.h>
 
 #include "proxy_world.hpp"
@@ -10,8 +10,8 @@
 namespace {
 
 const std::string routes = ProxyWorld::route("idempotent") + "," + ProxyWorld::route("streaming", 3, true);
-constexpr Span at_once{0.05};
-constexpr Span held_up{2};   // what a full link may hold a request, or an end, up
+constexpr Span response_time{0.05};
+constexpr Span congestion_delay{2};   // delay of a request or a close on a congested link
 
 bool contains(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
 
@@ -19,80 +19,80 @@
     return routes + R"(],"limits":{"idleTimeoutMs":)" + std::to_string(ms) + R"(},"tenants":[)";
 }
 
-// Sends a request, lets its host answer, and returns what the client gets.
+// Sends a request, lets its host respond, and returns the response.
 std::string serve(ProxyWorld& world, testing::ScriptedEnd& client, const std::string& id) {
     client.send(ProxyWorld::request("idempotent", id));
-    world.advance(at_once);
+    world.advance(response_time);
     auto* host = world.pending_host();
     REQUIRE(host);
     host->take();
     host->send(ProxyWorld::answer(id, "body"));
-    world.advance(at_once);
+    world.advance(response_time);
     return client.take();
 }
 
-// Seconds that an answer says its connection may rest; 0 where it doesn't.
-int told_rest(const std::string& answer) {
+// The idle timeout that a response announces, in seconds; 0 = none.
+int announced_idle(const std::string& answer) {
     const std::string field = "Keep-Alive: timeout=";
     const auto at = answer.find(field);
     return at == std::string::npos ? 0 : std::stoi(answer.substr(at + field.size()));
 }
 
-// A stream tells the time as well, and an answer that ends its connection tells none.
+// A streamed response announces the timeout as well; a response that closes its connection does not.
 void check_streams_and_last_answers() {
     ProxyWorld world;
     world.configure(with_idle_limit(7000));
     auto& client = world.client();
     client.send(ProxyWorld::request("streaming", "r1"));
-    world.advance(at_once);
+    world.advance(response_time);
     auto* host = world.pending_host();
     REQUIRE(host);
     host->take();
     host->send(ProxyWorld::stream_head("r1") + ProxyWorld::event(1) + ProxyWorld::event(2) + "0\r\n\r\n");
-    world.advance(at_once);
-    CHECK(told_rest(client.take()) == 7);
+    world.advance(response_time);
+    CHECK(announced_idle(client.take()) == 7);
     world.signal(SIGTERM);
-    world.advance(at_once);
+    world.advance(response_time);
     const auto last = serve(world, client, "r2");
     CHECK(contains(last, "Connection: close"));
-    CHECK(told_rest(last) == 0);
+    CHECK(announced_idle(last) == 0);
 }
 
 }   // namespace
 
-TEST_CASE(
-    "a client that takes its connection up within the time it was told is served, though its request is held up") {
+TEST_CASE("a client that reuses its connection within the announced timeout is served even if its request is delayed") {
     for (const int limit_ms : {1000, 4500, 15000}) {
         CAPTURE(limit_ms);
         ProxyWorld world;
         world.configure(with_idle_limit(limit_ms));
         auto& client = world.client();
-        const int told = told_rest(serve(world, client, "r1"));
+        const int told = announced_idle(serve(world, client, "r1"));
         CHECK(told == (limit_ms + 999) / 1000);
-        world.advance(Span{double(told)} + held_up - at_once * 2);
+        world.advance(Span{double(told)} + congestion_delay - response_time * 2);
         CHECK_FALSE(client.ended);
         CHECK(contains(serve(world, client, "r2"), "HTTP/1.1 200 OK"));
     }
     check_streams_and_last_answers();
 }
 
-TEST_CASE("a lower limit binds connections from their next answer on, and none is ended before the time it was told") {
+TEST_CASE(
+    "a lower idle timeout applies from the next response on, and no connection is closed before the announced one") {
     ProxyWorld world;
     world.configure(with_idle_limit(9000));
     auto& before = world.client();
-    CHECK(told_rest(serve(world, before, "r1")) == 9);
+    CHECK(announced_idle(serve(world, before, "r1")) == 9);
     world.configure(with_idle_limit(2000), 2);
     auto& after = world.client();
-    CHECK(told_rest(serve(world, after, "r2")) == 2);
+    CHECK(announced_idle(serve(world, after, "r2")) == 2);
     world.advance(Span{8.5});
     CHECK_FALSE(before.ended);
     CHECK(after.ended);
-    CHECK(told_rest(serve(world, before, "r3")) == 2);
+    CHECK(announced_idle(serve(world, before, "r3")) == 2);
     world.advance(Span{8.5});
     CHECK(before.ended);
 }
 
-TEST_CASE("a request that crosses the end of a resting connection is reset as it comes, not a second later") {
+TEST_CASE("a request that crosses the close of an idle connection is reset on arrival, not a second later") {
     for (const bool stops : {false, true}) {
         CAPTURE(stops);
         ProxyWorld world;
@@ -100,9 +100,9 @@
         auto& client = world.client();
         serve(world, client, "r1");
         if (stops) world.signal(SIGTERM);
-        while (!client.ended) world.advance(at_once);
+        while (!client.ended) world.advance(response_time);
         client.send(ProxyWorld::request("idempotent", "r2"));
-        world.advance(at_once);
+        world.advance(response_time);
         CHECK(client.broken);
         CHECK(client.take().empty());
         CHECK(world.arrivals("r2") == 0);
--- a/tests/system/rollout_proxy_test.cpp
+++ b/tests/system/rollout_proxy_test.cpp
@@ -1,4 +1,4 @@
-// A proxy while a rollout of its hosts' version is in progress.
+// A proxy during a rollout of a new version of its hosts.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -25,32 +25,32 @@
             messages::ConfigurationUpdate{1, R"({"version":1,"routes":[)" + ProxyWorld::route("idempotent") +
                                                  R"(],"services":[{"name":"s","healthCheck":"/health"}]})"});
     }
-    void tell(Stage stage) {
+    void set_stage(Stage stage) {
         Rollouts rollouts{++revision_, {}};
         rollouts.all.push_back({1, "s", "v2", 12, stage, {}});
         if (stage == Stage::rolled_back) rollouts.all[0].rejected = {"v2"};
         world.send_control(messages::RolloutsUpdate{rollouts});
         world.advance(Span{0.1});
     }
-    // The first hosts up to that number; those that were told before are not told again.
-    void tell_hosts(size_t count) {
-        messages::HostsUpdate told;
-        for (size_t i = std::exchange(told_, count); i < count; ++i)
-            told.hosts.push_back({"i-" + std::to_string(i), "s", "10.9.0." + std::to_string(i + 1) + ":80", "north", 8,
-                                  registry::HostState::ready, 1, i < each_ ? "v1" : "v2"});
-        world.send_control(told);
-        stay(Span{1.5});
+    // Reports the first `count` hosts; those reported before are not repeated.
+    void report_hosts(size_t count) {
+        messages::HostsUpdate update;
+        for (size_t i = std::exchange(reported_hosts_, count); i < count; ++i)
+            update.hosts.push_back({"i-" + std::to_string(i), "s", "10.9.0." + std::to_string(i + 1) + ":80", "north",
+                                    8, registry::HostState::ready, 1, i < each_ ? "v1" : "v2"});
+        world.send_control(update);
+        advance(Span{1.5});
     }
-    // Time passes in which a control node with a quorum speaks.
-    void stay(Span span) {
+    // Advances time while the control node reports its quorum.
+    void advance(Span span) {
         for (double passed = 0; passed < span.s; passed += 0.25) {
             messages::FleetStatus fleet;
-            fleet.current = speaks;
+            fleet.current = has_quorum;
             world.send_control(fleet);
             world.advance(Span{0.25});
         }
     }
-    // Sends that many requests one after the other; each is answered, by candidates with that status.
+    // Sends that many requests one after the other; candidates respond with the given status.
     void serve(size_t requests, const std::string& of_candidates = "200 OK") {
         at_candidates = 0;
         for (size_t i = 0; i < requests; ++i) {
@@ -60,16 +60,16 @@
             world.advance(Span{0.02});
             for (int attempt = 0; attempt < 3; ++attempt) answer(id, of_candidates);
             client.close();
-            if (i % 5 == 0) stay(Span{0.25});
+            if (i % 5 == 0) advance(Span{0.25});
         }
     }
-    std::optional<rollout::RolloutReport> last_ballot() {
+    std::optional<rollout::RolloutReport> last_report() {
         messages::FrameReader reader;
         reader.feed(world.control.last().received);
         std::optional<rollout::RolloutReport> last;
         while (const auto json = reader.next())
             if (const auto message = messages::decode(*json))
-                if (const auto* ballot = std::get_if<rollout::RolloutReport>(&*message)) last = *ballot;
+                if (const auto* report = std::get_if<rollout::RolloutReport>(&*message)) last = *report;
         return last;
     }
 
@@ -88,117 +88,117 @@
     }
     size_t each_;
     uint64_t revision_ = 0;
-    size_t told_ = 0;   // hosts
+    size_t reported_hosts_ = 0;   // hosts reported so far
     size_t request_ = 0;
 
 public:
-    bool speaks = true;         // the control node says that it is in touch with a quorum
-    size_t at_candidates = 0;   // of the requests of the last `serve`
+    bool has_quorum = true;     // whether the control node reports a quorum
+    size_t at_candidates = 0;   // requests of the last `serve` that reached candidates
     std::set<size_t> candidates_used;
     ProxyWorld world;
 };
 
 }   // namespace
 
-TEST_CASE("while candidates are observed they get a fourteenth of the requests at the most") {
+TEST_CASE("while candidates are observed they get at most a fourteenth of the requests") {
     RolloutWorld rollout(60);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(120);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(120);
     rollout.serve(400);
     CHECK(rollout.at_candidates >= 20);
     CHECK(rollout.at_candidates <= 29);
     CHECK(rollout.candidates_used.size() >= 4);
 }
 
-TEST_CASE("hosts of which a proxy is told nothing new for long still count as ready") {
+TEST_CASE("hosts without updates for a long time still count as ready") {
     RolloutWorld rollout(60);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(119);
-    rollout.stay(Span{8});
-    rollout.tell_hosts(120);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(119);
+    rollout.advance(Span{8});
+    rollout.report_hosts(120);
     rollout.serve(300);
     rollout.candidates_used.clear();
     rollout.serve(300);
     CHECK(rollout.candidates_used.size() >= 8);
 }
 
-TEST_CASE("candidates that start after the order take part beside hosts that were known before it") {
+TEST_CASE("candidates that start after the rollout order take part beside hosts known before it") {
     RolloutWorld rollout(60);
-    rollout.tell_hosts(60);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(120);
+    rollout.report_hosts(60);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(120);
     rollout.serve(200);
     CHECK(rollout.candidates_used.size() >= 4);
 }
 
-TEST_CASE("once requests move all of them go to candidates, and after a rollback none") {
+TEST_CASE("in the moving stage all requests go to candidates, and after a rollback none") {
     RolloutWorld rollout(8);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(16);
-    rollout.tell(Stage::moving);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(16);
+    rollout.set_stage(Stage::moving);
     rollout.serve(20);
     CHECK(rollout.at_candidates == 20);
     CHECK(rollout.candidates_used.size() > 2);
-    rollout.tell(Stage::rolled_back);
+    rollout.set_stage(Stage::rolled_back);
     rollout.serve(20);
     CHECK(rollout.at_candidates == 0);
 }
 
-TEST_CASE("after a rollout has completed no request goes to the hosts that it replaced") {
+TEST_CASE("after a completed rollout no request goes to the replaced hosts") {
     RolloutWorld rollout(8);
-    rollout.tell_hosts(8);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(16);
-    rollout.tell(Stage::moving);
-    rollout.tell(Stage::completed);
+    rollout.report_hosts(8);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(16);
+    rollout.set_stage(Stage::moving);
+    rollout.set_stage(Stage::completed);
     rollout.serve(20);
     CHECK(rollout.at_candidates == 20);
 }
 
-TEST_CASE("a proxy that hears of no current control node sends nothing to candidates that are observed") {
+TEST_CASE("without a control node that has a quorum, observed candidates get no requests") {
     RolloutWorld rollout(60);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(120);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(120);
     rollout.world.advance(Span{2});
-    rollout.speaks = false;
+    rollout.has_quorum = false;
     rollout.serve(100);
     CHECK(rollout.at_candidates == 0);
 }
 
-TEST_CASE("a proxy whose own requests fail at candidates stops sending there before any verdict") {
+TEST_CASE("a proxy whose requests fail at candidates stops using them before the rollout is decided") {
     RolloutWorld rollout(8);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(16);
-    rollout.tell(Stage::moving);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(16);
+    rollout.set_stage(Stage::moving);
     rollout.serve(40, "500 Internal Server Error");
     CHECK(rollout.at_candidates < 30);
     rollout.serve(20, "500 Internal Server Error");
     CHECK(rollout.at_candidates == 0);
 }
 
-TEST_CASE("a proxy's ballot tells its requests and failures by route, the candidates' by host") {
+TEST_CASE("a proxy's rollout report contains requests and failures by route, and for candidates by host") {
     RolloutWorld rollout(60);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(120);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(120);
     rollout.serve(200, "500 Internal Server Error");
-    const auto ballot = rollout.last_ballot();
-    REQUIRE(ballot);
-    REQUIRE(ballot->routes.size() == 1);
-    CHECK(ballot->routes[0].serving.requests > 100);
-    CHECK(ballot->routes[0].serving.bad == 0);
+    const auto report = rollout.last_report();
+    REQUIRE(report);
+    REQUIRE(report->routes.size() == 1);
+    CHECK(report->routes[0].serving.requests > 100);
+    CHECK(report->routes[0].serving.bad == 0);
     uint64_t requests = 0;
-    for (const auto& candidate : ballot->routes[0].candidates) {
+    for (const auto& candidate : report->routes[0].candidates) {
         requests += candidate.tally.requests;
         CHECK(candidate.tally.bad == candidate.tally.requests);
     }
     CHECK(requests > 0);
 }
 
-TEST_CASE("an older word of rollouts changes nothing") {
+TEST_CASE("an outdated rollout message changes nothing") {
     RolloutWorld rollout(8);
-    rollout.tell(Stage::observing);
-    rollout.tell_hosts(16);
-    rollout.tell(Stage::rolled_back);
+    rollout.set_stage(Stage::observing);
+    rollout.report_hosts(16);
+    rollout.set_stage(Stage::rolled_back);
     Rollouts older{1, {{1, "s", "v2", 12, Stage::moving, {}}}};
     rollout.world.send_control(messages::RolloutsUpdate{older});
     rollout.serve(20);
