--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -150,7 +150,8 @@
     i.scheduled = false;
     i.rounds = 0;
     i.held_bytes = 0;
-    i.system = std::make_unique<VirtualSystem>(queue_, net_, i.machine, [this, &i] { schedule_round(i, queue_.now()); });
+    i.system =
+        std::make_unique<VirtualSystem>(queue_, net_, i.machine, [this, &i] { schedule_round(i, queue_.now()); });
     i.system->variables["BALANCER_CONFIG"] = "config.json";
     i.system->variables["MYRTLEROUTE_LOG"] = trace_.has_sink() ? "debug" : "error";
     configure(i);
@@ -212,14 +213,14 @@
                                          what + ", there are " + std::to_string(is));
     };
     compare(Rule::beliefs, "descriptors", state.loop.connections(), i.system->open());
-    size_t lines = 0, idle = 0, waiting = 0;
+    size_t connections = 0, idle = 0, waiting = 0;
     state.servers.each([&](memory::Server& s) {
-        lines += static_cast<size_t>(s.connections);
+        connections += static_cast<size_t>(s.connections);
         idle += s.idle.size();
     });
-    compare(Rule::beliefs, "connections to servers", lines, i.system->server_connections());
+    compare(Rule::beliefs, "connections to servers", connections, i.system->server_connections());
     const auto busy = static_cast<size_t>(oracle_.busy_connections(i.number)) + i.system->pending_server_connections();
-    compare(Rule::beliefs, "busy connections to servers", lines - idle, busy);
+    compare(Rule::beliefs, "busy connections to servers", connections - idle, busy);
     state.calls.each([&](memory::PendingCall& call) { waiting += call.client != nullptr; });
     const auto open = static_cast<size_t>(oracle_.open_calls(i.number));
     // The oracle counts an answer when it is written whole.
@@ -307,7 +308,8 @@
         case FaultKind::descriptors:
             oracle_.set_descriptors_limited(i.number);
             if (i.system)
-                i.system->descriptors = std::max<size_t>(16, i.system->open() + static_cast<size_t>(fault.strength * 10));
+                i.system->descriptors =
+                    std::max<size_t>(16, i.system->open() + static_cast<size_t>(fault.strength * 10));
             break;
         case FaultKind::pause: {
             const Span lasts{std::min(fault.duration.s, 0.05 + fault.strength * 1.2)};
@@ -369,7 +371,7 @@
         check_at_most("calls", state.calls.size(), 0);
         check_at_most("descriptors", i->system->open(), 3 + static_cast<size_t>(scenario_.servers));
         check_at_most("clients", i->system->accepted(), 0);
-        check_at_most("wakes", state.loop.scheduled(), 2);
+        check_at_most("scheduled wake-ups", state.loop.scheduled(), 2);
         check_at_most("timers", state.loop.timers(), i->system->open());
         request_stop(*i);
     }
