--- a/src/lab/registry.cpp
+++ b/src/lab/registry.cpp
@@ -153,12 +153,12 @@
     return false;
 }
 
-void Discovery::heard(Socket& socket) {
+void Discovery::socket_changed(Socket& socket) {
     if (socket.state == Socket::State::listening) {
         while (auto fresh = site_.net.accept(socket)) {
-            fresh->ear = this;
+            fresh->observer = this;
             calls_[fresh->number] = std::make_unique<Call>(fresh);
-            heard(*fresh);
+            socket_changed(*fresh);
         }
         return;
     }
@@ -173,7 +173,7 @@
     call.machine.next();
     if (on(FaultKind::silent_list)) return;
     if (on(FaultKind::no_list)) {
-        if (chance_.yes(0.4)) return end(socket.number, true);
+        if (chance_.bernoulli(0.4)) return end(socket.number, true);
         return say(call, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     }
     const auto from = wire::parse_integer<uint64_t>(call.number("from="));
@@ -202,7 +202,7 @@
     if (on(FaultKind::nonsense)) {
         static constexpr const char* nonsense[] = {"{\"rev\":1,\"all\":true}", "[]", "{\"rev\":\"x\",\"all\":1,\"targets\":[]}",
                                                    "<html>busy</html>"};
-        if (chance_.yes(0.5)) body = nonsense[chance_.below(4)];
+        if (chance_.bernoulli(0.5)) body = nonsense[chance_.below(4)];
         else body.resize(body.size() / 2);
         return say(call, wire::format_response(200, body, true));
     }
@@ -230,7 +230,7 @@
     if (it == calls_.end()) return;
     const auto call = std::move(it->second);
     calls_.erase(it);
-    if (reset) site_.net.abort(*call->socket);
+    if (reset) site_.net.reset(*call->socket);
     else site_.net.close(*call->socket);
 }
 
