--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -371,7 +371,7 @@
         check_at_most("calls", state.calls.size(), 0);
         check_at_most("descriptors", i->system->open(), 3 + static_cast<size_t>(scenario_.servers));
         check_at_most("clients", i->system->accepted(), 0);
-        check_at_most("scheduled wake-ups", state.loop.scheduled(), 2);
+        check_at_most("wakes", state.loop.scheduled(), 2);
         check_at_most("timers", state.loop.timers(), i->system->open());
         request_stop(*i);
     }
