--- a/src/lab/virtual_system.hpp
+++ b/src/lab/virtual_system.hpp
@@ -1,6 +1,6 @@
-// The System of a proxy in the lab: descriptors over the virtual network, the virtual clock, signals and files as the
-// world gives them. It never blocks: a wait with nothing to tell notes until when the proxy would sleep, and
-// the world takes its next round then, or when something is heard.
+// The system calls of a simulated process: descriptors on the virtual network, the virtual clock, and signals and files
+// that the world provides. It never blocks: a wait without events records until when the process would sleep; the
+// world runs its next round at that time, or when on_event is called.
 #pragma once
 #include <map>
 
@@ -9,26 +9,26 @@
 
 namespace myrtleroute::lab {
 
-class VirtualSystem : public run::System, public Ear {
+class VirtualSystem : public run::System, public SocketObserver {
 public:
-    VirtualSystem(Queue& queue, Net& net, Machine& machine, std::function<void()> wakened)
-        : queue_(queue), net_(net), machine_(machine), wakened_(std::move(wakened)) {}
+    VirtualSystem(Queue& queue, Net& net, Machine& machine, std::function<void()> on_event)
+        : queue_(queue), net_(net), machine_(machine), on_event_(std::move(on_event)) {}
 
-    // For the world.
+    // Used by the world.
     std::map<std::string, std::string> variables, files;
     static constexpr size_t rlimit = 256;
-    size_t descriptors = rlimit;                // that the process may hold now: less if others are open
-    bool sleeps() const { return sleeps_; }     // after a round: nothing to do before `until`
-    Time until() const { return until_; }
+    size_t descriptors = rlimit;   // limit that holds now; lower if others are assumed open
+    bool is_waiting() const { return is_waiting_; }   // after a round: nothing to do before waits_until()
+    Time waits_until() const { return until_; }
     void signal(int number);
-    void end_process();                         // as the system does when it is gone
-    size_t open() const { return open_; }       // descriptors that are held
-    size_t to_servers() const;                  // of them
-    size_t connecting_to_servers() const;
+    void end_process();                     // closes all descriptors, as the system does when a process ends
+    size_t open() const { return open_; }   // number of open descriptors
+    size_t server_connections() const;      // open descriptors of this kind
+    size_t pending_server_connections() const;
     size_t accepted() const;
-    bool connecting_to(uint32_t ip) const;
+    bool connecting_to(uint32_t ip) const;   // whether a connect to that address is in progress
 
-    // For the proxy.
+    // Used by the process.
     Time now() override { return queue_.now(); }
     double unix_time() override;
     int poll(pollfd* polled, size_t n, int ms) override;
@@ -48,22 +48,22 @@
     const char* environment_variable(const char* name) override;
     std::optional<std::string> read_file(const std::string& path) override;
 
-    void heard(Socket&) override { wakened_(); }
+    void socket_changed(Socket&) override { on_event_(); }
 
 private:
-    int take(Handle socket);
+    int allocate_descriptor(Handle socket);
     Socket& at(int fd) { return *table_[static_cast<size_t>(fd)]; }
-    short state_of(const Socket& s) const;
+    short poll_events(const Socket& s) const;
 
     Queue& queue_;
     Net& net_;
     Machine& machine_;
-    std::function<void()> wakened_;
+    std::function<void()> on_event_;
     std::vector<Handle> table_;                 // by descriptor
     std::deque<int> signals_;
     int signal_fd_ = -1;
     size_t open_ = 0;
-    bool sleeps_ = false;
+    bool is_waiting_ = false;
     Time until_;
 };
 
--- a/src/roles/proxy/context.hpp
+++ b/src/roles/proxy/context.hpp
@@ -1,4 +1,4 @@
-// What the parts of the proxy share.
+// State shared by the components of the proxy role.
 #pragma once
 #include <memory>
 
@@ -16,16 +16,16 @@
 struct Context {
     configuration::NodeSettings settings;
     run::System& system;
-    run::Log log;   // of the loop
+    run::Log log;   // used by the loop
     run::Loop loop;
-    Pcg chance;
+    Pcg rng;
     metrics::Registry metrics;
     Invariants invariants{metrics, [](const std::string& line) {
                               log_error() << line;
                           }};
-    std::shared_ptr<const routing::RouteTable> table;   // null until a configuration is known
-    size_t proxies = 1;                                 // in the fleet, as last told
-    routing::FleetSize fleet_size;                      // the most that there may be
+    std::shared_ptr<const routing::RouteTable> table;   // null until a configuration is received
+    size_t proxies = 1;                                 // in the fleet, as last reported
+    routing::FleetSize fleet_size;                      // upper estimate of the number of proxies
     Time started;
 
     Context(configuration::NodeSettings node, run::System& system, uint64_t seed)
@@ -33,13 +33,13 @@
           system(system),
           log(run::Level::error, system),
           loop(log, system),
-          chance(seed),
+          rng(seed),
           started(loop.now()) {}
     Time now() const { return loop.now(); }
-    size_t most_connections() const {
-        constexpr size_t kept_back = 64;
+    size_t max_connections() const {
+        constexpr size_t reserved = 64;
         const size_t allowed = std::min(settings.max_descriptors, system.max_descriptors());
-        return allowed > 2 * kept_back ? allowed - kept_back : kept_back;
+        return allowed > 2 * reserved ? allowed - reserved : reserved;
     }
 };
 
--- a/src/roles/proxy/request_intake.cpp
+++ b/src/roles/proxy/request_intake.cpp
@@ -8,10 +8,10 @@
 namespace myrtleroute::proxy {
 namespace {
 
-constexpr double answer_margin = 0.01;   // of the time left, so that an answer still reaches the client
-constexpr int least_urgent = 9;
+constexpr double answer_margin = 0.01;   // fraction of the client's deadline reserved for returning the response
+constexpr int lowest_priority = 9;
 
-// Fields that the proxy sets itself, or keeps to itself.
+// Fields that the proxy sets itself or does not forward.
 bool is_own_field(std::string_view name) {
     constexpr std::string_view names[] = {"Authorization",       "X-Tenant-Id", "X-Deadline-Ms",
                                           "X-Expected-Instance", "Priority",    "Last-Event-Id"};
@@ -26,10 +26,10 @@
     return wire::trim(value.substr(scheme.size()));
 }
 
-// The tenant's rank goes before the route's.
+// The tenant's priority takes precedence over the route's.
 int priority_of(const Request& request) {
     const bool by_tenant = request.tenant && request.tenant->priority >= 0;
-    return std::clamp(by_tenant ? request.tenant->priority : request.route->priority, 0, least_urgent);
+    return std::clamp(by_tenant ? request.tenant->priority : request.route->priority, 0, lowest_priority);
 }
 
 }   // namespace
@@ -48,10 +48,10 @@
     request.arrived = now;
     request.prompt = routing::read_prompt(field_value(reader.fields, "X-Token-Count"),
                                           field_value(reader.fields, "X-Prompt-Prefix"));
-    const auto told = wire::parse_decimal(field_value(reader.fields, "X-Deadline-Ms"));
-    Span patience = request.route->timeout;
-    if (told && *told > 0) patience = std::min(patience, Span{*told / 1e3} * (1 - answer_margin));
-    request.deadline = now + patience;
+    const auto deadline_ms = wire::parse_decimal(field_value(reader.fields, "X-Deadline-Ms"));
+    Span timeout = request.route->timeout;
+    if (deadline_ms && *deadline_ms > 0) timeout = std::min(timeout, Span{*deadline_ms / 1e3} * (1 - answer_margin));
+    request.deadline = now + timeout;
 }
 
 void take_content(Request& request, RequestReader& reader) {
--- a/tests/attempt_test.cpp
+++ b/tests/attempt_test.cpp
@@ -1,4 +1,4 @@
-// Races between the proxy and its servers: resets, connects that complete delayed, simultaneous closes.
+// Races between the proxy and its servers: resets, connects that complete late, simultaneous closes.
 #include "loopback.hpp"
 
 using namespace loopback;
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -51,7 +51,7 @@
 }  // namespace
 
 TEST_CASE("a stream under faults: order kept, nothing made up, held while cut, an end after all bytes") {
-    lab::Chance chance(1, 1);
+    lab::RandomStream chance(1, 1);
     Stream s;
     SECTION("none: at once") {
         s.take({1}, "ab", {}, chance);
@@ -186,7 +186,7 @@
     std::string said;
     try {
         read_experiment(path);
-    } catch (const BadScenario& fault) {
+    } catch (const ScenarioError& fault) {
         said = fault.what();
     }
     CAPTURE(text, said);
