--- a/src/lab/oracle.cpp
+++ b/src/lab/oracle.cpp
@@ -402,7 +402,7 @@
         auto& c = *it->second;
         c.answer.feed(bytes);
         if (c.answer.done()) {
-            c.answer.next();
+            c.answer.reset();
             c.busy = false;
             --proxies_[c.proxy].busy_connections;
         }
--- a/src/roles/proxy/hosts.cpp
+++ b/src/roles/proxy/hosts.cpp
@@ -126,7 +126,8 @@
     connection.deadline = connection.sent + timeout;
     connection.stale = connection.streamed = false;
     const Time up_by = connection.sent + connect_timeout;
-    context_.loop.set_timer(connection, connection.connecting ? std::min(connection.deadline, up_by) : connection.deadline);
+    context_.loop.set_timer(connection,
+                            connection.connecting ? std::min(connection.deadline, up_by) : connection.deadline);
     if (!connection.connecting) write(connection);
 }
 
