--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -94,7 +94,7 @@
     void send(CallId call, ServerId server, Span timeout) override {
         record(1110, call, Address(server), timeout.s);
     }
-    void cancel(CallId call, int shot) override { record(1020, call, static_cast<uint16_t>(shot)); }
+    void cancel(CallId call, int attempt) override { record(1020, call, static_cast<uint16_t>(attempt)); }
     void rate_limit(CallId call, Span retry_after) override { record(1030, call, retry_after.s); }
     void error(CallId call) override { record(1050, call); }
     void probe(ServerId server) override { record(1100, Address(server)); }
