--- a/src/lab/control/callers.cpp
+++ b/src/lab/control/callers.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr Span answer_within{1};
-constexpr int most_tries = 14, most_redirects = 2;
-constexpr double invalid_share = 0.06, reading_share = 0.25, patch_share = 0.5;
-constexpr int patched_routes = 4;   // names that patches use
-constexpr Span beat_every{1.2}, serves_on{2};
-constexpr Span proxy_tick{0.2}, proxy_hurry{0.05};
-constexpr int requests_a_tick = 8;   // of a proxy, while a rollout is in progress
-constexpr size_t zones = 2;
-constexpr Span lease_patience{0.2};   // of a request that waits for units
+constexpr Span response_timeout{1};
+constexpr int max_attempts = 14, max_redirects = 2;
+constexpr double invalid_share = 0.06, read_share = 0.25, patch_share = 0.5;
+constexpr int patched_route_names = 4;   // names that patches use
+constexpr Span heartbeat_interval{1.2}, drain_duration{2};
+constexpr Span proxy_tick_interval{0.2}, lease_request_delay{0.05};
+constexpr int requests_per_tick = 8;   // of a proxy, while a rollout is in progress
+constexpr size_t zone_count = 2;
+constexpr Span lease_timeout{0.2};   // of a request that waits for units
 
 std::string document(uint64_t version, uint64_t salt, const std::string& tenants) {
     return R"({"version":)" + std::to_string(version) + R"(,"routes":[{"hostname":"h","pathPrefix":"/)" +
@@ -37,214 +37,220 @@
 
 // Operators.
 
-Operator::Operator(Queue& queue, RandomStream chance, const Platform& platform, Checker& checker,
+Operator::Operator(Queue& queue, RandomStream random, const CallerEnvironment& environment, Checker& checker,
                    std::vector<Operation>& history)
-    : queue_(queue), chance_(chance), platform_(platform), checker_(checker), history_(history) {}
+    : queue_(queue), random_(random), environment_(environment), checker_(checker), history_(history) {}
 
-void Operator::think() {
-    queue_.in({chance_.exponential(1.2)}, [this] {
+void Operator::schedule_next() {
+    queue_.in({random_.exponential(1.2)}, [this] {
         if (stopped_) return;
         if (!busy_) {
-            draw_order();
-            call(choose(), 0);
+            draw_update();
+            call(choose_machine(), 0);
         }
-        think();
+        schedule_next();
     });
 }
 
-void Operator::draw_order() {
+void Operator::draw_update() {
     busy_ = true;
-    tries_ = 0;
-    valid_ = true;
-    order_ = {};
-    if (chance_.bernoulli(reading_share)) {
-        order_.reads = true;
+    attempts_ = 0;
+    body_is_valid_ = true;
+    operation_ = {};
+    if (random_.bernoulli(read_share)) {
+        operation_.is_read = true;
         body_.clear();
         return;
     }
-    order_.base = base_;
-    order_.version = base_ + 1 + static_cast<uint64_t>(chance_.below(2));   // often the other operator's number too
-    order_.patches = base_ > 0 && chance_.bernoulli(patch_share);
-    body_ = order_.patches ? draw_patch()
-                           : document(order_.version, chance_.number() % 100000, platform_.tenants(order_.version));
-    valid_ = !chance_.bernoulli(invalid_share);
-    if (!valid_) body_.resize(body_.size() / 2);
-    order_.body = checker_.number_of_order(body_, order_.patches);
+    operation_.base = base_version_;
+    operation_.version =
+        base_version_ + 1 + static_cast<uint64_t>(random_.below(2));   // often the other operator's number too
+    operation_.is_patch = base_version_ > 0 && random_.bernoulli(patch_share);
+    body_ = operation_.is_patch ? draw_patch()
+                                : document(operation_.version, random_.number() % 100000,
+                                           environment_.tenants_json(operation_.version));
+    body_is_valid_ = !random_.bernoulli(invalid_share);
+    if (!body_is_valid_) body_.resize(body_.size() / 2);
+    operation_.body = checker_.number_of_update(body_, operation_.is_patch);
 }
 
 // One tenant as a whole document of that version would have it, a route more or another one in its place, and now and then one
 // less; whether that name is there is not known here.
 std::string Operator::draw_patch() {
     const auto route_name = [this] {
-        return "p" + std::to_string(chance_.below(patched_routes));
+        return "p" + std::to_string(random_.below(patched_route_names));
     };
-    const auto tenants = nlohmann::json::parse(platform_.tenants(order_.version));
-    nlohmann::json patch{{"version", order_.version}};
-    auto tenant = tenants[static_cast<size_t>(chance_.below(static_cast<int>(tenants.size())))];
-    tenant["note"] = chance_.number();   // so that no two patches make the same of a document
+    const auto tenants = nlohmann::json::parse(environment_.tenants_json(operation_.version));
+    nlohmann::json patch{{"version", operation_.version}};
+    auto tenant = tenants[static_cast<size_t>(random_.below(static_cast<int>(tenants.size())))];
+    tenant["note"] = random_.number();   // so that no two patches make the same of a document
     patch["upsert"]["tenants"] = {std::move(tenant)};
-    if (chance_.bernoulli(0.7))
+    if (random_.bernoulli(0.7))
         patch["upsert"]["routes"] = {{{"name", route_name()},
                                       {"hostname", "h"},
-                                      {"pathPrefix", "/p" + std::to_string(chance_.number() % 100000) + "/"},
+                                      {"pathPrefix", "/p" + std::to_string(random_.number() % 100000) + "/"},
                                       {"timeoutMs", 1000},
                                       {"service", "s"}}};
-    if (chance_.bernoulli(0.2)) patch["delete"]["routes"] = {route_name()};
+    if (random_.bernoulli(0.2)) patch["delete"]["routes"] = {route_name()};
     return patch.dump();
 }
 
 void Operator::read_now() {
     busy_ = true;
-    tries_ = 0;
-    valid_ = true;
-    order_ = {};
-    order_.reads = true;
+    attempts_ = 0;
+    body_is_valid_ = true;
+    operation_ = {};
+    operation_.is_read = true;
     body_.clear();
-    call(choose(), 0);
+    call(choose_machine(), 0);
 }
 
-Machine* Operator::choose() {
-    const auto machines = platform_.machines();
-    return machines.empty() ? nullptr : machines[static_cast<size_t>(chance_.below(static_cast<int>(machines.size())))];
+Machine* Operator::choose_machine() {
+    const auto machines = environment_.machines();
+    return machines.empty() ? nullptr : machines[static_cast<size_t>(random_.below(static_cast<int>(machines.size())))];
 }
 
 void Operator::call(Machine* machine, int redirects) {
-    if (!machine) return try_again();
-    const auto number = ++call_;
-    auto operation = order_;
+    if (!machine) return retry();
+    const auto number = ++call_number_;
+    auto operation = operation_;
     operation.invoked = queue_.now();
     history_.push_back(operation);
     const auto at = history_.size() - 1;
     HttpRequest request;
-    request.method = order_.reads ? "GET" : order_.patches ? "PATCH" : "PUT";
+    request.method = operation_.is_read ? "GET" : operation_.is_patch ? "PATCH" : "PUT";
     request.path = "/config";
-    if (!order_.reads) request.if_match = std::to_string(order_.base);
+    if (!operation_.is_read) request.if_match = std::to_string(operation_.base);
     request.body = body_;
-    platform_.ask(*machine, request, [this, number, at, redirects](const std::optional<HttpResponse>& answer) {
-        if (answer && platform_.loses_answers() && chance_.bernoulli(0.7)) return;   // a time-out follows
-        if (number == call_) ended(at, answer, redirects);
-    });
-    queue_.in(answer_within, [this, number, at, redirects] {
-        if (number == call_) ended(at, {}, redirects);
+    environment_.send_request(*machine, request,
+                              [this, number, at, redirects](const std::optional<HttpResponse>& answer) {
+                                  if (answer && environment_.drops_responses() && random_.bernoulli(0.7))
+                                      return;   // a time-out follows
+                                  if (number == call_number_) completed(at, answer, redirects);
+                              });
+    queue_.in(response_timeout, [this, number, at, redirects] {
+        if (number == call_number_) completed(at, {}, redirects);
     });
 }
 
-void Operator::ended(size_t at, const std::optional<HttpResponse>& answer, int redirects) {
-    ++call_;
+void Operator::completed(size_t at, const std::optional<HttpResponse>& answer, int redirects) {
+    ++call_number_;
     auto& operation = history_[at];
     operation.answered = queue_.now();
-    if (!answer || answer->status == 503 || answer->status == 408) return try_again();
+    if (!answer || answer->status == 503 || answer->status == 408) return retry();
     if (answer->status == 307) {
         operation.invoked = Time{1e17};   // it was not asked for anything
-        if (redirects < most_redirects) return call(platform_.machine_at(answer->location), redirects + 1);
-        return try_again();
+        if (redirects < max_redirects) return call(environment_.machine_for_location(answer->location), redirects + 1);
+        return retry();
     }
-    if (order_.reads) {
+    if (operation_.is_read) {
         operation.outcome = Operation::Outcome::read;
-        operation.version = last_read_ = base_ = answer->status == 200 ? version_of(answer->body) : 0;
-        operation.body = answer->status == 200 ? checker_.number_of_order(answer->body, false) : 0;
+        operation.version = last_read_version_ = base_version_ = answer->status == 200 ? version_of(answer->body) : 0;
+        operation.body = answer->status == 200 ? checker_.number_of_update(answer->body, false) : 0;
     } else if (answer->status == 200) {
-        if (!valid_) checker_.breaks(Invariant::refused_stays_out, "an invalid order was confirmed");
+        if (!body_is_valid_) checker_.report_violation(Invariant::refused_stays_out, "an invalid order was confirmed");
         operation.outcome = Operation::Outcome::accepted;
-        base_ = std::max(base_, order_.version);
+        base_version_ = std::max(base_version_, operation_.version);
     } else {
         const bool stale = answer->status == 412, old = answer->status == 400 && is_about_version(answer->body);
-        if (stale) operation.outcome = Operation::Outcome::stale;
-        if (old) operation.outcome = Operation::Outcome::old;
+        if (stale) operation.outcome = Operation::Outcome::precondition_failed;
+        if (old) operation.outcome = Operation::Outcome::version_too_low;
         if (!stale && !old) operation.invoked = Time{1e17};   // refused whatever the state
-        if (valid_) return read_now();                        // what is current by now
+        if (body_is_valid_) return read_now();                // what is current by now
     }
-    done();
+    finish();
 }
 
-void Operator::try_again() {
-    if (++tries_ >= most_tries) return done();
-    queue_.in({chance_.between(0.05, 0.1 + 0.1 * tries_)}, [this, number = ++call_] {
-        if (number == call_) call(choose(), 0);
+void Operator::retry() {
+    if (++attempts_ >= max_attempts) return finish();
+    queue_.in({random_.between(0.05, 0.1 + 0.1 * attempts_)}, [this, number = ++call_number_] {
+        if (number == call_number_) call(choose_machine(), 0);
     });
 }
 
-void Operator::done() { busy_ = false; }
+void Operator::finish() { busy_ = false; }
 
 // Hosts.
 
-Announcer::Announcer(Queue& queue, RandomStream chance, const Platform& platform, Checker& checker, size_t number)
-    : queue_(queue), chance_(chance), platform_(platform), checker_(checker), number_(number) {}
+SimulatedHost::SimulatedHost(Queue& queue, RandomStream random, const CallerEnvironment& environment, Checker& checker,
+                             size_t number)
+    : queue_(queue), random_(random), environment_(environment), checker_(checker), number_(number) {}
 
-void Announcer::begin() { incarnate(); }
+void SimulatedHost::start() { start_incarnation(); }
 
-void Announcer::incarnate() {
-    ++life_;
+void SimulatedHost::start_incarnation() {
+    ++incarnation_;
     sequence_ = 0;
     phase_ = Phase::ready;
-    id_ = "i-" + std::to_string(number_) + "-" + std::to_string(life_);
-    beat(life_);
-    queue_.in({chance_.between(4, 30)}, [this, life = life_] {
-        if (life == life_ && phase_ == Phase::ready) {
+    id_ = "i-" + std::to_string(number_) + "-" + std::to_string(incarnation_);
+    send_heartbeats(incarnation_);
+    queue_.in({random_.between(4, 30)}, [this, incarnation = incarnation_] {
+        if (incarnation == incarnation_ && phase_ == Phase::ready) {
             phase_ = Phase::draining;
-            tell(life, 6);
+            send_update(incarnation, 6);
         }
     });
 }
 
-std::string Announcer::body() const {
+std::string SimulatedHost::body() const {
     const nlohmann::json body{
         {"service", "s"},
-        {"address", "10.9." + std::to_string(number_) + "." + std::to_string(life_ % 250) + ":80"},
+        {"address", "10.9." + std::to_string(number_) + "." + std::to_string(incarnation_ % 250) + ":80"},
         {"state", phase_ == Phase::ready ? "ready" : "draining"},
         {"sequence", sequence_}};
     return body.dump();
 }
 
-void Announcer::beat(uint64_t life) {
-    if (life != life_ || phase_ == Phase::leaving) return;
-    tell(life, 3);
-    queue_.in(beat_every, [this, life] { beat(life); });
+void SimulatedHost::send_heartbeats(uint64_t incarnation) {
+    if (incarnation != incarnation_ || phase_ == Phase::leaving) return;
+    send_update(incarnation, 3);
+    queue_.in(heartbeat_interval, [this, incarnation] { send_heartbeats(incarnation); });
 }
 
 // Calls one machine after the other until one acknowledges.
-void Announcer::tell(uint64_t life, int left) {
-    if (life != life_ || left <= 0) return;
-    const auto machines = platform_.machines();
+void SimulatedHost::send_update(uint64_t incarnation, int attempts_left) {
+    if (incarnation != incarnation_ || attempts_left <= 0) return;
+    const auto machines = environment_.machines();
     if (machines.empty()) return;
-    if (!at_ || std::find(machines.begin(), machines.end(), at_) == machines.end())
-        at_ = machines[static_cast<size_t>(chance_.below(static_cast<int>(machines.size())))];
-    auto* const asked = at_;
+    if (!machine_ || std::find(machines.begin(), machines.end(), machine_) == machines.end())
+        machine_ = machines[static_cast<size_t>(random_.below(static_cast<int>(machines.size())))];
+    auto* const machine = machine_;
     const auto phase = phase_;
     HttpRequest request;
     request.method = phase == Phase::leaving ? "DELETE" : "PUT";
     request.path = "/instances/" + id_;
     ++sequence_;
     if (phase != Phase::leaving) request.body = body();
-    const auto over = std::make_shared<bool>(false);
-    const auto next = [this, life, left, over] {
-        if (std::exchange(*over, true) || life != life_) return;
-        at_ = nullptr;
-        tell(life, left - 1);
+    const auto finished = std::make_shared<bool>(false);
+    const auto next = [this, incarnation, attempts_left, finished] {
+        if (std::exchange(*finished, true) || incarnation != incarnation_) return;
+        machine_ = nullptr;
+        send_update(incarnation, attempts_left - 1);
     };
-    platform_.ask(*asked, request, [this, life, phase, over, next](const std::optional<HttpResponse>& answer) {
-        if (*over || life != life_) return;
-        if (!answer || answer->status != 200) return next();
-        *over = true;
-        if (phase == phase_) acknowledged(life);
-    });
-    queue_.in(answer_within, next);
+    environment_.send_request(*machine, request,
+                              [this, incarnation, phase, finished, next](const std::optional<HttpResponse>& answer) {
+                                  if (*finished || incarnation != incarnation_) return;
+                                  if (!answer || answer->status != 200) return next();
+                                  *finished = true;
+                                  if (phase == phase_) acknowledged(incarnation);
+                              });
+    queue_.in(response_timeout, next);
 }
 
-void Announcer::acknowledged(uint64_t life) {
+void SimulatedHost::acknowledged(uint64_t incarnation) {
     if (phase_ == Phase::draining) {
-        phase_ = Phase::serving_on;
-        queue_.in(serves_on + Span{chance_.between(0, 3)}, [this, life] {
-            if (life != life_) return;
+        phase_ = Phase::drain_acknowledged;
+        queue_.in(drain_duration + Span{random_.between(0, 3)}, [this, incarnation] {
+            if (incarnation != incarnation_) return;
             phase_ = Phase::leaving;
-            tell(life, 8);
-            queue_.in({5}, [this, life] {
-                if (life == life_) incarnate();
+            send_update(incarnation, 8);
+            queue_.in({5}, [this, incarnation] {
+                if (incarnation == incarnation_) start_incarnation();
             });
         });
     } else if (phase_ == Phase::leaving) {
-        queue_.in({chance_.between(0.2, 2)}, [this, life] {
-            if (life == life_) incarnate();
+        queue_.in({random_.between(0.2, 2)}, [this, incarnation] {
+            if (incarnation == incarnation_) start_incarnation();
         });
     }
 }
@@ -253,178 +259,180 @@
 
 SubscribedProxy::SubscribedProxy(Queue& queue, Network& network, Checker& checker, ProcessId process,
                                  std::optional<Span> revocation_bound,
-                                 std::function<std::optional<ProcessId>(const Endpoint&)> find)
+                                 std::function<std::optional<ProcessId>(const Endpoint&)> find_process)
     : queue_(queue),
       network_(network),
       checker_(checker),
       process_(process),
-      find_(std::move(find)),
+      find_process_(std::move(find_process)),
       revocation_bound_(revocation_bound) {}
 
 void SubscribedProxy::start(const std::vector<messages::ControlNode>& seeds, uint64_t seed) {
-    ++life_;
+    ++incarnation_;
     hosts_ = registry::HostTable({});
     version_ = 0;
     tenants_ = nullptr;
-    waiting_.clear();
-    back_at_ = queue_.now();
+    waiting_requests_.clear();
+    resumed_at_ = queue_.now();
     connection_ = 0;
-    knows_hosts_ = false;
+    has_hosts_ = false;
     const auto name = "edge-" + std::to_string(process_);
     subscriber_ = std::make_unique<proxy::Subscriber>(proxy::SubscriberOptions{name, "10.1.0." + name, "north", seed});
     subscriber_->add_seeds(seeds);
     configuration_lease_ = leases::ConfigurationLease(revocation_bound_);
     leases_ = std::make_unique<leases::Holder>(leases::HolderId{name, seed}, leases::LeaseTerms{}, queue_.now());
-    hosts_chance_ = RandomStream(seed, process_);
-    rollouts_ = rollout::Watcher({name, "zone-" + std::to_string(process_ % zones), seed}, seed);
-    network_.started(process_);
-    tick(life_);
+    host_random_ = RandomStream(seed, process_);
+    rollouts_ = rollout::Watcher({name, "zone-" + std::to_string(process_ % zone_count), seed}, seed);
+    network_.process_started(process_);
+    tick(incarnation_);
 }
 
 // The hosts of service s: two that serve, which seldom fail, and three candidates, which fail where their version is bad.
-void SubscribedProxy::serve_and_tell() {
+void SubscribedProxy::serve_and_report() {
     const auto* rollout = rollouts_.rollout("s");
     if (!rollout || !rollout->in_progress()) return;
-    for (int i = 0; i < requests_a_tick; ++i) {
+    for (int i = 0; i < requests_per_tick; ++i) {
         const bool at_candidate = rollouts_.choose_candidate("s", queue_.now());
-        const double failing = at_candidate && is_bad_version(rollout->target_version) ? 0.5 : 0.02;
-        rollout::AttemptResult end;
-        end.route = "r";
-        end.host = "host-" + std::to_string(hosts_chance_.below(at_candidate ? 3 : 2));
-        end.group = at_candidate ? rollout::Group::candidate : rollout::Group::serving;
-        end.failed = hosts_chance_.bernoulli(failing);
-        end.duration = Span{0.1};
-        rollouts_.record("s", end);
+        const double failure_probability = at_candidate && is_bad_version(rollout->target_version) ? 0.5 : 0.02;
+        rollout::AttemptResult result;
+        result.route = "r";
+        result.host = "host-" + std::to_string(host_random_.below(at_candidate ? 3 : 2));
+        result.group = at_candidate ? rollout::Group::candidate : rollout::Group::serving;
+        result.failed = host_random_.bernoulli(failure_probability);
+        result.duration = Span{0.1};
+        rollouts_.record("s", result);
     }
     const auto none_open = [](const std::string&) {
         return size_t{0};
     };
-    for (auto& ballot : rollouts_.take_reports(1, none_open, queue_.now()))
-        if (subscriber_->is_open()) network_.send(connection_, process_, std::move(ballot));
+    for (auto& report : rollouts_.take_reports(1, none_open, queue_.now()))
+        if (subscriber_->is_open()) network_.send(connection_, process_, std::move(report));
 }
 
-void SubscribedProxy::end() {
-    if (!runs()) return;
+void SubscribedProxy::terminate() {
+    if (!is_running()) return;
     subscriber_.reset();
-    waiting_.clear();
-    held_back_.clear();
+    waiting_requests_.clear();
+    deferred_.clear();
     frozen_until_ = long_ago;
-    network_.ended(process_, false);
+    network_.process_ended(process_, false);
 }
 
-void SubscribedProxy::tick(uint64_t life) {
-    if (life != life_ || !runs()) return;
-    if (stands_still()) return held_back_.push_back([this, life] { tick(life); });
+void SubscribedProxy::tick(uint64_t incarnation) {
+    if (incarnation != incarnation_ || !is_running()) return;
+    if (is_frozen()) return deferred_.push_back([this, incarnation] { tick(incarnation); });
     subscriber_->tick(queue_.now());
-    carry_out();
-    ask_for_leases();
-    ask_for_configuration_lease();
-    serve_and_tell();
-    queue_.in(proxy_tick, [this, life] { tick(life); });
+    execute_outputs();
+    request_leases();
+    request_configuration_lease();
+    serve_and_report();
+    queue_.in(proxy_tick_interval, [this, incarnation] { tick(incarnation); });
 }
 
 // Standing still.
 
-void SubscribedProxy::do_or_wait(std::function<void()> what) {
-    if (stands_still()) return held_back_.push_back(std::move(what));
-    what();
+void SubscribedProxy::run_or_defer(std::function<void()> action) {
+    if (is_frozen()) return deferred_.push_back(std::move(action));
+    action();
 }
 
 void SubscribedProxy::freeze(Time until) {
-    if (!runs()) return;
+    if (!is_running()) return;
     frozen_until_ = std::max(frozen_until_, until);
-    queue_.at(frozen_until_, [this, life = life_] { thaw(life); });
+    queue_.at(frozen_until_, [this, incarnation = incarnation_] { thaw(incarnation); });
 }
 
 void SubscribedProxy::thaw_now() {
-    if (!runs() || !stands_still()) return;
+    if (!is_running() || !is_frozen()) return;
     frozen_until_ = queue_.now();
-    thaw(life_);
+    thaw(incarnation_);
 }
 
-void SubscribedProxy::thaw(uint64_t life) {
-    if (life != life_ || !runs() || stands_still()) return;
-    back_at_ = queue_.now();
-    for (auto held = std::exchange(held_back_, {}); !held.empty(); held.pop_front()) held.front()();
+void SubscribedProxy::thaw(uint64_t incarnation) {
+    if (incarnation != incarnation_ || !is_running() || is_frozen()) return;
+    resumed_at_ = queue_.now();
+    for (auto held = std::exchange(deferred_, {}); !held.empty(); held.pop_front()) held.front()();
 }
 
 void SubscribedProxy::opened(ConnectionId connection) {
-    do_or_wait([this, connection] {
+    run_or_defer([this, connection] {
         if (connection != connection_) return;
-        confirmed_when_asked_ = checker_.newest_confirmed();
-        first_told_ = true;
+        confirmed_at_subscription_ = checker_.newest_confirmed();
+        awaits_first_configuration_ = true;
         subscriber_->opened(version_, queue_.now());
-        carry_out();
+        execute_outputs();
         leases_->connected(true);
-        ask_for_leases();
+        request_leases();
         configuration_lease_.connected();
-        ask_for_configuration_lease();
+        request_configuration_lease();
     });
 }
 
-void SubscribedProxy::came(ConnectionId connection, const messages::Message& message) {
-    do_or_wait([this, connection, message] {
+void SubscribedProxy::received(ConnectionId connection, const messages::Message& message) {
+    run_or_defer([this, connection, message] {
         if (connection != connection_) return;
         subscriber_->received(message, queue_.now());
-        carry_out();
+        execute_outputs();
     });
 }
 
 void SubscribedProxy::closed(ConnectionId connection) {
-    do_or_wait([this, connection] {
+    run_or_defer([this, connection] {
         if (connection != connection_) return;
         connection_ = 0;
         leases_->connected(false);
         subscriber_->failed(queue_.now());
-        carry_out();
+        execute_outputs();
     });
 }
 
 void SubscribedProxy::request(const TenantRequest& request, std::function<void()> granted) {
-    if (!runs()) return;
-    do_or_wait([this, request, granted = std::move(granted)] {
+    if (!is_running()) return;
+    run_or_defer([this, request, granted = std::move(granted)] {
         if (!tenants_ || !configuration_lease_.is_valid(queue_.now())) return;   // no configuration, or an old one: 503
         const auto tenant = tenants_->find(request.tenant);
         if (tenant == tenants_->end() || tenant->second.api_keys.empty()) return;   // no such key: 401
         const auto ticket = next_ticket_++;
-        const auto decision = leases_->acquire(request.tenant, request.cost, ticket, lease_patience, queue_.now());
+        const auto decision = leases_->acquire(request.tenant, request.cost, ticket, lease_timeout, queue_.now());
         if (decision.verdict == leases::Verdict::granted) return granted();
         if (decision.verdict == leases::Verdict::refused) return;
-        waiting_[ticket] = granted;
-        ask_for_leases();
-        queue_.at(leases_->next_deadline(), [this, life = life_] {
-            if (life != life_ || !runs()) return;
-            do_or_wait([this] {
+        waiting_requests_[ticket] = granted;
+        request_leases();
+        queue_.at(leases_->next_deadline(), [this, incarnation = incarnation_] {
+            if (incarnation != incarnation_ || !is_running()) return;
+            run_or_defer([this] {
                 leases_->tick(queue_.now());
-                lease_decisions();
+                handle_lease_decisions();
             });
         });
     });
 }
 
-void SubscribedProxy::ask_for_leases() {
+void SubscribedProxy::request_leases() {
     if (!subscriber_->is_open()) return;
-    if (auto ask = leases_->next_request(queue_.now())) network_.send(connection_, process_, std::move(*ask));
+    if (auto lease_request = leases_->next_request(queue_.now()))
+        network_.send(connection_, process_, std::move(*lease_request));
 }
 
-void SubscribedProxy::ask_for_configuration_lease() {
+void SubscribedProxy::request_configuration_lease() {
     if (!subscriber_->is_open()) return;
-    if (const auto ask = configuration_lease_.next_request(queue_.now())) network_.send(connection_, process_, *ask);
+    if (const auto lease_request = configuration_lease_.next_request(queue_.now()))
+        network_.send(connection_, process_, *lease_request);
 }
 
-void SubscribedProxy::lease_decisions() {
+void SubscribedProxy::handle_lease_decisions() {
     for (const auto& decided : leases_->take_decided()) {
-        const auto waiting = waiting_.extract(decided.ticket);
+        const auto waiting = waiting_requests_.extract(decided.ticket);
         if (!waiting.empty() && decided.decision.verdict == leases::Verdict::granted) waiting.mapped()();
     }
-    if (leases_->has_waiting()) ask_for_leases();
+    if (leases_->has_waiting()) request_leases();
 }
 
-void SubscribedProxy::carry_out() {
+void SubscribedProxy::execute_outputs() {
     for (auto outputs = subscriber_->take_outputs(); !outputs.empty(); outputs = subscriber_->take_outputs())
         for (auto& output : outputs) {
             if (const auto* open = std::get_if<proxy::OpenLink>(&output)) {
-                const auto to = find_(open->to);
+                const auto to = find_process_(open->to);
                 connection_ = to ? network_.dial(process_, *to) : 0;
                 if (!to) subscriber_->failed(queue_.now());
             } else if (auto* send = std::get_if<proxy::SendOnLink>(&output)) {
@@ -433,26 +441,27 @@
                 network_.close(std::exchange(connection_, 0), process_);
                 leases_->connected(false);
             } else {
-                take(std::get<proxy::MessageReceived>(output).message);
+                handle(std::get<proxy::MessageReceived>(output).message);
             }
         }
 }
 
-void SubscribedProxy::take(const messages::Message& message) {
-    if (const auto* told = std::get_if<messages::ConfigurationUpdate>(&message)) {
-        const auto text = "edge-" + std::to_string(process_) + " was told version " + std::to_string(told->version);
-        if (std::exchange(first_told_, false) && told->version < confirmed_when_asked_)
-            checker_.breaks(Invariant::proxy_starts_current,
-                            text + " after " + std::to_string(confirmed_when_asked_) + " had been confirmed");
-        if (told->version < version_)
-            checker_.breaks(Invariant::proxy_goes_on, text + " behind " + std::to_string(version_));
-        configured(*told);
+void SubscribedProxy::handle(const messages::Message& message) {
+    if (const auto* update = std::get_if<messages::ConfigurationUpdate>(&message)) {
+        const auto text = "edge-" + std::to_string(process_) + " was told version " + std::to_string(update->version);
+        if (std::exchange(awaits_first_configuration_, false) && update->version < confirmed_at_subscription_)
+            checker_.report_violation(
+                Invariant::proxy_starts_current,
+                text + " after " + std::to_string(confirmed_at_subscription_) + " had been confirmed");
+        if (update->version < version_)
+            checker_.report_violation(Invariant::proxy_goes_on, text + " behind " + std::to_string(version_));
+        apply_configuration(*update);
     } else if (const auto* reply = std::get_if<leases::LeaseReply>(&message)) {
         leases_->apply(*reply, queue_.now());
-        lease_decisions();
+        handle_lease_decisions();
         if (reply->request_again)
-            queue_.in(proxy_hurry, [this, life = life_] {
-                if (life == life_ && runs()) do_or_wait([this] { ask_for_leases(); });
+            queue_.in(lease_request_delay, [this, incarnation = incarnation_] {
+                if (incarnation == incarnation_ && is_running()) run_or_defer([this] { request_leases(); });
             });
     } else if (const auto* lease = std::get_if<leases::ConfigurationLeaseReply>(&message)) {
         configuration_lease_.apply(*lease);
@@ -461,17 +470,17 @@
     } else if (const auto* rollouts = std::get_if<messages::RolloutsUpdate>(&message)) {
         rollouts_.update(rollouts->rollouts, queue_.now());
     } else if (const auto* hosts = std::get_if<messages::HostsUpdate>(&message)) {
-        knows_hosts_ = true;
+        has_hosts_ = true;
         for (const auto& host : hosts->hosts) hosts_.merge(host, queue_.now());
         hosts_.expire(queue_.now());
     }
 }
 
-void SubscribedProxy::configured(const messages::ConfigurationUpdate& told) {
-    if (told.version <= version_) return;
-    version_ = told.version;
+void SubscribedProxy::apply_configuration(const messages::ConfigurationUpdate& update) {
+    if (update.version <= version_) return;
+    version_ = update.version;
     configuration_lease_.set_version(version_);
-    tenants_ = checker_.documents().read(told.body);
+    tenants_ = checker_.documents().read(update.body);
 }
 
 }   // namespace myrtleroute::lab::control
--- a/src/lab/control/checker.hpp
+++ b/src/lab/control/checker.hpp
@@ -38,7 +38,7 @@
 constexpr size_t invariant_kinds = static_cast<size_t>(Invariant::kinds);
 const char* name_of(Invariant invariant);
 
-struct Break {
+struct Violation {
     Invariant invariant;
     Time at;
     std::string what;
@@ -47,57 +47,59 @@
 class Checker {
 public:
     // `revocation_bound`: for how long a key may be served after its removal; nothing: for ever.
-    Checker(const Queue& queue, size_t tolerated, std::optional<Span> revocation_bound)
-        : queue_(queue), tolerated_(tolerated), revocation_bound_(revocation_bound) {}
+    Checker(const Queue& queue, size_t tolerated_losses, std::optional<Span> revocation_bound)
+        : queue_(queue), tolerated_losses_(tolerated_losses), revocation_bound_(revocation_bound) {}
 
-    void acted(const Machine& machine);   // after everything that a node does
+    void check_node(const Machine& machine);   // after everything that a node does
     // An order was confirmed by a machine; `machines` are all whose disks count.
-    void confirmed(const Operation& order, const std::vector<const Machine*>& machines);
-    void refused(const Operation& order);
+    void confirmed(const Operation& update, const std::vector<const Machine*>& machines);
+    void refused(const Operation& update);
     // The machine is about to lose its disk. A copy that was on it has been made: an order that was committed with it may
     // be confirmed a moment later.
     void disk_lost(const Machine& machine);
     // A machine that no longer counts as lost.
-    void caught_up(const Machine& machine);
+    void mark_caught_up(const Machine& machine);
     void drain_acknowledged(const std::string& host, registry::HostState state, const Machine& by,
                             const std::vector<const Machine*>& machines);
     // Nothing is out of order at this moment: a disk may be lost.
-    void before_a_loss(const std::vector<const Machine*>& machines);
-    void breaks(Invariant invariant, const std::string& what);
-    void ran(const TenantRequest& request);   // it has arrived at a host
+    void check_before_disk_loss(const std::vector<const Machine*>& machines);
+    void report_violation(Invariant invariant, const std::string& what);
+    void request_executed(const TenantRequest& request);   // it has arrived at a host
     // At the end: what the orders of a history make of their bases, as a plain model has it.
-    void resolve(std::vector<Operation>& history);
+    void resolve_results(std::vector<Operation>& history);
     // Proxies that are in touch now, of so many.
-    void in_touch(const std::set<size_t>& proxies, size_t of) { quota_.limits().in_touch(proxies, of, queue_.now()); }
-    double fullest_window() const { return quota_.fullest(); }
+    void proxies_in_contact(const std::set<size_t>& proxies, size_t proxy_count) {
+        quota_.limits().proxies_in_contact(proxies, proxy_count, queue_.now());
+    }
+    double max_quota_usage() const { return quota_.max_usage(); }
     TenantDocuments& documents() { return documents_; }
     RolloutChecker& rollouts() { return rollouts_; }
 
     uint64_t newest_confirmed() const { return newest_confirmed_; }
     // The first break; of another invariant than `quota` where there is one.
-    const std::optional<Break>& broken() const { return broken_; }
+    const std::optional<Violation>& first_violation() const { return first_violation_; }
     // Whether the day has come to its end by a break. One of `quota` doesn't end it: the others are still to be checked.
-    bool ends_the_day() const { return broken_ && broken_->invariant != Invariant::quota; }
+    bool ends_run() const { return first_violation_ && first_violation_->invariant != Invariant::quota; }
     const std::array<size_t, invariant_kinds>& violations() const { return violations_; }
     const std::map<std::string, std::pair<registry::HostState, Time>>& drains() const { return drains_; }
 
 private:
     static bool holds(const Machine& machine, uint64_t version);
-    void note_keys(uint64_t version, const std::string& document);
-    void note_keyless();
-    std::optional<std::string> result_of(const Operation& order) const;
+    void track_keys(uint64_t version, const std::string& document);
+    void confirm_key_removals();
+    std::optional<std::string> result_of(const Operation& update) const;
     size_t copies_of(uint64_t version, const std::vector<const Machine*>& machines) const;
     size_t copies_made(uint64_t version, const std::vector<const Machine*>& machines) const;
 
     const Queue& queue_;
-    size_t tolerated_;
+    size_t tolerated_losses_;
     std::optional<Span> revocation_bound_;
     struct Keyless {
         uint64_t version = 0;        // committed since which the tenant has had no key; 0 = it has one
         std::optional<Time> since;   // when that, or a later one, was acknowledged
     };
     std::map<std::string, Keyless> keyless_;   // by tenant
-    std::optional<Break> broken_;
+    std::optional<Violation> first_violation_;
     std::array<size_t, invariant_kinds> violations_{};
     TenantDocuments documents_;
     QuotaChecker quota_;
@@ -106,18 +108,18 @@
     std::map<uint64_t, std::string> committed_;          // whole documents by version, in their canonical form
     std::map<uint64_t, uint64_t> confirmed_;             // numbers of bodies by version
     std::set<uint64_t> confirmed_bodies_;
-    std::map<ProcessId, uint64_t> looked_at_;             // index of the entry
+    std::map<ProcessId, uint64_t> last_checked_;          // index of the entry
     std::map<uint64_t, std::set<std::string>> refused_;   // whole documents by version
     std::vector<Operation> refused_patches_;
     std::map<std::string, std::pair<registry::HostState, Time>> drains_;   // hosts that were acknowledged
     uint64_t newest_confirmed_ = 0;
-    std::map<ProcessId, uint64_t> on_lost_disks_;   // the newest version that a machine's last disk held
-    std::set<ProcessId> without_old_disk_;          // machines that count as lost since their disks were
+    std::map<ProcessId, uint64_t> versions_on_lost_disks_;   // the newest version that a machine's last disk held
+    std::set<ProcessId> catching_up_;                        // machines that count as lost since their disks were
 
 public:
     // Bodies have numbers, so that histories are small.
     uint64_t number_of(const std::string& body);
-    uint64_t number_of_order(const std::string& body, bool patches);
+    uint64_t number_of_update(const std::string& body, bool is_patch);
     const std::string& body(uint64_t number) const { return bodies_.at(number - 1); }
 
 private:
--- a/src/lab/control/disk.hpp
+++ b/src/lab/control/disk.hpp
@@ -17,17 +17,17 @@
     static constexpr uint64_t file_bytes = 192 * 1024;
 
     storage::RecordRing open();
-    bool refuses = false;   // every write and sync
+    bool fails_writes = false;   // every write and sync
 
     // What a ring has asked for since the last call of one of these.
     void complete();                        // has happened
-    void interrupt(RandomStream& chance);   // has happened up to some point: the process has ended
-    void lose_power(RandomStream& chance);
+    void interrupt(RandomStream& random);   // has happened up to some point: the process has ended
+    void lose_power(RandomStream& random);
     void wipe();
-    void rot(RandomStream& chance);   // bits of what is safe change
+    void corrupt(RandomStream& random);   // bits of what is safe change
 
     // What would be found if power were lost now and nothing came through that is not safe.
-    storage::Recovered safe() const;
+    storage::Recovered recover_durable() const;
 
 private:
     struct Operation {
@@ -37,15 +37,15 @@
         std::string bytes;
     };
     struct Content {
-        std::string safe, seen;
+        std::string durable, visible;
         std::vector<Operation> unsynced;
     };
     class OpenFile;
     void apply(const Operation& operation);
-    static void put(std::string& content, uint64_t offset, std::string_view bytes);
+    static void write_bytes(std::string& content, uint64_t offset, std::string_view bytes);
 
     Content contents_[files];
-    std::vector<Operation> asked_;
+    std::vector<Operation> requested_;
 };
 
 }   // namespace myrtleroute::lab::control
--- a/src/lab/control/explorer.cpp
+++ b/src/lab/control/explorer.cpp
@@ -14,7 +14,7 @@
 
 using namespace consensus;
 
-constexpr Span beat_pause{0.25}, time_out_pause{2.5};
+constexpr Span heartbeat_step{0.25}, election_timeout_step{2.5};
 constexpr uint64_t first_lost_disk = 100;
 
 // A machine with its replica and its disk.
@@ -29,8 +29,8 @@
 struct State {
     Time now{100};
     std::vector<Slot> slots;
-    std::map<std::pair<size_t, size_t>, std::deque<Message>> links;
-    int time_outs = 0, beats = 0, proposals = 0, crashes = 0, lost_disks = 0, breaks = 0;
+    std::map<std::pair<size_t, size_t>, std::deque<Message>> connections;
+    int election_timeouts = 0, heartbeats = 0, proposals = 0, crashes = 0, lost_disks = 0, broken_connections = 0;
     std::map<uint64_t, ReplicaId> leaders;   // by term
     uint64_t next_version = 1;
     Position committed;   // the highest that a leader has seen committed, and its version
@@ -39,16 +39,16 @@
 
 class Explorer {
 public:
-    explicit Explorer(const Exploration& what) : what_(what) {}
+    explicit Explorer(const ExplorationOptions& options) : options_(options) {}
 
-    Explored run() {
-        auto first = first_state();
-        if (what_.elected) elect(first);
-        reach(std::move(first), no_parent, "start");
-        for (size_t depth = 0; depth < what_.depth && !frontier_.empty() && !result_.broken; ++depth) {
+    ExplorationResult run() {
+        auto first = initial_state();
+        if (options_.starts_elected) elect(first);
+        add_state(std::move(first), no_parent, "start");
+        for (size_t depth = 0; depth < options_.depth && !frontier_.empty() && !result_.violation; ++depth) {
             for (const auto& [state, node] : std::exchange(frontier_, {})) {
-                if (result_.broken || !result_.complete) break;
-                at_ = node;
+                if (result_.violation || !result_.complete) break;
+                current_node_ = node;
                 expand(state);
             }
         }
@@ -57,20 +57,20 @@
     }
 
 private:
-    State first_state() {
+    State initial_state() {
         State state;
         ClusterState cluster;
-        for (size_t i = 0; i < what_.voters; ++i) cluster.voters.push_back({endpoint(i), 0});
-        state.time_outs = what_.time_outs;
-        state.beats = what_.beats;
-        state.proposals = what_.proposals;
-        state.crashes = what_.crashes;
-        state.lost_disks = what_.lost_disks;
-        state.breaks = what_.breaks;
-        for (size_t i = 0; i < what_.voters + what_.joiners; ++i) {
+        for (size_t i = 0; i < options_.voters; ++i) cluster.voters.push_back({endpoint(i), 0});
+        state.election_timeouts = options_.election_timeouts;
+        state.heartbeats = options_.heartbeats;
+        state.proposals = options_.proposals;
+        state.crashes = options_.crashes;
+        state.lost_disks = options_.lost_disks;
+        state.broken_connections = options_.broken_connections;
+        for (size_t i = 0; i < options_.voters + options_.joiners; ++i) {
             Slot slot;
-            slot.id = {endpoint(i), i < what_.voters ? 0 : i};
-            if (i < what_.voters) slot.disk_entry = Entry{{0, 1}, cluster};
+            slot.id = {endpoint(i), i < options_.voters ? 0 : i};
+            if (i < options_.voters) slot.disk_entry = Entry{{0, 1}, cluster};
             state.slots.push_back(slot);
             start(state, i);
         }
@@ -78,16 +78,16 @@
     }
     // The first replica times out, and everything that follows happens at once and in order.
     void elect(State& state) {
-        state.now = state.now + time_out_pause;
+        state.now = state.now + election_timeout_step;
         state.slots[0].replica->tick(state.now);
-        carry_out(state, 0);
+        execute_outputs(state, 0);
         for (bool busy = true; busy;) {
             busy = false;
             for (size_t i = 0; i < state.slots.size(); ++i)
                 for (; !state.slots[i].writes.empty(); busy = true) write(state, i);
-            for (auto& [link, messages] : state.links)
+            for (auto& [connection, messages] : state.connections)
                 if (!messages.empty()) {
-                    receive(state, link.first, link.second);
+                    receive(state, connection.first, connection.second);
                     busy = true;
                     break;
                 }
@@ -106,35 +106,35 @@
             }
     }
 
-    static size_t number_of(const State& state, const ReplicaId& id) {
+    static size_t index_of(const State& state, const ReplicaId& id) {
         for (size_t i = 0; i < state.slots.size(); ++i)
             if (state.slots[i].id == id) return i;
         return state.slots.size();
     }
 
     // Takes what a replica asks for, and checks what has changed.
-    void carry_out(State& state, size_t i) {
+    void execute_outputs(State& state, size_t i) {
         auto& slot = state.slots[i];
         for (auto& output : slot.replica->take_outputs()) {
             if (auto* send = std::get_if<SendTo>(&output)) {
-                const auto to = number_of(state, send->to);
-                if (to < state.slots.size()) state.links[{i, to}].push_back(std::move(send->message));
+                const auto to = index_of(state, send->to);
+                if (to < state.slots.size()) state.connections[{i, to}].push_back(std::move(send->message));
             } else if (auto* persist = std::get_if<Persist>(&output)) {
                 slot.writes.push_back(std::move(*persist));
             } else if (const auto* changed = std::get_if<LeadershipChanged>(&output)) {
-                if (changed->leads) began_to_lead(state, slot);
+                if (changed->leads) check_new_leader(state, slot);
             } else if (const auto* committed = std::get_if<Committed>(&output)) {
-                if (slot.replica->role() == Role::leader) saw_committed(state, slot, *committed);
+                if (slot.replica->role() == Role::leader) check_commit(state, slot, *committed);
             }
         }
     }
 
     void receive(State& state, size_t from, size_t to) {
-        auto& queue = state.links[{from, to}];
+        auto& queue = state.connections[{from, to}];
         const auto message = std::move(queue.front());
         queue.pop_front();
         state.slots[to].replica->receive(state.slots[from].id, message, state.now);
-        carry_out(state, to);
+        execute_outputs(state, to);
     }
 
     void write(State& state, size_t i) {
@@ -144,34 +144,36 @@
         if (write.hard_state) slot.disk_hard_state = *write.hard_state;
         if (write.entry) slot.disk_entry = write.entry;
         slot.replica->persisted(write.number, state.now);
-        carry_out(state, i);
+        execute_outputs(state, i);
     }
 
-    void began_to_lead(State& state, const Slot& slot) {
+    void check_new_leader(State& state, const Slot& slot) {
         ++result_.elections;
-        const auto [known, fresh] = state.leaders.try_emplace(slot.replica->term(), slot.id);
-        if (!fresh && known->second != slot.id) breaks("two leaders of one term");
-        if (slot.replica->entry()->state.version < state.committed_version) breaks("a leader lacks what is committed");
+        const auto [existing, inserted] = state.leaders.try_emplace(slot.replica->term(), slot.id);
+        if (!inserted && existing->second != slot.id) report_violation("two leaders of one term");
+        if (slot.replica->entry()->state.version < state.committed_version)
+            report_violation("a leader lacks what is committed");
     }
 
-    void saw_committed(State& state, const Slot& slot, const Committed& committed) {
+    void check_commit(State& state, const Slot& slot, const Committed& committed) {
         ++result_.commits;
         const auto& entry = *slot.replica->entry();
         if (entry.position.index != committed.position.index) return;
         // A disk that was lost since has taken its copy with it.
-        auto copies = static_cast<size_t>(what_.lost_disks - state.lost_disks);
+        auto copies = static_cast<size_t>(options_.lost_disks - state.lost_disks);
         for (const auto& other : state.slots)
             copies += other.disk_entry && other.disk_entry->position >= entry.position &&
                       std::binary_search(entry.state.voters.begin(), entry.state.voters.end(), other.id);
-        if (2 * copies <= entry.state.voters.size()) breaks("an entry is committed without a majority's disks");
+        if (2 * copies <= entry.state.voters.size())
+            report_violation("an entry is committed without a majority's disks");
         if (entry.position < state.committed) return;
         state.committed = entry.position;
-        if (entry.state.version < state.committed_version) breaks("a later entry lacks what is committed");
+        if (entry.state.version < state.committed_version) report_violation("a later entry lacks what is committed");
         state.committed_version = entry.state.version;
     }
 
-    void breaks(const std::string& invariant) {
-        if (!result_.broken) result_.broken = invariant + ":" + path_to(at_) + " " + action_;
+    void report_violation(const std::string& invariant) {
+        if (!result_.violation) result_.violation = invariant + ":" + path_to(current_node_) + " " + action_;
     }
     std::string path_to(size_t node) const {
         if (node == no_parent) return {};
@@ -179,30 +181,30 @@
     }
 
     // A state is expanded once, when it is first reached: that is with as many actions left as it ever is.
-    void reach(State state, size_t parent, const std::string& action) {
+    void add_state(State state, size_t parent, const std::string& action) {
         if (!seen_.insert(fingerprint(state)).second) return;
-        if (seen_.size() >= what_.most_states) result_.complete = false;
+        if (seen_.size() >= options_.max_states) result_.complete = false;
         nodes_.push_back({parent, action});
         frontier_.emplace_back(std::move(state), nodes_.size() - 1);
     }
 
     void expand(const State& state) {
-        for (const auto& [link, messages] : state.links)
-            if (!messages.empty()) deliver(state, link.first, link.second);
-        for (size_t i = 0; i < state.slots.size(); ++i) act_at(state, i);
-        if (state.breaks > 0)
-            for (const auto& [link, messages] : state.links)
-                if (!messages.empty()) break_link(state, link);
+        for (const auto& [connection, messages] : state.connections)
+            if (!messages.empty()) deliver(state, connection.first, connection.second);
+        for (size_t i = 0; i < state.slots.size(); ++i) expand_machine(state, i);
+        if (state.broken_connections > 0)
+            for (const auto& [connection, messages] : state.connections)
+                if (!messages.empty()) break_connection(state, connection);
     }
 
     template <class Change>
     void step(const State& state, const std::string& action, Change change) {
-        if (result_.broken) return;
+        if (result_.violation) return;
         ++result_.transitions;
         action_ = action;
         State next = state;
         change(next);
-        if (!result_.broken) reach(std::move(next), at_, action);
+        if (!result_.violation) add_state(std::move(next), current_node_, action);
     }
 
     void deliver(const State& state, size_t from, size_t to) {
@@ -210,31 +212,32 @@
              [&](State& next) { receive(next, from, to); });
     }
 
-    void break_link(const State& state, std::pair<size_t, size_t> link) {
-        step(state, "break " + std::to_string(link.first) + ">" + std::to_string(link.second), [&](State& next) {
-            --next.breaks;
-            next.links[link].clear();
-        });
+    void break_connection(const State& state, std::pair<size_t, size_t> connection) {
+        step(state, "break " + std::to_string(connection.first) + ">" + std::to_string(connection.second),
+             [&](State& next) {
+                 --next.broken_connections;
+                 next.connections[connection].clear();
+             });
     }
 
-    void act_at(const State& state, size_t i) {
+    void expand_machine(const State& state, size_t i) {
         const auto& slot = state.slots[i];
         const auto number = std::to_string(i);
         if (!slot.writes.empty()) step(state, "write at " + number, [&](State& next) { write(next, i); });
         const bool leads = slot.replica->role() == Role::leader;
-        if (leads && state.beats > 0)
+        if (leads && state.heartbeats > 0)
             step(state, "beat of " + number, [&](State& next) {
-                --next.beats;
-                next.now = next.now + beat_pause;
+                --next.heartbeats;
+                next.now = next.now + heartbeat_step;
                 next.slots[i].replica->tick(next.now);
-                carry_out(next, i);
+                execute_outputs(next, i);
             });
-        if (!leads && state.time_outs > 0 && slot.replica->is_voter(slot.id))
+        if (!leads && state.election_timeouts > 0 && slot.replica->is_voter(slot.id))
             step(state, "time-out at " + number, [&](State& next) {
-                --next.time_outs;
-                next.now = next.now + time_out_pause;
+                --next.election_timeouts;
+                next.now = next.now + election_timeout_step;
                 next.slots[i].replica->tick(next.now);
-                carry_out(next, i);
+                execute_outputs(next, i);
             });
         if (leads && state.proposals > 0)
             step(state, "proposal at " + number, [&](State& next) {
@@ -242,7 +245,7 @@
                 auto proposed = next.slots[i].replica->entry()->state;
                 proposed.version = next.next_version++;
                 next.slots[i].replica->propose(std::move(proposed), next.now);
-                carry_out(next, i);
+                execute_outputs(next, i);
             });
         if (state.crashes > 0) step(state, "crash of " + number, [&](State& next) { crash(next, i, false); });
         if (state.lost_disks > 0) step(state, "lost disk at " + number, [&](State& next) { crash(next, i, true); });
@@ -251,8 +254,8 @@
     void crash(State& state, size_t i, bool loses_disk) {
         --(loses_disk ? state.lost_disks : state.crashes);
         auto& slot = state.slots[i];
-        for (auto& [link, messages] : state.links)
-            if (link.first == i || link.second == i) messages.clear();
+        for (auto& [connection, messages] : state.connections)
+            if (connection.first == i || connection.second == i) messages.clear();
         if (loses_disk) {
             slot.id.disk = first_lost_disk + static_cast<uint64_t>(state.lost_disks);
             slot.disk_hard_state = {};
@@ -268,12 +271,12 @@
             text += position(slot.disk_entry ? slot.disk_entry->position : Position{}) +
                     std::to_string(slot.disk_hard_state.term) + "w" + std::to_string(slot.writes.size());
         }
-        for (const auto& [link, messages] : state.links) {
-            text += "|" + std::to_string(link.first) + std::to_string(link.second);
+        for (const auto& [connection, messages] : state.connections) {
+            text += "|" + std::to_string(connection.first) + std::to_string(connection.second);
             for (const auto& message : messages) text += describe(message);
         }
-        for (const int left :
-             {state.time_outs, state.beats, state.proposals, state.crashes, state.lost_disks, state.breaks})
+        for (const int left : {state.election_timeouts, state.heartbeats, state.proposals, state.crashes,
+                               state.lost_disks, state.broken_connections})
             text += "," + std::to_string(left);
         return fnv1a(text + position(state.committed) + std::to_string(state.committed_version));
     }
@@ -296,8 +299,8 @@
         return text;
     }
 
-    const Exploration& what_;
-    Explored result_;
+    const ExplorationOptions& options_;
+    ExplorationResult result_;
     struct Node {
         size_t parent;
         std::string action;
@@ -306,12 +309,12 @@
     std::unordered_set<uint64_t> seen_;   // fingerprints
     std::vector<Node> nodes_;             // how each state was first reached
     std::vector<std::pair<State, size_t>> frontier_;
-    size_t at_ = no_parent;   // the node that is expanded
+    size_t current_node_ = no_parent;   // the node that is expanded
     std::string action_;
 };
 
 }   // namespace
 
-Explored explore(const Exploration& what) { return Explorer(what).run(); }
+ExplorationResult explore(const ExplorationOptions& options) { return Explorer(options).run(); }
 
 }   // namespace myrtleroute::lab::control
--- a/src/lab/control/history.cpp
+++ b/src/lab/control/history.cpp
@@ -6,7 +6,7 @@
 namespace myrtleroute::lab::control {
 namespace {
 
-constexpr size_t most_states = 300000;
+constexpr size_t max_states = 300000;
 
 // The register as the documents of the operators' interface describe it.
 struct Register {
@@ -16,10 +16,10 @@
     // Whether the register gives the operation's answer now; if so, its effect is applied.
     bool apply(const Operation& operation) {
         using Outcome = Operation::Outcome;
-        if (operation.reads) return operation.version == version && operation.body == body;
+        if (operation.is_read) return operation.version == version && operation.body == body;
         const bool known = accepted.count(operation.body) > 0;
-        if (operation.outcome == Outcome::stale) return !known && operation.base != version;
-        if (operation.outcome == Outcome::old)
+        if (operation.outcome == Outcome::precondition_failed) return !known && operation.base != version;
+        if (operation.outcome == Outcome::version_too_low)
             return !known && operation.base == version && operation.version <= version;
         if (known) return operation.outcome == Outcome::accepted;
         if (operation.base != version || operation.version <= version || operation.result == 0) return false;
@@ -32,36 +32,36 @@
 
 class Search {
 public:
-    explicit Search(const std::vector<Operation>& history) : history_(history), done_(history.size(), false) {}
+    explicit Search(const std::vector<Operation>& history) : history_(history), linearized_(history.size(), false) {}
     Verdict run() {
-        return explore(Register{})     ? Verdict::linearizable
-               : states_ < most_states ? Verdict::broken
-                                       : Verdict::undecided;
+        return explore(Register{})    ? Verdict::linearizable
+               : states_ < max_states ? Verdict::not_linearizable
+                                      : Verdict::undecided;
     }
 
 private:
-    bool is_open(size_t i) const { return history_[i].outcome == Operation::Outcome::open; }
+    bool is_unresolved(size_t i) const { return history_[i].outcome == Operation::Outcome::unresolved; }
 
     bool explore(const Register& state) {
         Time first_answer{1e18};
         for (size_t i = 0; i < history_.size(); ++i)
-            if (!done_[i] && !is_open(i)) first_answer = std::min(first_answer, history_[i].answered);
+            if (!linearized_[i] && !is_unresolved(i)) first_answer = std::min(first_answer, history_[i].answered);
         if (first_answer.s >= 1e18) return true;   // what is left need not have happened
-        if (++states_ >= most_states || !tried_.emplace(done_, state.body).second) return false;
+        if (++states_ >= max_states || !visited_.emplace(linearized_, state.body).second) return false;
         for (size_t i = 0; i < history_.size(); ++i) {
-            if (done_[i] || history_[i].invoked > first_answer) continue;
+            if (linearized_[i] || history_[i].invoked > first_answer) continue;
             Register next = state;
             if (!next.apply(history_[i])) continue;
-            done_[i] = true;
+            linearized_[i] = true;
             if (explore(next)) return true;
-            done_[i] = false;
+            linearized_[i] = false;
         }
         return false;
     }
 
     const std::vector<Operation>& history_;
-    std::vector<bool> done_;
-    std::set<std::pair<std::vector<bool>, uint64_t>> tried_;
+    std::vector<bool> linearized_;
+    std::set<std::pair<std::vector<bool>, uint64_t>> visited_;
     size_t states_ = 0;
 };
 
--- a/src/lab/control/machine.hpp
+++ b/src/lab/control/machine.hpp
@@ -20,34 +20,34 @@
 class Machine {
 public:
     // What a machine wants of the world around it.
-    struct Surroundings {
+    struct Environment {
         std::function<std::optional<ProcessId>(const Endpoint&)> process_at;
-        std::function<void(Machine&)> acted;   // after everything that its node has done
+        std::function<void(Machine&)> after_step;   // after everything that its node has done
     };
     Machine(Queue& queue, Network& network, ProcessId process, configuration::NodeSettings settings, uint64_t seed,
-            Surroundings surroundings);
+            Environment environment);
 
     void start();
-    enum class End { killed, without_power };
-    void end(End how);
+    enum class Termination { killed, power_lost };
+    void terminate(Termination how);
     void freeze(Time until);
     // SIGTERM: it ends by itself a little later, and `ended` is called.
-    void stop(std::function<void()> ended);
-    void disk_busy_until(Time until, double factor);   // factor: of the time of a write; 0 = it ends none
-    void disk_is_well();
-    bool disk_is_busy() const { return disk_.refuses || queue_.now() < disk_busy_until_; }
+    void stop(std::function<void()> on_stopped);
+    void delay_disk_until(Time until, double factor);   // factor: of the time of a write; 0 = it ends none
+    void end_disk_delay();
+    bool disk_is_impaired() const { return disk_.fails_writes || queue_.now() < disk_delayed_until_; }
     void thaw_now();
-    void forget_first_start() { settings_.bootstrap = false; }
+    void clear_bootstrap() { settings_.bootstrap = false; }
 
     // For the network and the callers of its HTTP interface.
     void opened(ConnectionId connection);
-    void came(ConnectionId connection, const messages::Message& message);
+    void received(ConnectionId connection, const messages::Message& message);
     void closed(ConnectionId connection);
     // `given` hears the answer when the node gives it, `reply` when it arrives.
-    void request(myrtleroute::control::HttpRequest request, Reply given, Reply reply);
+    void request(myrtleroute::control::HttpRequest request, Reply on_answered, Reply reply);
 
-    bool runs() const { return node_ != nullptr; }
-    bool stands_still() const { return queue_.now() < frozen_until_; }
+    bool is_running() const { return node_ != nullptr; }
+    bool is_frozen() const { return queue_.now() < frozen_until_; }
     bool is_stopping() const { return stopping_; }
     const myrtleroute::control::Node* node() const { return node_.get(); }
     ProcessId process() const { return process_; }
@@ -55,26 +55,26 @@
     Endpoint peer() const { return {settings_.address, settings_.first_internal_port}; }
     VirtualDisk& disk() { return disk_; }
     // What a start after a loss of power would find of it.
-    myrtleroute::control::StoredState safe_state() const;
-    uint64_t lives() const { return life_; }
-    bool gone = false;            // for good
-    bool succeeds = false;        // one that is gone or will be
-    Time back_at = long_ago;      // when it last was started, thawed or joined again
-    Time disk_since = long_ago;   // since when it has this disk
+    myrtleroute::control::StoredState durable_state() const;
+    uint64_t incarnations() const { return incarnation_; }
+    bool removed = false;              // for good
+    bool is_successor = false;         // one that is gone or will be
+    Time resumed_at = long_ago;        // when it last was started, thawed or joined again
+    Time disk_created_at = long_ago;   // since when it has this disk
 
 private:
-    struct Dialled {
+    struct OutgoingConnection {
         ConnectionId connection = 0;
-        bool up = false;
-        Time next_try = long_ago;
+        bool established = false;
+        Time next_attempt = long_ago;
     };
-    void do_or_wait(std::function<void()> what);   // now, or when it no longer stands still
-    void tick(uint64_t life);
-    void thaw(uint64_t life);
-    void leave(uint64_t life, Time until);
-    std::function<void()> stopped_;
-    void keep_connected();
-    void carry_out();
+    void run_or_defer(std::function<void()> action);   // now, or when it no longer stands still
+    void tick(uint64_t incarnation);
+    void thaw(uint64_t incarnation);
+    void shut_down(uint64_t incarnation, Time until);
+    std::function<void()> on_stopped_;
+    void dial_peers();
+    void execute_outputs();
     void write(myrtleroute::control::Write write);
     void write_next();
     void answer(const myrtleroute::control::HttpResponse& answer);
@@ -83,22 +83,22 @@
     Network& network_;
     ProcessId process_;
     configuration::NodeSettings settings_;
-    RandomStream chance_;
-    Surroundings surroundings_;
+    RandomStream random_;
+    Environment environment_;
     VirtualDisk disk_;
     std::unique_ptr<myrtleroute::control::Node> node_;
     std::optional<storage::RecordRing> ring_;
     myrtleroute::control::WriteQueue writes_;
     bool writing_ = false, stopping_ = false;
-    uint64_t life_ = 0;
-    Time frozen_until_ = long_ago, disk_busy_until_ = long_ago;
-    double disk_factor_ = 1;
-    std::deque<std::function<void()>> held_back_;
-    std::map<Endpoint, Dialled> dialled_;
-    struct Caller {
-        Reply given, reply;
+    uint64_t incarnation_ = 0;
+    Time frozen_until_ = long_ago, disk_delayed_until_ = long_ago;
+    double write_time_factor_ = 1;
+    std::deque<std::function<void()>> deferred_;
+    std::map<Endpoint, OutgoingConnection> outgoing_;
+    struct PendingRequest {
+        Reply on_answered, reply;
     };
-    std::map<myrtleroute::control::RequestId, Caller> callers_;
+    std::map<myrtleroute::control::RequestId, PendingRequest> pending_requests_;
     myrtleroute::control::RequestId next_request_ = 1;
 };
 
--- a/src/lab/control/main.cpp
+++ b/src/lab/control/main.cpp
@@ -20,129 +20,130 @@
 
 using namespace myrtleroute::lab::control;
 
-constexpr int held = 0, broke = 1, at_fault = 2;
-constexpr size_t most_reports = 10;
+constexpr int exit_ok = 0, exit_violation = 1, exit_usage = 2;
+constexpr size_t max_reports = 10;
 
 struct Totals {
     Outcome sum;
     double longest_agreement = 0;
-    uint64_t days = 0, broken = 0, digest = 0;
-    std::array<size_t, invariant_kinds> days_broken{};   // by invariant
+    uint64_t runs = 0, violating_runs = 0, digest = 0;
+    std::array<size_t, invariant_kinds> runs_violating{};   // by invariant
 
-    void add(uint64_t seed, const Outcome& day) {
-        ++days;
-        sum.requests += day.requests;
-        sum.ran += day.ran;
-        sum.fullest_window = std::max(sum.fullest_window, day.fullest_window);
+    void add(uint64_t seed, const Outcome& outcome) {
+        ++runs;
+        sum.requests += outcome.requests;
+        sum.executed += outcome.executed;
+        sum.max_quota_usage = std::max(sum.max_quota_usage, outcome.max_quota_usage);
         for (size_t i = 0; i < invariant_kinds; ++i) {
-            sum.violations[i] += day.violations[i];
-            days_broken[i] += day.violations[i] > 0;
+            sum.violations[i] += outcome.violations[i];
+            runs_violating[i] += outcome.violations[i] > 0;
         }
-        broken += day.broken.has_value();
-        digest ^= day.digest * (2 * seed + 1);
-        sum.steps += day.steps;
-        sum.confirmed += day.confirmed;
-        sum.refused += day.refused;
-        sum.readings += day.readings;
-        sum.unclear += day.unclear;
-        sum.drains += day.drains;
-        sum.undecided += day.undecided;
-        longest_agreement = std::max(longest_agreement, day.agreed_after);
+        violating_runs += outcome.violation.has_value();
+        digest ^= outcome.digest * (2 * seed + 1);
+        sum.steps += outcome.steps;
+        sum.confirmed += outcome.confirmed;
+        sum.refused += outcome.refused;
+        sum.reads += outcome.reads;
+        sum.unresolved += outcome.unresolved;
+        sum.drains += outcome.drains;
+        sum.undecided += outcome.undecided;
+        longest_agreement = std::max(longest_agreement, outcome.agreement_time);
         for (size_t i = 0; i < fault_kinds; ++i) {
-            sum.met[i] += day.met[i];
-            for (size_t j = 0; j < fault_kinds; ++j) sum.pairs[i][j] += day.pairs[i][j];
+            sum.injected[i] += outcome.injected[i];
+            for (size_t j = 0; j < fault_kinds; ++j) sum.overlapping_pairs[i][j] += outcome.overlapping_pairs[i][j];
         }
     }
     void print(std::ostream& out, bool with_pairs) const {
-        out << sum.confirmed << " orders confirmed, " << sum.refused << " refused, " << sum.unclear
-            << " calls without a clear answer, " << sum.readings << " readings, " << sum.drains << " hosts drained, "
+        out << sum.confirmed << " orders confirmed, " << sum.refused << " refused, " << sum.unresolved
+            << " calls without a clear answer, " << sum.reads << " readings, " << sum.drains << " hosts drained, "
             << sum.undecided
             << " histories undecided\nlongest time to agreement after the last fault: " << std::setprecision(3)
             << longest_agreement << " s\nfaults met:";
-        for (size_t i = 0; i < fault_kinds; ++i) out << ' ' << name_of(static_cast<FaultKind>(i)) << ' ' << sum.met[i];
-        out << "\nrequests of tenants: " << sum.requests << ", run " << sum.ran
-            << "; fullest window: " << std::setprecision(3) << sum.fullest_window << " of what is allowed";
+        for (size_t i = 0; i < fault_kinds; ++i)
+            out << ' ' << name_of(static_cast<FaultKind>(i)) << ' ' << sum.injected[i];
+        out << "\nrequests of tenants: " << sum.requests << ", run " << sum.executed
+            << "; fullest window: " << std::setprecision(3) << sum.max_quota_usage << " of what is allowed";
         for (size_t i = 0; i < invariant_kinds; ++i)
-            if (days_broken[i] > 0)
-                out << "\nbroken: " << name_of(static_cast<Invariant>(i)) << " on " << days_broken[i] << " days, "
+            if (runs_violating[i] > 0)
+                out << "\nbroken: " << name_of(static_cast<Invariant>(i)) << " on " << runs_violating[i] << " days, "
                     << sum.violations[i] << " violations";
-        size_t met = 0, possible = 0;
+        size_t covered = 0, possible = 0;
         for (size_t i = 0; i < fault_kinds; ++i)
             for (size_t j = i; j < fault_kinds; ++j) {
                 ++possible;
-                met += sum.pairs[i][j] > 0;
+                covered += sum.overlapping_pairs[i][j] > 0;
             }
-        out << "\npairs of faults at one time: " << met << " of " << possible << '\n';
+        out << "\npairs of faults at one time: " << covered << " of " << possible << '\n';
         if (!with_pairs) return;
         for (size_t i = 0; i < fault_kinds; ++i)
             for (size_t j = i; j < fault_kinds; ++j)
                 out << "  " << name_of(static_cast<FaultKind>(i)) << " + " << name_of(static_cast<FaultKind>(j)) << ' '
-                    << sum.pairs[i][j] << '\n';
+                    << sum.overlapping_pairs[i][j] << '\n';
     }
 };
 
-void report(std::ostream& out, uint64_t seed, const Break& broken) {
+void report(std::ostream& out, uint64_t seed, const Violation& broken) {
     out << "seed " << seed << ", at " << std::fixed << std::setprecision(3) << broken.at.s - 100
         << " s: " << name_of(broken.invariant) << ": " << broken.what << std::defaultfloat << '\n';
 }
 
 // Those of `quota` last: they must not hide others.
-void report_all(std::ostream& out, const std::map<uint64_t, Break>& breaks) {
+void report_all(std::ostream& out, const std::map<uint64_t, Violation>& violations_by_seed) {
     size_t reported = 0;
-    for (const bool of_quota : {false, true})
-        for (const auto& [seed, broken] : breaks)
-            if ((broken.invariant == Invariant::quota) == of_quota && ++reported <= most_reports)
+    for (const bool is_quota : {false, true})
+        for (const auto& [seed, broken] : violations_by_seed)
+            if ((broken.invariant == Invariant::quota) == is_quota && ++reported <= max_reports)
                 report(out, seed, broken);
 }
 
 int sweep(uint64_t from, uint64_t seeds, unsigned jobs, bool first, bool with_pairs, bool but_quota) {
-    const auto began = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     std::atomic<uint64_t> next{0};
-    std::mutex together;
+    std::mutex results_mutex;
     Totals totals;
-    std::map<uint64_t, Break> breaks;
+    std::map<uint64_t, Violation> violations_by_seed;
     const auto work = [&] {
         for (uint64_t n = 0; (n = next++) < seeds;) {
-            const auto day = play(draw_plan(from + n));
-            const std::lock_guard lock(together);
-            totals.add(from + n, day);
-            if (!day.broken) continue;
-            breaks.emplace(from + n, *day.broken);
+            const auto outcome = run_plan(draw_plan(from + n));
+            const std::lock_guard lock(results_mutex);
+            totals.add(from + n, outcome);
+            if (!outcome.violation) continue;
+            violations_by_seed.emplace(from + n, *outcome.violation);
             if (first) next = seeds;
         }
     };
     std::vector<std::thread> threads;
     for (unsigned i = 0; i < jobs; ++i) threads.emplace_back(work);
     for (auto& thread : threads) thread.join();
-    report_all(std::cout, breaks);
+    report_all(std::cout, violations_by_seed);
     totals.print(std::cout, with_pairs);
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
-    std::cout << totals.days << " days, " << totals.broken << " broke an invariant; digest " << std::hex
-              << totals.digest << std::dec << "; " << std::fixed << std::setprecision(1) << took.count() << " s, "
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
+    std::cout << totals.runs << " days, " << totals.violating_runs << " broke an invariant; digest " << std::hex
+              << totals.digest << std::dec << "; " << std::fixed << std::setprecision(1) << elapsed.count() << " s, "
               << static_cast<double>(totals.sum.steps) / 1e6 << " million steps\n";
     // A day's break is of `quota` only where no other invariant broke.
-    const bool other = std::any_of(breaks.begin(), breaks.end(),
-                                   [](const auto& known) { return known.second.invariant != Invariant::quota; });
-    return other || (!but_quota && totals.broken) ? broke : held;
+    const bool other = std::any_of(violations_by_seed.begin(), violations_by_seed.end(),
+                                   [](const auto& entry) { return entry.second.invariant != Invariant::quota; });
+    return other || (!but_quota && totals.violating_runs) ? exit_violation : exit_ok;
 }
 
 int replay(uint64_t seed, bool shrinks) {
     auto plan = draw_plan(seed);
     if (shrinks) plan = shrink(plan);
     std::cout << text_of(plan);
-    const auto day = play(plan, [](const std::string& line) { std::cout << line << '\n'; });
-    if (day.broken) report(std::cout, seed, *day.broken);
-    std::cout << "digest " << std::hex << day.digest << std::dec << " after " << day.steps << " steps\n";
-    return day.broken ? broke : held;
+    const auto outcome = run_plan(plan, [](const std::string& line) { std::cout << line << '\n'; });
+    if (outcome.violation) report(std::cout, seed, *outcome.violation);
+    std::cout << "digest " << std::hex << outcome.digest << std::dec << " after " << outcome.steps << " steps\n";
+    return outcome.violation ? exit_violation : exit_ok;
 }
 
 // Budgets that end within seconds each; `depth` above 0 replaces theirs.
 int explore_all(size_t depth, uint64_t states) {
-    struct Named {
+    struct NamedExploration {
         const char* name;
-        Exploration what;
+        ExplorationOptions options;
     };
-    const Named explorations[] = {
+    const NamedExploration explorations[] = {
         {"first election: three voters, two time-outs", {3, 0, false, 60, 2, 0, 0, 0, 0, 0}},
         {"three voters, a time-out, a proposal, a crash", {3, 0, true, 60, 1, 0, 1, 1, 0, 0}},
         {"three voters, two time-outs, two proposals", {3, 0, true, 60, 2, 0, 2, 0, 0, 0}},
@@ -152,34 +153,34 @@
         {"four voters, a time-out, a proposal, a crash", {4, 0, true, 60, 1, 0, 1, 1, 0, 0}},
         {"four voters, a lost disk, a proposal", {4, 0, true, 60, 0, 4, 1, 0, 1, 0}},
     };
-    struct Done {
+    struct ExplorationReport {
         std::string text;
-        bool sound = true;
+        bool passed = true;
     };
-    std::vector<std::future<Done>> all;
+    std::vector<std::future<ExplorationReport>> all;
     for (const auto& named : explorations)
         all.push_back(std::async(std::launch::async, [named, depth, states] {
-            auto what = named.what;
-            if (depth) what.depth = depth;
-            what.most_states = states;
-            const auto began = std::chrono::steady_clock::now();
-            const auto found = explore(what);
-            const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
+            auto options = named.options;
+            if (depth) options.depth = depth;
+            options.max_states = states;
+            const auto start = std::chrono::steady_clock::now();
+            const auto result = explore(options);
+            const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
             std::ostringstream text;
-            text << named.name << ": depth " << what.depth << ", " << found.states << " states"
-                 << (found.complete ? "" : " (the limit)") << ", " << found.transitions << " transitions, "
-                 << found.elections << " elections, " << found.commits << " commits, " << std::fixed
-                 << std::setprecision(1) << took.count() << " s\n";
-            if (found.broken) text << "broken: " << *found.broken << '\n';
-            return Done{text.str(), !found.broken};
+            text << named.name << ": depth " << options.depth << ", " << result.states << " states"
+                 << (result.complete ? "" : " (the limit)") << ", " << result.transitions << " transitions, "
+                 << result.elections << " elections, " << result.commits << " commits, " << std::fixed
+                 << std::setprecision(1) << elapsed.count() << " s\n";
+            if (result.violation) text << "broken: " << *result.violation << '\n';
+            return ExplorationReport{text.str(), !result.violation};
         }));
-    bool sound = true;
+    bool passed = true;
     for (auto& each : all) {
         const auto done = each.get();
         std::cout << done.text;
-        sound = sound && done.sound;
+        passed = passed && done.passed;
     }
-    return sound ? held : broke;
+    return passed ? exit_ok : exit_violation;
 }
 
 }   // namespace
@@ -213,10 +214,10 @@
                          pairs.getValue(), but_quota.getValue());
         if (verb.getValue() == "explore") return explore_all(depth.getValue(), states.getValue());
         return replay(from.getValue(), verb.getValue() == "shrink");
-    } catch (const TCLAP::ExitException& asked) {
-        return asked.getExitStatus();
-    } catch (const TCLAP::ArgException& fault) {
-        std::cerr << fault.argId() << ": " << fault.error() << '\n';
-        return at_fault;
+    } catch (const TCLAP::ExitException& exit) {
+        return exit.getExitStatus();
+    } catch (const TCLAP::ArgException& error) {
+        std::cerr << error.argId() << ": " << error.error() << '\n';
+        return exit_usage;
     }
 }
--- a/src/lab/control/network.cpp
+++ b/src/lab/control/network.cpp
@@ -5,46 +5,46 @@
 namespace myrtleroute::lab::control {
 namespace {
 
-constexpr Span unacknowledged{1.5};   // then the sender gives the connection up, as both roles set it
-constexpr Span dead_after{4};         // keep-alive probes have failed by then
-constexpr Span dial_within{1};
+constexpr Span user_timeout{1.5};      // then the sender gives the connection up, as both roles set it
+constexpr Span keepalive_timeout{4};   // keep-alive probes have failed by then
+constexpr Span connect_timeout{1};
 
 }   // namespace
 
-void Network::started(ProcessId process) {
-    auto& known = processes_[process];
-    ++known.life;
-    known.runs = true;
-    known.silent = false;
+void Network::process_started(ProcessId process) {
+    auto& entry = processes_[process];
+    ++entry.incarnation;
+    entry.is_running = true;
+    entry.silent = false;
     for (auto& [id, connection] : connections_)   // what is left of its life before is reset now
         for (int i = 0; i < 2; ++i)
-            if (connection.ends[i].process == process && connection.ends[1 - i].open)
-                close_end(id, 1 - i, queue_.now() + latency());
+            if (connection.sides[i].process == process && connection.sides[1 - i].open)
+                close_side(id, 1 - i, queue_.now() + latency());
 }
 
-void Network::ended(ProcessId process, bool silently) {
-    auto& known = processes_[process];
-    known.runs = false;
-    known.silent = silently;
+void Network::process_ended(ProcessId process, bool silently) {
+    auto& entry = processes_[process];
+    entry.is_running = false;
+    entry.silent = silently;
     for (auto it = connections_.begin(); it != connections_.end();) {
         auto& [id, connection] = *it++;
         for (int i = 0; i < 2; ++i) {
-            if (connection.ends[i].process != process || !connection.ends[i].open) continue;
-            connection.ends[i].open = false;
-            const Span after = silently ? Span{chance_.between(unacknowledged.s, dead_after.s)} : latency();
-            if (connection.ends[1 - i].open) close_end(id, 1 - i, queue_.now() + after);
+            if (connection.sides[i].process != process || !connection.sides[i].open) continue;
+            connection.sides[i].open = false;
+            const Span after = silently ? Span{random_.between(user_timeout.s, keepalive_timeout.s)} : latency();
+            if (connection.sides[1 - i].open) close_side(id, 1 - i, queue_.now() + after);
         }
     }
 }
 
-bool Network::runs(ProcessId process) const {
+bool Network::is_running(ProcessId process) const {
     const auto it = processes_.find(process);
-    return it != processes_.end() && it->second.runs;
+    return it != processes_.end() && it->second.is_running;
 }
 
 void Network::cut(ProcessId from, ProcessId to, Time until) {
-    auto& known = cuts_[{from, to}];
-    known = std::max(known, until);
+    auto& entry = cuts_[{from, to}];
+    entry = std::max(entry, until);
 }
 
 bool Network::connected(ProcessId a, ProcessId b) const {
@@ -58,88 +58,90 @@
     return it == cuts_.end() ? long_ago : it->second;
 }
 
-bool Network::lives(const End& end) const {
-    const auto it = processes_.find(end.process);
-    return it != processes_.end() && it->second.runs && it->second.life == end.life;
+bool Network::is_current(const Side& side) const {
+    const auto it = processes_.find(side.process);
+    return it != processes_.end() && it->second.is_running && it->second.incarnation == side.incarnation;
 }
 
 ConnectionId Network::dial(ProcessId from, ProcessId to) {
-    const auto id = next_++;
+    const auto id = next_id_++;
     auto& connection = connections_[id];
-    connection.ends[0] = {from, processes_[from].life, true, queue_.now()};
-    connection.ends[1] = {to, processes_[to].life, false, queue_.now()};
+    connection.sides[0] = {from, processes_[from].incarnation, true, queue_.now()};
+    connection.sides[1] = {to, processes_[to].incarnation, false, queue_.now()};
     const bool cut = std::max(blocked_until(from, to), blocked_until(to, from)) > queue_.now();
-    if (cut || (!runs(to) && processes_[to].silent)) {
-        close_end(id, 0, queue_.now() + dial_within);
-    } else if (!runs(to)) {
-        close_end(id, 0, queue_.now() + latency() + latency());
+    if (cut || (!is_running(to) && processes_[to].silent)) {
+        close_side(id, 0, queue_.now() + connect_timeout);
+    } else if (!is_running(to)) {
+        close_side(id, 0, queue_.now() + latency() + latency());
     } else {
-        queue_.in(latency() + latency(), [this, id] { arrive(id); });
+        queue_.in(latency() + latency(), [this, id] { accept(id); });
     }
     return id;
 }
 
-void Network::arrive(ConnectionId id) {
+void Network::accept(ConnectionId id) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
     auto& connection = it->second;
-    auto& dialler = connection.ends[0];
+    auto& dialler = connection.sides[0];
     if (!dialler.open) return;
-    if (!lives(connection.ends[1])) return close_end(id, 0, queue_.now());
-    connection.ends[1].open = true;
-    if (lives(dialler)) events_.opened(dialler.process, id);
+    if (!is_current(connection.sides[1])) return close_side(id, 0, queue_.now());
+    connection.sides[1].open = true;
+    if (is_current(dialler)) events_.opened(dialler.process, id);
 }
 
-int Network::end_of(const Connection& connection, ProcessId process) const {
-    return connection.ends[0].process == process ? 0 : 1;
+int Network::side_of(const Connection& connection, ProcessId process) const {
+    return connection.sides[0].process == process ? 0 : 1;
 }
 
-void Network::send(ConnectionId id, ProcessId by, messages::Message message) {
+void Network::send(ConnectionId id, ProcessId process, messages::Message message) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
     auto& connection = it->second;
-    const int here = end_of(connection, by), there = 1 - here;
-    auto& from = connection.ends[here];
-    auto& to = connection.ends[there];
+    const int local = side_of(connection, process), remote = 1 - local;
+    auto& from = connection.sides[local];
+    auto& to = connection.sides[remote];
     if (!from.open) return;
-    const Time forth = blocked_until(by, to.process), back = blocked_until(to.process, by);
-    if (std::max(forth, back) > queue_.now() + unacknowledged) {
-        close_end(id, here, queue_.now() + unacknowledged);
-        close_end(id, there, queue_.now() + dead_after);
+    const Time blocked_forward = blocked_until(process, to.process),
+               blocked_backward = blocked_until(to.process, process);
+    if (std::max(blocked_forward, blocked_backward) > queue_.now() + user_timeout) {
+        close_side(id, local, queue_.now() + user_timeout);
+        close_side(id, remote, queue_.now() + keepalive_timeout);
     }
-    if (forth > queue_.now() + unacknowledged) return;   // it is lost with the connection
-    to.last = std::max({to.last, queue_.now() + latency(), forth > queue_.now() ? forth + latency() : long_ago});
-    queue_.at(to.last, [this, id, there, message = std::move(message)] { deliver(id, there, message); });
+    if (blocked_forward > queue_.now() + user_timeout) return;   // it is lost with the connection
+    to.last_arrival = std::max({to.last_arrival, queue_.now() + latency(),
+                                blocked_forward > queue_.now() ? blocked_forward + latency() : long_ago});
+    queue_.at(to.last_arrival, [this, id, remote, message = std::move(message)] { deliver(id, remote, message); });
 }
 
-void Network::deliver(ConnectionId id, int end, const messages::Message& message) {
+void Network::deliver(ConnectionId id, int side, const messages::Message& message) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
-    const auto& at = it->second.ends[end];
-    if (at.open && lives(at)) events_.came(at.process, id, message);
+    const auto& at = it->second.sides[side];
+    if (at.open && is_current(at)) events_.received(at.process, id, message);
 }
 
-void Network::close_end(ConnectionId id, int end, Time at) {
-    queue_.at(at, [this, id, end] {
+void Network::close_side(ConnectionId id, int side, Time at) {
+    queue_.at(at, [this, id, side] {
         const auto it = connections_.find(id);
         if (it == connections_.end()) return;
-        auto& closing = it->second.ends[end];
+        auto& closing = it->second.sides[side];
         const bool was_open = std::exchange(closing.open, false);
         const auto process = closing.process;
-        const bool alive = lives(closing);
-        if (!it->second.ends[1 - end].open) connections_.erase(it);
+        const bool alive = is_current(closing);
+        if (!it->second.sides[1 - side].open) connections_.erase(it);
         if (was_open && alive) events_.closed(process, id);
     });
 }
 
-void Network::close(ConnectionId id, ProcessId by) {
+void Network::close(ConnectionId id, ProcessId process) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
-    const int here = end_of(it->second, by);
-    it->second.ends[here].open = false;
-    if (it->second.ends[1 - here].open)
-        close_end(id, 1 - here,
-                  std::max(queue_.now() + latency(), blocked_until(by, it->second.ends[1 - here].process)));
+    const int local = side_of(it->second, process);
+    it->second.sides[local].open = false;
+    if (it->second.sides[1 - local].open)
+        close_side(id, 1 - local,
+                   std::max(queue_.now() + latency(), blocked_until(process, it->second.sides[1 - local].process)));
     else
         connections_.erase(it);
 }
--- a/src/lab/control/plan.hpp
+++ b/src/lab/control/plan.hpp
@@ -41,17 +41,17 @@
 };
 const char* name_of(FaultKind kind);
 bool loses_disk(FaultKind kind);
-bool strikes_proxies(FaultKind kind);
+bool affects_proxies(FaultKind kind);
 
 // Which machine a fault strikes.
-enum class Target { lot, leader, oldest_disk };
+enum class Target { random, leader, oldest_disk };
 
 struct Fault {
     FaultKind kind = FaultKind::kill;
-    Target target = Target::lot;
-    double at = 0;     // seconds from the start of the day
-    double span = 1;   // seconds
-    uint32_t lot = 0;
+    Target target = Target::random;
+    double at = 0;         // seconds from the start of the day
+    double duration = 1;   // seconds
+    uint32_t selector = 0;
     bool after_acknowledgement = false;   // waits until an order has just been acknowledged, and strikes who did
 };
 
@@ -61,8 +61,8 @@
     bool oldest_disks = false;   // those whose disks have lasted longest, else by lot
     bool acknowledger = false;   // the machine that has acknowledged last is among them
     double delay = 0;            // seconds from the acknowledgement
-    double down = 0.5;           // seconds without power
-    uint32_t lot = 0;
+    double downtime = 0.5;       // seconds without power
+    uint32_t selector = 0;
 };
 
 constexpr size_t tenant_count = 3;
@@ -70,20 +70,20 @@
 // A tenant asks for several times its usual.
 struct Surge {
     size_t tenant = 0;
-    double at = 0, span = 1;   // seconds
+    double at = 0, duration = 1;   // seconds
     double factor = 4;
 };
 
 struct Plan {
     uint64_t seed = 1;
     size_t seeds = 3, joiners = 1;   // control machines: named by the settings, and others
-    size_t tolerated = 1;
+    size_t tolerated_losses = 1;
     bool orderly = true;   // no more machines are lost at once than is tolerated; else no disk is
     double length = 40;    // seconds with faults
     std::vector<Fault> faults;
     std::vector<Surge> surges;
-    bool limits_change = true;   // of tenants, from version to version
-    bool revokes = false;        // keys are taken away, and must not be served for longer than a bound
+    bool changes_limits = true;   // of tenants, from version to version
+    bool revokes_keys = false;    // keys are taken away, and must not be served for longer than a bound
     std::optional<Closing> closing;
 };
 
--- a/src/lab/control/quota_checker.cpp
+++ b/src/lab/control/quota_checker.cpp
@@ -7,11 +7,11 @@
 namespace myrtleroute::lab::control {
 namespace {
 
-constexpr Span config_within{2};   // configMs of the operators' rule
+constexpr Span max_config_delay{2};   // configMs of the operators' rule
 
 }   // namespace
 
-double SlidingUse::arrived(Time sent, double cost, Time now) {
+double SlidingSum::add(Time sent, double cost, Time now) {
     const auto later = [](Time at, const Use& use) {
         return at < use.sent;
     };
@@ -24,33 +24,33 @@
     return sum_;
 }
 
-void LimitsInForce::applied(uint64_t version, std::shared_ptr<const Tenants> tenants) {
+void LimitsInForce::committed(uint64_t version, std::shared_ptr<const Tenants> tenants) {
     versions_[version].tenants = std::move(tenants);
 }
 
 void LimitsInForce::acknowledged(uint64_t version, Time now) {
-    auto& known = versions_[version];
-    if (!known.acknowledged) known.acknowledged = now;
+    auto& entry = versions_[version];
+    if (!entry.acknowledged) entry.acknowledged = now;
 }
 
-void LimitsInForce::in_touch(const std::set<size_t>& proxies, size_t of, Time now) {
+void LimitsInForce::proxies_in_contact(const std::set<size_t>& proxies, size_t proxy_count, Time now) {
     for (auto& [number, version] : versions_) {
-        if (version.holds || !version.acknowledged || now - *version.acknowledged < config_) continue;
-        version.in_touch.insert(proxies.begin(), proxies.end());
-        if (version.in_touch.size() == of) version.holds = now + window_;
+        if (version.in_force_at || !version.acknowledged || now - *version.acknowledged < config_delay_) continue;
+        version.contacted.insert(proxies.begin(), proxies.end());
+        if (version.contacted.size() == proxy_count) version.in_force_at = now + window_;
     }
 }
 
 void LimitsInForce::drop_ended(Time now) {
     for (auto it = versions_.rbegin(); it != versions_.rend(); ++it)
-        if (it->second.holds && *it->second.holds <= now) {
+        if (it->second.in_force_at && *it->second.in_force_at <= now) {
             const auto newest = it->first;
             versions_.erase(versions_.begin(), versions_.find(newest));
             return;
         }
 }
 
-double LimitsInForce::highest(const std::string& tenant, Time now) {
+double LimitsInForce::max_allowed(const std::string& tenant, Time now) {
     drop_ended(now);
     double highest = 0;
     for (const auto& [number, version] : versions_) {
@@ -66,13 +66,13 @@
     return quota * (1 + limit_rule.excess_ratio) + limit_rule.slack;
 }
 
-QuotaChecker::QuotaChecker() : limits_(limit_rule.window, config_within) {}
+QuotaChecker::QuotaChecker() : limits_(limit_rule.window, max_config_delay) {}
 
-std::optional<std::string> QuotaChecker::arrived(const TenantRequest& request, Time now) {
+std::optional<std::string> QuotaChecker::check_arrival(const TenantRequest& request, Time now) {
     auto& use = uses_.try_emplace(request.tenant, limit_rule.window).first->second;
-    const double used = use.arrived(request.sent, request.cost, now);
-    const double allowed = limits_.highest(request.tenant, now);
-    if (allowed > 0) fullest_ = std::max(fullest_, used / allowed);
+    const double used = use.add(request.sent, request.cost, now);
+    const double allowed = limits_.max_allowed(request.tenant, now);
+    if (allowed > 0) max_usage_ = std::max(max_usage_, used / allowed);
     if (used <= allowed) return {};
     return request.tenant + " has used " + std::to_string(std::llround(used)) + " tokens within a window, " +
            std::to_string(std::llround(allowed)) + " are allowed";
--- a/src/lab/control/quota_checker.hpp
+++ b/src/lab/control/quota_checker.hpp
@@ -16,11 +16,11 @@
 namespace myrtleroute::lab::control {
 
 // Tokens of one tenant that were both sent and run within the last window.
-class SlidingUse {
+class SlidingSum {
 public:
-    explicit SlidingUse(Span window) : window_(window) {}
+    explicit SlidingSum(Span window) : window_(window) {}
     // A request arrives at its host; the sum of the window that ends now. Arrivals are told in their order.
-    double arrived(Time sent, double cost, Time now);
+    double add(Time sent, double cost, Time now);
 
 private:
     struct Use {
@@ -36,24 +36,24 @@
 // touch, at some moment `config` or more after its acknowledgement.
 class LimitsInForce {
 public:
-    LimitsInForce(Span window, Span config) : window_(window), config_(config) {}
-    void applied(uint64_t version, std::shared_ptr<const Tenants> tenants);   // it is committed
+    LimitsInForce(Span window, Span config_delay) : window_(window), config_delay_(config_delay) {}
+    void committed(uint64_t version, std::shared_ptr<const Tenants> tenants);   // it is committed
     void acknowledged(uint64_t version, Time now);
     // Who is in touch now, of so many proxies.
-    void in_touch(const std::set<size_t>& proxies, size_t of, Time now);
+    void proxies_in_contact(const std::set<size_t>& proxies, size_t proxy_count, Time now);
     // The highest that a tenant may use within a window that ends now.
-    double highest(const std::string& tenant, Time now);
+    double max_allowed(const std::string& tenant, Time now);
 
 private:
     struct Version {
         std::shared_ptr<const Tenants> tenants;
         std::optional<Time> acknowledged;
-        std::set<size_t> in_touch;   // proxies that have been since
-        std::optional<Time> holds;   // alone, or with later ones, from then on
+        std::set<size_t> contacted;        // proxies that have been since
+        std::optional<Time> in_force_at;   // alone, or with later ones, from then on
     };
     void drop_ended(Time now);
 
-    Span window_, config_;
+    Span window_, config_delay_;
     std::map<uint64_t, Version> versions_;
 };
 
@@ -64,14 +64,14 @@
     QuotaChecker();
     LimitsInForce& limits() { return limits_; }
     // A request arrives at a host that runs it. What is wrong, where the tenant is over its quota.
-    std::optional<std::string> arrived(const TenantRequest& request, Time now);
+    std::optional<std::string> check_arrival(const TenantRequest& request, Time now);
     // What the fullest window yet held, as a share of what it might.
-    double fullest() const { return fullest_; }
+    double max_usage() const { return max_usage_; }
 
 private:
     LimitsInForce limits_;
-    std::map<std::string, SlidingUse> uses_;
-    double fullest_ = 0;
+    std::map<std::string, SlidingSum> uses_;
+    double max_usage_ = 0;
 };
 
 }   // namespace myrtleroute::lab::control
--- a/src/lab/control/rollout_caller.hpp
+++ b/src/lab/control/rollout_caller.hpp
@@ -10,31 +10,31 @@
 
 class RolloutOperator {
 public:
-    RolloutOperator(Queue& queue, RandomStream chance, const Platform& platform, Checker& checker)
-        : queue_(queue), chance_(chance), platform_(platform), checker_(checker) {}
-    void begin() { think(); }
+    RolloutOperator(Queue& queue, RandomStream random, const CallerEnvironment& environment, Checker& checker)
+        : queue_(queue), random_(random), environment_(environment), checker_(checker) {}
+    void start() { schedule_next(); }
     void stop() { stopped_ = true; }   // after the call that is under way
     void read_now();
     bool has_read() const { return has_read_; }   // since the last `read_now`
 
 private:
-    void think();
-    void begin_call(bool reads);
+    void schedule_next();
+    void start_call(bool is_read);
     void call(Machine* machine, int redirects);
-    void ended(const std::optional<myrtleroute::control::HttpResponse>& answer, int redirects);
-    void read(const myrtleroute::control::HttpResponse& answer);
-    void try_again();
-    Machine* choose();
+    void completed(const std::optional<myrtleroute::control::HttpResponse>& answer, int redirects);
+    void handle_reading(const myrtleroute::control::HttpResponse& answer);
+    void retry();
+    Machine* choose_machine();
 
     Queue& queue_;
-    RandomStream chance_;
-    const Platform& platform_;
+    RandomStream random_;
+    const CallerEnvironment& environment_;
     Checker& checker_;
-    bool stopped_ = false, busy_ = false, reads_ = false, has_read_ = false;
+    bool stopped_ = false, busy_ = false, is_read_ = false, has_read_ = false;
     bool in_progress_ = false;   // by the last reading
     std::string target_version_;
-    int tries_ = 0;
-    uint64_t call_ = 0, orders_ = 0;
+    int attempts_ = 0;
+    uint64_t call_number_ = 0, rollouts_sent_ = 0;
 };
 
 }   // namespace myrtleroute::lab::control
--- a/src/lab/control/rollout_checker.hpp
+++ b/src/lab/control/rollout_checker.hpp
@@ -20,23 +20,23 @@
 // Each call returns what is broken, nothing where all is well.
 class RolloutChecker {
 public:
-    using Fault = std::optional<std::string>;
+    using Error = std::optional<std::string>;
 
     // The rollouts of a committed entry, at any machine.
-    Fault committed(const rollout::Rollouts& rollouts);
+    Error committed(const rollout::Rollouts& rollouts);
     // The operator has sent an order; it has been acknowledged.
     void sent(const std::string& target_version);
     void acknowledged(const std::string& target_version);
-    Fault read(const RolloutReading& reading);
+    Error read(const RolloutReading& reading);
     // Nothing is known of a rollout, says an answer.
-    Fault read_nothing() const;
+    Error read_none() const;
 
 private:
     std::map<uint64_t, rollout::Rollouts> by_revision_;
     std::map<uint64_t, std::pair<uint64_t, rollout::Stage>> furthest_;   // by number: at which revision, which stage
-    std::map<std::string, uint64_t> order_;                              // of target versions, as they were sent
-    uint64_t orders_ = 0, acknowledged_ = 0;
-    std::map<std::string, std::string> ended_;   // state that was told, by target version
+    std::map<std::string, uint64_t> send_number_;                        // of target versions, as they were sent
+    uint64_t sent_count_ = 0, acknowledged_ = 0;
+    std::map<std::string, std::string> final_state_;   // state that was told, by target version
 };
 
 }   // namespace myrtleroute::lab::control
--- a/src/lab/control/tenants.hpp
+++ b/src/lab/control/tenants.hpp
@@ -34,7 +34,7 @@
     std::shared_ptr<const Tenants> read(const std::string& body);
 
 private:
-    std::map<std::string, std::shared_ptr<const Tenants>> known_;
+    std::map<std::string, std::shared_ptr<const Tenants>> parsed_;
 };
 
 struct TenantRequest {
@@ -50,19 +50,19 @@
 public:
     using Send = std::function<void(size_t proxy, const TenantRequest&)>;
     TenantTraffic(Queue& queue, uint64_t seed, std::vector<Surge> surges, size_t proxies, Send send);
-    void begin();
+    void start();
 
 private:
     struct Client {
-        RandomStream chance;
+        RandomStream random;
         std::vector<double> preference;   // cumulative shares of the proxies
     };
-    void wait(size_t tenant);
+    void schedule_next(size_t tenant);
     void send(size_t tenant);
     double requests_per_second(size_t tenant) const;
 
     Queue& queue_;
-    Time began_;
+    Time started_at_;
     std::vector<Surge> surges_;
     std::vector<Client> clients_;   // by tenant
     Send send_;
--- a/src/lab/control/world.cpp
+++ b/src/lab/control/world.cpp
@@ -8,68 +8,70 @@
 namespace myrtleroute::lab::control {
 namespace {
 
-constexpr Time dawn{100};
+constexpr Time start_time{100};
 constexpr uint64_t world_stream = 0x574f524c, network_stream = 0x4e455457, caller_stream = 0x43414c4c;
-constexpr size_t proxies = 6, operators = 2, announcers = 3;
+constexpr size_t proxy_count = 6, operator_count = 2, host_count = 3;
 constexpr ProcessId first_proxy = 100;
 constexpr uint16_t internal_port = 7500, control_port = 8367;
-constexpr Span catch_up{4};       // a machine that is back counts as lost for so long
-constexpr Span contact{3};        // what was disturbed longer ago no longer excuses
-constexpr Span drain{2};          // from an acknowledgement to the last request
-constexpr Span killed_after{8};   // SIGTERM; an order to stop for good
-constexpr Span wait_turn{0.5}, watch_every{0.5}, watch_contact_every{0.25};
-constexpr Span settle{12}, answer_settle{4};   // after the last fault: until all agree, and then until the last answers
-constexpr double slow_disk = 30;
+constexpr Span catch_up_duration{4};   // a machine that is back counts as lost for so long
+constexpr Span contact_duration{3};    // what was disturbed longer ago no longer excuses
+constexpr Span drain_bound{2};         // from an acknowledgement to the last request
+constexpr Span stop_timeout{8};        // SIGTERM; an order to stop for good
+constexpr Span fault_retry_interval{0.5}, drain_check_interval{0.5}, contact_check_interval{0.25};
+constexpr Span settle_timeout{12},
+    final_read_timeout{4};   // after the last fault: until all agree, and then until the last answers
+constexpr double slow_disk_factor = 30;
 constexpr Span revocation_bound{5};
-constexpr Span closing_within{2};    // without an acknowledgement the day is closed then all the same
-constexpr Span longest_closing{6};   // from the end of the plan until all are back
+constexpr Span closing_timeout{2};        // without an acknowledgement the day is closed then all the same
+constexpr Span max_closing_duration{6};   // from the end of the plan until all are back
 
 }   // namespace
 
 World::World(const Plan& plan, std::function<void(const std::string&)> trace)
     : plan_(plan),
       trace_(std::move(trace)),
-      queue_(dawn),
-      chance_(plan.seed, world_stream),
-      checker_(queue_, plan.tolerated, plan.revokes ? std::optional(revocation_bound) : std::nullopt) {
+      queue_(start_time),
+      random_(plan.seed, world_stream),
+      checker_(queue_, plan.tolerated_losses, plan.revokes_keys ? std::optional(revocation_bound) : std::nullopt) {
     Network::Events events;
     events.opened = [this](ProcessId process, ConnectionId connection) {
         if (process >= first_proxy) return proxies_[process - first_proxy]->opened(connection);
         machines_[process]->opened(connection);
     };
-    events.came = [this](ProcessId process, ConnectionId connection, const messages::Message& message) {
-        if (process >= first_proxy) return proxies_[process - first_proxy]->came(connection, message);
-        machines_[process]->came(connection, message);
+    events.received = [this](ProcessId process, ConnectionId connection, const messages::Message& message) {
+        if (process >= first_proxy) return proxies_[process - first_proxy]->received(connection, message);
+        machines_[process]->received(connection, message);
     };
     events.closed = [this](ProcessId process, ConnectionId connection) {
         if (process >= first_proxy) return proxies_[process - first_proxy]->closed(connection);
         machines_[process]->closed(connection);
     };
     network_ = std::make_unique<Network>(queue_, RandomStream(plan.seed, network_stream), std::move(events));
-    platform_.machines = [this] {
-        return listed();
+    caller_environment_.machines = [this] {
+        return present_machines();
     };
-    platform_.ask = [this](Machine& machine, myrtleroute::control::HttpRequest request, Reply reply) {
+    caller_environment_.send_request = [this](Machine& machine, myrtleroute::control::HttpRequest request,
+                                              Reply reply) {
         queue_.in(network_->latency(), [this, &machine, request = std::move(request), reply = std::move(reply)] {
-            if (machine.runs()) {
-                const auto given = [this, &machine, request](const auto& answer) {
-                    answered(machine, request, *answer);
+            if (machine.is_running()) {
+                const auto on_answered = [this, &machine, request](const auto& answer) {
+                    request_answered(machine, request, *answer);
                 };
-                return machine.request(request, given, reply);
+                return machine.request(request, on_answered, reply);
             }
             queue_.in(network_->latency(), [reply] { reply({}); });
         });
     };
-    platform_.machine_at = [this](const std::string& location) -> Machine* {
+    caller_environment_.machine_for_location = [this](const std::string& location) -> Machine* {
         for (const auto& machine : machines_)
             if (location.find(machine->settings().control->text() + "/") != std::string::npos) return machine.get();
         return nullptr;
     };
-    platform_.tenants = [this](uint64_t version) {
-        return tenants_text(plan_.seed, version, {plan_.limits_change, plan_.revokes});
+    caller_environment_.tenants_json = [this](uint64_t version) {
+        return tenants_text(plan_.seed, version, {plan_.changes_limits, plan_.revokes_keys});
     };
-    if (plan_.revokes) platform_.revocation_bound = revocation_bound;
-    platform_.loses_answers = [this] {
+    if (plan_.revokes_keys) caller_environment_.revocation_bound = revocation_bound;
+    caller_environment_.drops_responses = [this] {
         return queue_.now() < answers_lost_until_;
     };
 }
@@ -88,24 +90,24 @@
         settings.seeds.push_back({"10.0.0." + std::to_string(i + 1), control_port});
     if (!is_seed) settings.seeds.clear();
     for (const auto& machine : machines_)   // a list of machines that serve control just now
-        if (!is_seed && !machine->gone && settings.seeds.size() < 3)
+        if (!is_seed && !machine->removed && settings.seeds.size() < 3)
             settings.seeds.push_back(*machine->settings().control);
     settings.bootstrap = is_seed;
     settings.counts_for_quorum = true;
-    settings.tolerated_machines = static_cast<int>(plan_.tolerated);
+    settings.tolerated_machines = static_cast<int>(plan_.tolerated_losses);
     settings.data_directory = "virtual";
     settings.quota_slack = limit_rule.slack;
     settings.quota_tolerance = limit_rule.excess_ratio;
     settings.quota_window = limit_rule.window;
-    Machine::Surroundings surroundings;
-    surroundings.process_at = [this](const Endpoint& peer) {
+    Machine::Environment environment;
+    environment.process_at = [this](const Endpoint& peer) {
         return process_at(peer);
     };
-    surroundings.acted = [this](Machine& machine) {
-        checker_.acted(machine);
+    environment.after_step = [this](Machine& machine) {
+        checker_.check_node(machine);
     };
-    machines_.push_back(std::make_unique<Machine>(queue_, *network_, process, settings, plan_.seed, surroundings));
-    machines_.back()->disk_since = queue_.now();
+    machines_.push_back(std::make_unique<Machine>(queue_, *network_, process, settings, plan_.seed, environment));
+    machines_.back()->disk_created_at = queue_.now();
     return *machines_.back();
 }
 
@@ -115,95 +117,98 @@
     return {};
 }
 
-void World::begin_proxies() {
-    for (size_t i = 0; i < proxies; ++i) {
-        const auto find = [this](const Endpoint& peer) {
+void World::start_proxies() {
+    for (size_t i = 0; i < proxy_count; ++i) {
+        const auto find_process = [this](const Endpoint& peer) {
             return process_at(peer);
         };
         proxies_.push_back(std::make_unique<SubscribedProxy>(queue_, *network_, checker_, first_proxy + i,
-                                                             platform_.revocation_bound, find));
-        proxies_.back()->start(seeds(), chance_.number());
+                                                             caller_environment_.revocation_bound, find_process));
+        proxies_.back()->start(seed_nodes(), random_.number());
     }
-    contact_since_.assign(proxies, queue_.now());
+    contact_since_.assign(proxy_count, queue_.now());
     const auto to_proxy = [this](size_t preferred, const TenantRequest& request) {
         send(preferred, request);
     };
-    traffic_ = std::make_unique<TenantTraffic>(queue_, plan_.seed, plan_.surges, proxies, to_proxy);
+    traffic_ = std::make_unique<TenantTraffic>(queue_, plan_.seed, plan_.surges, proxy_count, to_proxy);
 }
 
-Outcome World::play() {
+Outcome World::run() {
     for (size_t i = 0; i < plan_.seeds; ++i) add_machine(true);
     for (size_t i = 0; i < plan_.joiners; ++i) add_machine(false);
-    for (const auto& machine : machines_) queue_.in({chance_.between(0, 0.3)}, [&machine] { machine->start(); });
-    begin_proxies();
-    for (size_t i = 0; i < operators; ++i)
-        operators_.push_back(std::make_unique<Operator>(queue_, RandomStream(plan_.seed, caller_stream + i), platform_,
-                                                        checker_, history_));
-    rollout_operator_ =
-        std::make_unique<RolloutOperator>(queue_, RandomStream(plan_.seed, caller_stream + 15), platform_, checker_);
-    for (size_t i = 0; i < announcers; ++i)
-        announcers_.push_back(std::make_unique<Announcer>(queue_, RandomStream(plan_.seed, caller_stream + 16 + i),
-                                                          platform_, checker_, i));
+    for (const auto& machine : machines_) queue_.in({random_.between(0, 0.3)}, [&machine] { machine->start(); });
+    start_proxies();
+    for (size_t i = 0; i < operator_count; ++i)
+        operators_.push_back(std::make_unique<Operator>(queue_, RandomStream(plan_.seed, caller_stream + i),
+                                                        caller_environment_, checker_, history_));
+    rollout_operator_ = std::make_unique<RolloutOperator>(queue_, RandomStream(plan_.seed, caller_stream + 15),
+                                                          caller_environment_, checker_);
+    for (size_t i = 0; i < host_count; ++i)
+        simulated_hosts_.push_back(std::make_unique<SimulatedHost>(
+            queue_, RandomStream(plan_.seed, caller_stream + 16 + i), caller_environment_, checker_, i));
     queue_.in({1}, [this] {
-        for (const auto& caller : operators_) caller->begin();
-        rollout_operator_->begin();
-        for (const auto& caller : announcers_) caller->begin();
+        for (const auto& caller : operators_) caller->start();
+        rollout_operator_->start();
+        for (const auto& caller : simulated_hosts_) caller->start();
         watch_drains();
         watch_contact();
-        traffic_->begin();
+        traffic_->start();
     });
-    for (const auto& fault : plan_.faults) queue_.at(dawn + Span{fault.at}, [this, fault] { strike(fault, false); });
-    queue_.at(dawn + Span{plan_.length}, [this] { plan_.closing ? await_closing() : end_of_day(); });
-    const Time end = dawn + Span{plan_.length} + longest_closing + settle + answer_settle;
-    while (!checker_.ends_the_day() && queue_.step(end)) {
+    for (const auto& fault : plan_.faults)
+        queue_.at(start_time + Span{fault.at}, [this, fault] { inject(fault, false); });
+    queue_.at(start_time + Span{plan_.length}, [this] { plan_.closing ? await_closing() : end_faults(); });
+    const Time end = start_time + Span{plan_.length} + max_closing_duration + settle_timeout + final_read_timeout;
+    while (!checker_.ends_run() && queue_.step(end)) {
     }
-    if (!checker_.ends_the_day()) {
-        checker_.resolve(history_);
+    if (!checker_.ends_run()) {
+        checker_.resolve_results(history_);
         const auto verdict = check_history(history_);
-        if (verdict == Verdict::broken) checker_.breaks(Invariant::linearizable, "no register gives these answers");
+        if (verdict == Verdict::not_linearizable)
+            checker_.report_violation(Invariant::linearizable, "no register gives these answers");
         outcome_.undecided += verdict == Verdict::undecided;
     }
-    outcome_.broken = checker_.broken();
-    note(std::to_string(outcome_.ran) + " of " + std::to_string(outcome_.requests) + " requests of tenants ran");
-    if (outcome_.broken)
-        note(std::string("broken: ") + name_of(outcome_.broken->invariant) + ": " + outcome_.broken->what);
+    outcome_.violation = checker_.first_violation();
+    record(std::to_string(outcome_.executed) + " of " + std::to_string(outcome_.requests) + " requests of tenants ran");
+    if (outcome_.violation)
+        record(std::string("broken: ") + name_of(outcome_.violation->invariant) + ": " + outcome_.violation->what);
     outcome_.violations = checker_.violations();
-    outcome_.fullest_window = checker_.fullest_window();
+    outcome_.max_quota_usage = checker_.max_quota_usage();
     outcome_.steps = queue_.steps();
     outcome_.drains = checker_.drains().size();
     for (const auto& operation : history_) {
         using Kind = Operation::Outcome;
         outcome_.confirmed += operation.outcome == Kind::accepted;
-        outcome_.refused += operation.outcome == Kind::stale || operation.outcome == Kind::old;
-        outcome_.readings += operation.outcome == Kind::read;
-        outcome_.unclear += operation.outcome == Kind::open && operation.invoked.s < 1e16;
+        outcome_.refused +=
+            operation.outcome == Kind::precondition_failed || operation.outcome == Kind::version_too_low;
+        outcome_.reads += operation.outcome == Kind::read;
+        outcome_.unresolved += operation.outcome == Kind::unresolved && operation.invoked.s < 1e16;
     }
     return outcome_;
 }
 
-void World::note(const std::string& what) {
-    const auto line = std::to_string((queue_.now() - dawn).s) + " " + what;
+void World::record(const std::string& what) {
+    const auto line = std::to_string((queue_.now() - start_time).s) + " " + what;
     outcome_.digest = XXH3_64bits_withSeed(line.data(), line.size(), outcome_.digest);
     if (trace_) trace_(line);
 }
 
-std::vector<const Machine*> World::disks() const {
+std::vector<const Machine*> World::present_machines_const() const {
     std::vector<const Machine*> machines;
     for (const auto& machine : machines_)
-        if (!machine->gone) machines.push_back(machine.get());
+        if (!machine->removed) machines.push_back(machine.get());
     return machines;
 }
 
-std::vector<Machine*> World::listed() {
+std::vector<Machine*> World::present_machines() {
     std::vector<Machine*> machines;
     for (const auto& machine : machines_)
-        if (!machine->gone) machines.push_back(machine.get());
+        if (!machine->removed) machines.push_back(machine.get());
     return machines;
 }
 
-std::vector<messages::ControlNode> World::seeds() {
+std::vector<messages::ControlNode> World::seed_nodes() {
     std::vector<messages::ControlNode> nodes;
-    for (const auto* machine : listed())
+    for (const auto* machine : present_machines())
         if (nodes.size() < plan_.seeds)
             nodes.push_back({machine->peer(), *machine->settings().control, machine->settings().zone});
     return nodes;
@@ -212,96 +217,97 @@
 // Faults.
 
 bool World::is_lost(const Machine& machine) const {
-    if (machine.gone) return false;   // its successor counts until it has had its time
+    if (machine.removed) return false;   // its successor counts until it has had its time
     const auto cut = cut_until_.find(machine.process());
-    const bool is_cut = cut != cut_until_.end() && queue_.now() < cut->second + catch_up;
-    return !machine.runs() || machine.stands_still() || is_cut || machine.is_stopping() ||
-           queue_.now() - machine.back_at < catch_up;
+    const bool is_cut = cut != cut_until_.end() && queue_.now() < cut->second + catch_up_duration;
+    return !machine.is_running() || machine.is_frozen() || is_cut || machine.is_stopping() ||
+           queue_.now() - machine.resumed_at < catch_up_duration;
 }
 
-size_t World::lost() const {
+size_t World::lost_count() const {
     return static_cast<size_t>(
         std::count_if(machines_.begin(), machines_.end(), [this](const auto& machine) { return is_lost(*machine); }));
 }
 
-void World::note_caught_up() {
+void World::mark_all_caught_up() {
     for (const auto& machine : machines_)
-        if (!is_lost(*machine)) checker_.caught_up(*machine);
+        if (!is_lost(*machine)) checker_.mark_caught_up(*machine);
 }
 
-bool World::may_strike(const Fault& fault, const Machine& machine) const {
+bool World::may_inject(const Fault& fault, const Machine& machine) const {
     if (fault.kind == FaultKind::kill_all || fault.kind == FaultKind::power_loss_all) return true;
-    if (machine.gone) return false;
+    if (machine.removed) return false;
     if (!plan_.orderly) return true;
     // Until it has had its time it stands for the one that it replaces, which is lost already.
-    if (loses_disk(fault.kind) && machine.succeeds && is_lost(machine)) return false;
-    return lost() - (is_lost(machine) ? 1 : 0) < plan_.tolerated;
+    if (loses_disk(fault.kind) && machine.is_successor && is_lost(machine)) return false;
+    return lost_count() - (is_lost(machine) ? 1 : 0) < plan_.tolerated_losses;
 }
 
 Machine* World::target_of(const Fault& fault) {
-    const auto machines = listed();
+    const auto machines = present_machines();
     if (fault.target == Target::leader)
         for (auto* machine : machines)
-            if (machine->runs() && machine->node()->replica().role() == consensus::Role::leader) return machine;
+            if (machine->is_running() && machine->node()->replica().role() == consensus::Role::leader) return machine;
     if (fault.target == Target::oldest_disk)
         return *std::min_element(machines.begin(), machines.end(),
-                                 [](const auto* a, const auto* b) { return a->disk_since < b->disk_since; });
-    return machines[fault.lot % machines.size()];
+                                 [](const auto* a, const auto* b) { return a->disk_created_at < b->disk_created_at; });
+    return machines[fault.selector % machines.size()];
 }
 
-void World::strike(const Fault& fault, bool now) {
-    if (over_) return;
-    if (fault.after_acknowledgement && !now) return waiting_for_acknowledgement_.push_back(fault);
-    const bool of_proxies = strikes_proxies(fault.kind) || fault.kind == FaultKind::answers_lost;
+void World::inject(const Fault& fault, bool immediately) {
+    if (faults_ended_) return;
+    if (fault.after_acknowledgement && !immediately) return waiting_for_acknowledgement_.push_back(fault);
+    const bool of_proxies = affects_proxies(fault.kind) || fault.kind == FaultKind::answers_lost;
     auto* machine = target_of(fault);
-    if (!of_proxies && !may_strike(fault, *machine)) {
-        queue_.in(wait_turn, [this, fault] { strike(fault, true); });
+    if (!of_proxies && !may_inject(fault, *machine)) {
+        queue_.in(fault_retry_interval, [this, fault] { inject(fault, true); });
         return;
     }
-    note_fault(fault.kind, queue_.now() + Span{fault.span});
-    note(std::string(name_of(fault.kind)) + " " + machine->settings().node_name);
+    record_fault(fault.kind, queue_.now() + Span{fault.duration});
+    record(std::string(name_of(fault.kind)) + " " + machine->settings().node_name);
     apply(fault, *machine);
 }
 
-void World::note_fault(FaultKind kind, Time until) {
+void World::record_fault(FaultKind kind, Time until) {
     const auto number = static_cast<size_t>(kind);
-    ++outcome_.met[number];
+    ++outcome_.injected[number];
     std::erase_if(active_, [this](const auto& other) { return other.until < queue_.now(); });
     for (const auto& other : active_) {
-        ++outcome_.pairs[number][static_cast<size_t>(other.kind)];
-        ++outcome_.pairs[static_cast<size_t>(other.kind)][number];
+        ++outcome_.overlapping_pairs[number][static_cast<size_t>(other.kind)];
+        ++outcome_.overlapping_pairs[static_cast<size_t>(other.kind)][number];
     }
     active_.push_back({kind, until});
-    disturbed_until_ = std::max(disturbed_until_, until + contact + catch_up);
+    disturbed_until_ = std::max(disturbed_until_, until + contact_duration + catch_up_duration);
 }
 
 void World::apply(const Fault& fault, Machine& machine) {
-    const Time until = queue_.now() + Span{fault.span};
-    auto& proxy = *proxies_[fault.lot % proxies_.size()];
+    const Time until = queue_.now() + Span{fault.duration};
+    auto& proxy = *proxies_[fault.selector % proxies_.size()];
     switch (fault.kind) {
-        case FaultKind::kill: return down_for(machine, Machine::End::killed, Span{fault.span});
-        case FaultKind::power_loss: return down_for(machine, Machine::End::without_power, Span{fault.span});
-        case FaultKind::kill_all: return end_all(Machine::End::killed, Span{fault.span});
-        case FaultKind::power_loss_all: return end_all(Machine::End::without_power, Span{fault.span});
+        case FaultKind::kill: return take_down(machine, Machine::Termination::killed, Span{fault.duration});
+        case FaultKind::power_loss: return take_down(machine, Machine::Termination::power_lost, Span{fault.duration});
+        case FaultKind::kill_all: return take_all_down(Machine::Termination::killed, Span{fault.duration});
+        case FaultKind::power_loss_all: return take_all_down(Machine::Termination::power_lost, Span{fault.duration});
         case FaultKind::freeze: return machine.freeze(until);
         case FaultKind::cut: return cut(fault, machine.process(), false, true, true);
         case FaultKind::cut_control: return cut(fault, machine.process(), true, true, true);
         case FaultKind::cut_site: return cut_site(fault, machine);
         case FaultKind::cut_inward: return cut(fault, machine.process(), false, true, false);
         case FaultKind::cut_outward: return cut(fault, machine.process(), false, false, true);
-        case FaultKind::disk_hang: return machine.disk_busy_until(until, 0);
-        case FaultKind::disk_slow: return machine.disk_busy_until(until, slow_disk);
+        case FaultKind::disk_hang: return machine.delay_disk_until(until, 0);
+        case FaultKind::disk_slow: return machine.delay_disk_until(until, slow_disk_factor);
         case FaultKind::disk_full:
-            machine.disk().refuses = true;
-            return queue_.at(until, [&machine] { machine.disk().refuses = false; });
+            machine.disk().fails_writes = true;
+            return queue_.at(until, [&machine] { machine.disk().fails_writes = false; });
         case FaultKind::stop:
-            return machine.stop(
-                [this, &machine, span = Span{fault.span}] { queue_.in(span, [&machine] { machine.start(); }); });
-        case FaultKind::wipe: return lose_disk(machine, Span{fault.span}, false);
-        case FaultKind::rot: return lose_disk(machine, Span{fault.span}, true);
+            return machine.stop([this, &machine, downtime = Span{fault.duration}] {
+                queue_.in(downtime, [&machine] { machine.start(); });
+            });
+        case FaultKind::wipe: return lose_disk(machine, Span{fault.duration}, false);
+        case FaultKind::rot: return lose_disk(machine, Span{fault.duration}, true);
         case FaultKind::replace: return replace(machine, false);
         case FaultKind::replace_planned: return replace(machine, true);
-        case FaultKind::proxy_restart: proxy.end(); return restart_after(proxy, Span{fault.span});
+        case FaultKind::proxy_restart: proxy.terminate(); return restart_after(proxy, Span{fault.duration});
         case FaultKind::proxy_cut: return cut(fault, proxy.process(), false, true, true);
         case FaultKind::proxy_freeze: return proxy.freeze(until);
         case FaultKind::proxy_cut_inward: return cut(fault, proxy.process(), false, true, false);
@@ -314,7 +320,7 @@
 }
 
 void World::cut(const Fault& fault, ProcessId process, bool control_only, bool inward, bool outward) {
-    const Time until = queue_.now() + Span{fault.span};
+    const Time until = queue_.now() + Span{fault.duration};
     std::vector<ProcessId> others;
     for (const auto& machine : machines_) others.push_back(machine->process());
     for (const auto& proxy : proxies_)
@@ -327,27 +333,27 @@
     if (process < first_proxy) cut_until_[process] = std::max(cut_until_[process], until);
 }
 
-void World::restart_after(SubscribedProxy& proxy, Span down) {
-    queue_.in(down, [this, &proxy] {
-        if (!proxy.runs()) proxy.start(seeds(), chance_.number());
+void World::restart_after(SubscribedProxy& proxy, Span downtime) {
+    queue_.in(downtime, [this, &proxy] {
+        if (!proxy.is_running()) proxy.start(seed_nodes(), random_.number());
     });
 }
 
 void World::kill_herd(const Fault& fault) {
     for (auto* proxy : half_of_proxies(fault)) {
-        proxy->end();
-        restart_after(*proxy, Span{fault.span} + Span{chance_.between(0, 0.5)});
+        proxy->terminate();
+        restart_after(*proxy, Span{fault.duration} + Span{random_.between(0, 0.5)});
     }
 }
 
 std::vector<SubscribedProxy*> World::half_of_proxies(const Fault& fault) {
     std::vector<SubscribedProxy*> half;
-    for (size_t i = 0; i < proxies / 2; ++i) half.push_back(proxies_[(fault.lot + i) % proxies].get());
+    for (size_t i = 0; i < proxy_count / 2; ++i) half.push_back(proxies_[(fault.selector + i) % proxy_count].get());
     return half;
 }
 
 void World::cut_site(const Fault& fault, const Machine& machine) {
-    const Time until = queue_.now() + Span{fault.span};
+    const Time until = queue_.now() + Span{fault.duration};
     std::set<ProcessId> inside{machine.process()};
     for (const auto* proxy : half_of_proxies(fault)) inside.insert(proxy->process());
     std::vector<ProcessId> all;
@@ -364,96 +370,98 @@
     cut_until = std::max(cut_until, until);
 }
 
-void World::down_for(Machine& machine, Machine::End how, Span span) {
-    machine.end(how);
-    queue_.in(span, [&machine] { machine.start(); });
+void World::take_down(Machine& machine, Machine::Termination how, Span downtime) {
+    machine.terminate(how);
+    queue_.in(downtime, [&machine] { machine.start(); });
 }
 
-void World::end_all(Machine::End how, Span down) {
-    for (auto* machine : listed()) {
-        machine->end(how);
-        queue_.in(down + Span{chance_.between(0, 0.1)}, [machine] { machine->start(); });
+void World::take_all_down(Machine::Termination how, Span downtime) {
+    for (auto* machine : present_machines()) {
+        machine->terminate(how);
+        queue_.in(downtime + Span{random_.between(0, 0.1)}, [machine] { machine->start(); });
     }
 }
 
-void World::lose_disk(Machine& machine, Span span, bool rots) {
-    note_caught_up();
-    if (lost() == 0) checker_.before_a_loss(disks());
+void World::lose_disk(Machine& machine, Span downtime, bool rots) {
+    mark_all_caught_up();
+    if (lost_count() == 0) checker_.check_before_disk_loss(present_machines_const());
     checker_.disk_lost(machine);
-    machine.end(rots ? Machine::End::killed : Machine::End::without_power);
+    machine.terminate(rots ? Machine::Termination::killed : Machine::Termination::power_lost);
     if (rots)
-        machine.disk().rot(chance_);
+        machine.disk().corrupt(random_);
     else
         machine.disk().wipe();
-    machine.forget_first_start();
-    machine.disk_since = queue_.now();
-    queue_.in(span, [&machine] { machine.start(); });
+    machine.clear_bootstrap();
+    machine.disk_created_at = queue_.now();
+    queue_.in(downtime, [&machine] { machine.start(); });
 }
 
 void World::replace(Machine& machine, bool planned) {
-    note_caught_up();
-    if (lost() == 0) checker_.before_a_loss(disks());
+    mark_all_caught_up();
+    if (lost_count() == 0) checker_.check_before_disk_loss(present_machines_const());
     auto& successor = add_machine(false);
-    successor.succeeds = true;
+    successor.is_successor = true;
     if (!planned) {
         checker_.disk_lost(machine);
-        machine.end(Machine::End::without_power);
-        machine.gone = true;
-        successor.back_at = queue_.now();
+        machine.terminate(Machine::Termination::power_lost);
+        machine.removed = true;
+        successor.resumed_at = queue_.now();
         return queue_.in({1}, [&successor] { successor.start(); });
     }
     successor.start();
     queue_.in({1}, [this, &machine] {
-        machine.stop([&machine] { machine.gone = true; });
-        queue_.in(killed_after, [&machine] {
-            machine.end(Machine::End::killed);
-            machine.gone = true;
+        machine.stop([&machine] { machine.removed = true; });
+        queue_.in(stop_timeout, [&machine] {
+            machine.terminate(Machine::Termination::killed);
+            machine.removed = true;
         });
     });
 }
 
 // What a node answers, at the moment at which it does.
-void World::answered(Machine& by, const myrtleroute::control::HttpRequest& request,
-                     const myrtleroute::control::HttpResponse& answer) {
-    note(by.settings().node_name + " answers " + request.method + " " + request.path + " " +
-         std::to_string(answer.status));
-    const bool orders = request.method == "PUT" || request.method == "PATCH";
-    if (orders && request.path == "/config") return order_answered(by, request, answer);
-    if (request.method == "POST" && answer.status == 200) return acknowledged(by);   // of a rollout
+void World::request_answered(Machine& machine, const myrtleroute::control::HttpRequest& request,
+                             const myrtleroute::control::HttpResponse& answer) {
+    record(machine.settings().node_name + " answers " + request.method + " " + request.path + " " +
+           std::to_string(answer.status));
+    const bool is_update = request.method == "PUT" || request.method == "PATCH";
+    if (is_update && request.path == "/config") return update_answered(machine, request, answer);
+    if (request.method == "POST" && answer.status == 200) return acknowledged(machine);   // of a rollout
     constexpr std::string_view instances = "/instances/";
     if (answer.status != 200 || !request.path.starts_with(instances)) return;
     const bool leaves = request.method == "DELETE";
     if (!leaves && request.body.find("draining") == std::string::npos) return;
     checker_.drain_acknowledged(request.path.substr(instances.size()),
-                                leaves ? registry::HostState::gone : registry::HostState::draining, by, disks());
-    acknowledged(by);
-}
-
-void World::order_answered(Machine& by, const myrtleroute::control::HttpRequest& request,
-                           const myrtleroute::control::HttpResponse& answer) {
-    Operation order;
-    order.version = version_of(request.body);
-    order.base = std::stoull(request.if_match);
-    order.patches = request.method == "PATCH";
-    order.body = checker_.number_of_order(request.body, order.patches);
+                                leaves ? registry::HostState::gone : registry::HostState::draining, machine,
+                                present_machines_const());
+    acknowledged(machine);
+}
+
+void World::update_answered(Machine& machine, const myrtleroute::control::HttpRequest& request,
+                            const myrtleroute::control::HttpResponse& answer) {
+    Operation update;
+    update.version = version_of(request.body);
+    update.base = std::stoull(request.if_match);
+    update.is_patch = request.method == "PATCH";
+    update.body = checker_.number_of_update(request.body, update.is_patch);
     if (answer.status == 200) {
-        note_caught_up();
-        checker_.confirmed(order, disks());
-        return acknowledged(by);
+        mark_all_caught_up();
+        checker_.confirmed(update, present_machines_const());
+        return acknowledged(machine);
     }
-    if (answer.status == 412 || answer.status == 400) checker_.refused(order);
+    if (answer.status == 412 || answer.status == 400) checker_.refused(update);
 }
 
-void World::acknowledged(Machine& by) {
-    if (std::exchange(closing_waits_, false)) queue_.in({plan_.closing->delay}, [this, &by] { strike_closing(&by); });
+void World::acknowledged(Machine& machine) {
+    if (std::exchange(closing_pending_, false))
+        queue_.in({plan_.closing->delay}, [this, &machine] { inject_closing(&machine); });
     for (const auto& fault : std::exchange(waiting_for_acknowledgement_, {}))
-        queue_.in({chance_.between(0, 0.005)}, [this, fault, &by] {
-            auto struck = fault;
-            const auto machines = listed();
-            const auto at = std::find(machines.begin(), machines.end(), &by);
-            struck.target = Target::lot;
-            if (at != machines.end()) struck.lot = static_cast<uint32_t>(at - machines.begin());
-            strike(struck, true);
+        queue_.in({random_.between(0, 0.005)}, [this, fault, &machine] {
+            auto targeted = fault;
+            const auto machines = present_machines();
+            const auto at = std::find(machines.begin(), machines.end(), &machine);
+            targeted.target = Target::random;
+            if (at != machines.end()) targeted.selector = static_cast<uint32_t>(at - machines.begin());
+            inject(targeted, true);
         });
 }
 
@@ -464,144 +472,148 @@
     ++outcome_.requests;
     queue_.in(request.to_proxy, [this, preferred, request] {
         size_t chosen = preferred;
-        for (size_t i = 0; i < proxies && !proxies_[chosen]->runs(); ++i) chosen = (chosen + 1) % proxies;
+        for (size_t i = 0; i < proxy_count && !proxies_[chosen]->is_running(); ++i) chosen = (chosen + 1) % proxy_count;
         proxies_[chosen]->request(request, [this, request] {
             queue_.in(request.to_host, [this, request] {
-                ++outcome_.ran;
-                checker_.ran(request);
+                ++outcome_.executed;
+                checker_.request_executed(request);
             });
         });
     });
 }
 
 // Connected to a majority of the control machines, their leader among them, that are in order themselves.
-bool World::in_touch(const SubscribedProxy& proxy) {
-    if (!proxy.runs() || proxy.stands_still()) return false;
+bool World::is_in_contact(const SubscribedProxy& proxy) {
+    if (!proxy.is_running() || proxy.is_frozen()) return false;
     size_t reached = 0;
-    bool leads = false;
-    const auto machines = listed();
+    bool leader_reached = false;
+    const auto machines = present_machines();
     for (const auto* machine : machines) {
-        if (is_lost(*machine) || machine->disk_is_busy()) continue;
+        if (is_lost(*machine) || machine->disk_is_impaired()) continue;
         if (!network_->connected(proxy.process(), machine->process())) continue;
         ++reached;
-        leads = leads || machine->node()->replica().role() == consensus::Role::leader;
+        leader_reached = leader_reached || machine->node()->replica().role() == consensus::Role::leader;
     }
-    return leads && 2 * reached > machines.size();
+    return leader_reached && 2 * reached > machines.size();
 }
 
 void World::watch_contact() {
-    std::set<size_t> for_long;
-    for (size_t i = 0; i < proxies; ++i) {
+    std::set<size_t> in_contact;
+    for (size_t i = 0; i < proxy_count; ++i) {
         const auto& proxy = *proxies_[i];
-        contact_since_[i] = std::max(contact_since_[i], proxy.back_at());
-        if (!in_touch(proxy)) contact_since_[i] = queue_.now();
-        if (queue_.now() - contact_since_[i] >= contact) for_long.insert(i);
+        contact_since_[i] = std::max(contact_since_[i], proxy.resumed_at());
+        if (!is_in_contact(proxy)) contact_since_[i] = queue_.now();
+        if (queue_.now() - contact_since_[i] >= contact_duration) in_contact.insert(i);
     }
-    checker_.in_touch(for_long, proxies);
-    queue_.in(watch_contact_every, [this] { watch_contact(); });
+    checker_.proxies_in_contact(in_contact, proxy_count);
+    queue_.in(contact_check_interval, [this] { watch_contact(); });
 }
 
 // Checks of the whole.
 
 void World::watch_drains() {
     check_drains();
-    queue_.in(watch_every, [this] { watch_drains(); });
+    queue_.in(drain_check_interval, [this] { watch_drains(); });
 }
 
 void World::check_drains() {
     if (queue_.now() < disturbed_until_) return;
     for (const auto& proxy : proxies_) {
-        if (!proxy->runs() || !proxy->knows_hosts()) continue;
+        if (!proxy->is_running() || !proxy->has_hosts()) continue;
         for (const auto& [id, drained] : checker_.drains()) {
-            if (queue_.now() - drained.second < drain) continue;
+            if (queue_.now() - drained.second < drain_bound) continue;
             const auto* host = proxy->hosts().find(id);
             if (host && host->state == registry::HostState::ready)
-                checker_.breaks(Invariant::drain_known, "edge-" + std::to_string(proxy->process()) + " takes " + id +
-                                                            " for ready after its drain was acknowledged");
+                checker_.report_violation(Invariant::drain_known, "edge-" + std::to_string(proxy->process()) +
+                                                                      " takes " + id +
+                                                                      " for ready after its drain was acknowledged");
         }
     }
 }
 
 void World::await_closing() {
-    closing_waits_ = true;
-    queue_.in(closing_within, [this] {
-        if (std::exchange(closing_waits_, false)) strike_closing(nullptr);
+    closing_pending_ = true;
+    queue_.in(closing_timeout, [this] {
+        if (std::exchange(closing_pending_, false)) inject_closing(nullptr);
     });
 }
 
 // The machines in the order in which their disks are lost.
 std::vector<Machine*> World::closing_order(Machine* acknowledger) {
-    auto machines = listed();
-    std::rotate(machines.begin(), machines.begin() + static_cast<std::ptrdiff_t>(plan_.closing->lot % machines.size()),
+    auto machines = present_machines();
+    std::rotate(machines.begin(),
+                machines.begin() + static_cast<std::ptrdiff_t>(plan_.closing->selector % machines.size()),
                 machines.end());
     if (plan_.closing->oldest_disks)
         std::stable_sort(machines.begin(), machines.end(),
-                         [](const auto* a, const auto* b) { return a->disk_since < b->disk_since; });
+                         [](const auto* a, const auto* b) { return a->disk_created_at < b->disk_created_at; });
     if (plan_.closing->acknowledger)
         std::stable_partition(machines.begin(), machines.end(), [&](const auto* each) { return each == acknowledger; });
     return machines;
 }
 
 // One that is lost already counts among the losses that are borne, whether its disk is lost now or not.
-void World::strike_closing(Machine* acknowledger) {
-    note("the day is closed");
-    const Span down{plan_.closing->down};
-    note_fault(FaultKind::closing, queue_.now() + down);
-    size_t borne = plan_.tolerated - std::min(plan_.tolerated, lost());
+void World::inject_closing(Machine* acknowledger) {
+    record("the day is closed");
+    const Span downtime{plan_.closing->downtime};
+    record_fault(FaultKind::closing, queue_.now() + downtime);
+    size_t losses_left = plan_.tolerated_losses - std::min(plan_.tolerated_losses, lost_count());
     std::vector<Machine*> others;
     for (auto* machine : closing_order(acknowledger)) {
-        if (borne > 0 && !is_lost(*machine)) {
-            --borne;
-            note("the disk of " + machine->settings().node_name + " is lost");
-            lose_disk(*machine, down + Span{chance_.between(0, 0.5)}, false);
+        if (losses_left > 0 && !is_lost(*machine)) {
+            --losses_left;
+            record("the disk of " + machine->settings().node_name + " is lost");
+            lose_disk(*machine, downtime + Span{random_.between(0, 0.5)}, false);
         } else {
             others.push_back(machine);
         }
     }
-    for (auto* machine : others) down_for(*machine, Machine::End::without_power, down + Span{chance_.between(0, 0.5)});
+    for (auto* machine : others)
+        take_down(*machine, Machine::Termination::power_lost, downtime + Span{random_.between(0, 0.5)});
     for (const auto& proxy : proxies_) {
-        proxy->end();
-        restart_after(*proxy, down + Span{chance_.between(0, 0.5)});
+        proxy->terminate();
+        restart_after(*proxy, downtime + Span{random_.between(0, 0.5)});
     }
-    queue_.in(down + Span{1}, [this] { end_of_day(); });
+    queue_.in(downtime + Span{1}, [this] { end_faults(); });
 }
 
-void World::end_of_day() {
-    over_ = true;
+void World::end_faults() {
+    faults_ended_ = true;
     network_->heal();
     cut_until_.clear();
     answers_lost_until_ = long_ago;
     for (const auto& machine : machines_) {
-        machine->disk().refuses = false;
-        machine->disk_is_well();
+        machine->disk().fails_writes = false;
+        machine->end_disk_delay();
         machine->thaw_now();
-        if (!machine->gone) machine->start();
+        if (!machine->removed) machine->start();
     }
     for (const auto& proxy : proxies_) {
         proxy->thaw_now();
-        if (!proxy->runs()) proxy->start(seeds(), chance_.number());
+        if (!proxy->is_running()) proxy->start(seed_nodes(), random_.number());
     }
     for (const auto& caller : operators_) caller->stop();
     rollout_operator_->stop();
-    note("the last fault is over");
-    const Time calm = queue_.now();
-    for (double after = 0.25; after < settle.s; after += 0.25)
-        queue_.in({after}, [this, calm] {
-            if (outcome_.agreed_after == 0 && agrees()) outcome_.agreed_after = (queue_.now() - calm).s;
+    record("the last fault is over");
+    const Time faults_ended_at = queue_.now();
+    for (double after = 0.25; after < settle_timeout.s; after += 0.25)
+        queue_.in({after}, [this, faults_ended_at] {
+            if (outcome_.agreement_time == 0 && agrees()) outcome_.agreement_time = (queue_.now() - faults_ended_at).s;
         });
-    queue_.in(settle, [this] {
-        if (!agrees()) checker_.breaks(Invariant::agreement, disagreement());
+    queue_.in(settle_timeout, [this] {
+        if (!agrees()) checker_.report_violation(Invariant::agreement, disagreement());
         operators_[0]->read_now();
         rollout_operator_->read_now();
     });
-    queue_.in(settle + Span{3.5}, [this] {
+    queue_.in(settle_timeout + Span{3.5}, [this] {
         check_drains();
-        if (operators_[0]->read() < checker_.newest_confirmed() || !operators_[0]->is_idle())
-            checker_.breaks(Invariant::nothing_lost, "version " + std::to_string(operators_[0]->read()) + " is read, " +
-                                                         std::to_string(checker_.newest_confirmed()) +
-                                                         " was confirmed");
-        if (!rollout_operator_->has_read()) checker_.breaks(Invariant::rollout_kept, "no rollout can be read");
-        note("read " + std::to_string(operators_[0]->read()));
+        if (operators_[0]->last_read_version() < checker_.newest_confirmed() || !operators_[0]->is_idle())
+            checker_.report_violation(Invariant::nothing_lost,
+                                      "version " + std::to_string(operators_[0]->last_read_version()) + " is read, " +
+                                          std::to_string(checker_.newest_confirmed()) + " was confirmed");
+        if (!rollout_operator_->has_read())
+            checker_.report_violation(Invariant::rollout_kept, "no rollout can be read");
+        record("read " + std::to_string(operators_[0]->last_read_version()));
     });
 }
 
@@ -610,14 +622,14 @@
 std::string World::disagreement() const {
     const consensus::Replica* leader = nullptr;
     for (const auto& machine : machines_) {
-        if (machine->gone) continue;
-        if (!machine->runs()) return machine->settings().node_name + " does not run";
+        if (machine->removed) continue;
+        if (!machine->is_running()) return machine->settings().node_name + " does not run";
         const auto& replica = machine->node()->replica();
         if (replica.role() == consensus::Role::leader) leader = &replica;
     }
     if (!leader || !leader->entry()) return "nobody leads";
     for (const auto& machine : machines_) {
-        if (machine->gone) continue;
+        if (machine->removed) continue;
         const auto& replica = machine->node()->replica();
         if (!replica.entry() || !(*replica.entry() == *leader->entry()))
             return machine->settings().node_name + " lacks the last entry";
@@ -625,21 +637,21 @@
             return machine->settings().node_name + " does not know the last entry committed";
         if (!leader->is_voter(replica.self())) return machine->settings().node_name + " does not vote";
     }
-    if (leader->entry()->state.voters.size() != disks().size()) return "one that is gone still votes";
+    if (leader->entry()->state.voters.size() != present_machines_const().size()) return "one that is gone still votes";
     for (const auto& proxy : proxies_)
-        if (proxy->version() != leader->entry()->state.version || !proxy->knows_hosts())
+        if (proxy->version() != leader->entry()->state.version || !proxy->has_hosts())
             return "edge-" + std::to_string(proxy->process()) + " has version " + std::to_string(proxy->version());
     return {};
 }
 
-Outcome play(const Plan& plan, std::function<void(const std::string&)> trace) {
-    return World(plan, std::move(trace)).play();
+Outcome run_plan(const Plan& plan, std::function<void(const std::string&)> trace) {
+    return World(plan, std::move(trace)).run();
 }
 
 namespace {
 
 // Each with one fault or surge fewer, or without changes of limits.
-std::vector<Plan> plans_with_less(const Plan& plan) {
+std::vector<Plan> reduced_plans(const Plan& plan) {
     std::vector<Plan> plans;
     for (size_t i = 0; i < plan.faults.size(); ++i) {
         plans.push_back(plan);
@@ -649,9 +661,9 @@
         plans.push_back(plan);
         plans.back().surges.erase(plans.back().surges.begin() + static_cast<std::ptrdiff_t>(i));
     }
-    if (plan.limits_change) {
+    if (plan.changes_limits) {
         plans.push_back(plan);
-        plans.back().limits_change = false;
+        plans.back().changes_limits = false;
     }
     if (plan.closing) {
         plans.push_back(plan);
@@ -660,27 +672,27 @@
     return plans;
 }
 
-bool still_breaks(const Plan& plan, Invariant invariant) {
-    const auto broken = play(plan).broken;
-    return broken && broken->invariant == invariant;
+bool still_violates(const Plan& plan, Invariant invariant) {
+    const auto violation = run_plan(plan).violation;
+    return violation && violation->invariant == invariant;
 }
 
 }   // namespace
 
 Plan shrink(const Plan& plan) {
-    auto least = plan;
-    const auto first = play(plan).broken;
-    if (!first) return least;
+    auto smallest = plan;
+    const auto first = run_plan(plan).violation;
+    if (!first) return smallest;
     for (bool smaller = true; smaller;) {
         smaller = false;
-        for (const auto& without : plans_with_less(least)) {
-            if (!still_breaks(without, first->invariant)) continue;
-            least = without;
+        for (const auto& reduced : reduced_plans(smallest)) {
+            if (!still_violates(reduced, first->invariant)) continue;
+            smallest = reduced;
             smaller = true;
             break;
         }
     }
-    return least;
+    return smallest;
 }
 
 }   // namespace myrtleroute::lab::control
--- a/tests/system/quota_checker_test.cpp
+++ b/tests/system/quota_checker_test.cpp
@@ -18,26 +18,26 @@
 };
 
 // Of all windows: those that begin when some request was sent hold the most.
-double most_in_a_window(const std::vector<Arrival>& arrivals, Span window) {
-    double most = 0;
+double max_window_sum(const std::vector<Arrival>& arrivals, Span window) {
+    double max_sum = 0;
     for (const auto& first : arrivals) {
         double sum = 0;
         for (const auto& other : arrivals)
             if (other.sent >= first.sent && other.arrived <= first.sent + window) sum += other.cost;
-        most = std::max(most, sum);
+        max_sum = std::max(max_sum, sum);
     }
-    return most;
+    return max_sum;
 }
 
 // Latencies of all sizes, up to longer than the window; times on a grid, so that ends of windows meet arrivals.
-std::vector<Arrival> draw_arrivals(RandomStream& chance) {
+std::vector<Arrival> draw_arrivals(RandomStream& random) {
     constexpr double grid = 0.125;
     std::vector<Arrival> arrivals;
-    const int count = 1 + chance.below(60);
+    const int count = 1 + random.below(60);
     for (int i = 0; i < count; ++i) {
-        const double sent = grid * chance.below(200);
-        const double latency = grid * chance.below(chance.bernoulli(0.2) ? 80 : 8);
-        arrivals.push_back({Time{sent}, Time{sent + latency}, static_cast<double>(1 + chance.below(1000))});
+        const double sent = grid * random.below(200);
+        const double latency = grid * random.below(random.bernoulli(0.2) ? 80 : 8);
+        arrivals.push_back({Time{sent}, Time{sent + latency}, static_cast<double>(1 + random.below(1000))});
     }
     std::sort(arrivals.begin(), arrivals.end(), [](const auto& a, const auto& b) { return a.arrived < b.arrived; });
     return arrivals;
@@ -56,46 +56,46 @@
 }   // namespace
 
 TEST_CASE("the sliding sum's highest is that of the fullest of all windows") {
-    RandomStream chance(1, 1);
+    RandomStream random(1, 1);
     for (int round = 0; round < 2000; ++round) {
-        const auto arrivals = draw_arrivals(chance);
-        SlidingUse use(Span{8});
+        const auto arrivals = draw_arrivals(random);
+        SlidingSum use(Span{8});
         double highest = 0;
-        for (const auto& each : arrivals) highest = std::max(highest, use.arrived(each.sent, each.cost, each.arrived));
+        for (const auto& each : arrivals) highest = std::max(highest, use.add(each.sent, each.cost, each.arrived));
         CAPTURE(round);
-        CHECK(highest == most_in_a_window(arrivals, Span{8}));
+        CHECK(highest == max_window_sum(arrivals, Span{8}));
     }
 }
 
 TEST_CASE("a lower limit takes hold a window after every proxy was in touch two seconds past its acknowledgement") {
     LimitsInForce limits(Span{8}, Span{2});
-    limits.applied(1, tenant_with(1000, 100));
-    limits.applied(2, tenant_with(400, 100));
+    limits.committed(1, tenant_with(1000, 100));
+    limits.committed(2, tenant_with(400, 100));
     limits.acknowledged(2, Time{10});
-    limits.in_touch({0, 1}, 2, Time{11.9});   // too soon
-    limits.in_touch({0}, 2, Time{13});
-    CHECK(limits.highest("t", Time{100}) == allowed(1000, 100));
-    limits.in_touch({1}, 2, Time{20});
-    CHECK(limits.highest("t", Time{27.9}) == allowed(1000, 100));
-    CHECK(limits.highest("t", Time{28}) == allowed(400, 100));
+    limits.proxies_in_contact({0, 1}, 2, Time{11.9});   // too soon
+    limits.proxies_in_contact({0}, 2, Time{13});
+    CHECK(limits.max_allowed("t", Time{100}) == allowed(1000, 100));
+    limits.proxies_in_contact({1}, 2, Time{20});
+    CHECK(limits.max_allowed("t", Time{27.9}) == allowed(1000, 100));
+    CHECK(limits.max_allowed("t", Time{28}) == allowed(400, 100));
 }
 
 TEST_CASE("a higher limit holds as soon as it is committed, and what was never acknowledged ends nothing") {
     LimitsInForce limits(Span{8}, Span{2});
-    CHECK(limits.highest("t", Time{1}) == 0);
-    limits.applied(1, tenant_with(1000, 100));
-    limits.applied(2, tenant_with(4000, 100));
-    CHECK(limits.highest("t", Time{1}) == allowed(4000, 100));
-    limits.applied(3, tenant_with(100, 100));
-    limits.in_touch({0}, 1, Time{50});
-    CHECK(limits.highest("t", Time{100}) == allowed(4000, 100));
+    CHECK(limits.max_allowed("t", Time{1}) == 0);
+    limits.committed(1, tenant_with(1000, 100));
+    limits.committed(2, tenant_with(4000, 100));
+    CHECK(limits.max_allowed("t", Time{1}) == allowed(4000, 100));
+    limits.committed(3, tenant_with(100, 100));
+    limits.proxies_in_contact({0}, 1, Time{50});
+    CHECK(limits.max_allowed("t", Time{100}) == allowed(4000, 100));
 }
 
 TEST_CASE("a tenant over its quota is reported with what it used and what is allowed") {
     QuotaChecker checker;
-    checker.limits().applied(1, tenant_with(1000, 0));
+    checker.limits().committed(1, tenant_with(1000, 0));
     const TenantRequest request{"t", Time{1}, 148800, Span{}, Span{}};
-    CHECK_FALSE(checker.arrived(request, Time{1}));
+    CHECK_FALSE(checker.check_arrival(request, Time{1}));
     const TenantRequest small{"t", Time{2}, 1, Span{}, Span{}};
-    CHECK(checker.arrived(small, Time{2}) == "t has used 148801 tokens within a window, 148800 are allowed");
+    CHECK(checker.check_arrival(small, Time{2}) == "t has used 148801 tokens within a window, 148800 are allowed");
 }
