--- a/src/lab/control/callers.cpp
+++ b/src/lab/control/callers.cpp
@@ -13,12 +13,12 @@
 constexpr Span response_timeout{1};
 constexpr int max_attempts = 14, max_redirects = 2;
 constexpr double invalid_share = 0.06, read_share = 0.25, patch_share = 0.5;
-constexpr int patched_route_names = 4;   // names that patches use
+constexpr int patched_route_names = 4;   // distinct route names that patches use
 constexpr Span heartbeat_interval{1.2}, drain_duration{2};
 constexpr Span proxy_tick_interval{0.2}, lease_request_delay{0.05};
-constexpr int requests_per_tick = 8;   // of a proxy, while a rollout is in progress
+constexpr int requests_per_tick = 8;   // sent by a proxy while a rollout is in progress
 constexpr size_t zone_count = 2;
-constexpr Span lease_timeout{0.2};   // of a request that waits for units
+constexpr Span lease_timeout{0.2};   // how long a request waits for units
 
 std::string document(uint64_t version, uint64_t salt, const std::string& tenants) {
     return R"({"version":)" + std::to_string(version) + R"(,"routes":[{"hostname":"h","pathPrefix":"/)" +
@@ -64,7 +64,7 @@
     }
     operation_.base = base_version_;
     operation_.version =
-        base_version_ + 1 + static_cast<uint64_t>(random_.below(2));   // often the other operator's number too
+        base_version_ + 1 + static_cast<uint64_t>(random_.below(2));   // often the same number as the other operator's
     operation_.is_patch = base_version_ > 0 && random_.bernoulli(patch_share);
     body_ = operation_.is_patch ? draw_patch()
                                 : document(operation_.version, random_.number() % 100000,
@@ -74,8 +74,8 @@
     operation_.body = checker_.number_of_update(body_, operation_.is_patch);
 }
 
-// One tenant as a whole document of that version would have it, a route more or another one in its place, and now and then one
-// less; whether that name is there is not known here.
+// A patch: one tenant as a whole document of that version would define it, often a new or replaced route, and
+// sometimes a deleted one. Whether that route name exists is not known here.
 std::string Operator::draw_patch() {
     const auto route_name = [this] {
         return "p" + std::to_string(random_.below(patched_route_names));
@@ -83,7 +83,7 @@
     const auto tenants = nlohmann::json::parse(environment_.tenants_json(operation_.version));
     nlohmann::json patch{{"version", operation_.version}};
     auto tenant = tenants[static_cast<size_t>(random_.below(static_cast<int>(tenants.size())))];
-    tenant["note"] = random_.number();   // so that no two patches make the same of a document
+    tenant["note"] = random_.number();   // so that no two patches produce the same document
     patch["upsert"]["tenants"] = {std::move(tenant)};
     if (random_.bernoulli(0.7))
         patch["upsert"]["routes"] = {{{"name", route_name()},
@@ -125,7 +125,7 @@
     environment_.send_request(*machine, request,
                               [this, number, at, redirects](const std::optional<HttpResponse>& answer) {
                                   if (answer && environment_.drops_responses() && random_.bernoulli(0.7))
-                                      return;   // a time-out follows
+                                      return;   // the call then times out
                                   if (number == call_number_) completed(at, answer, redirects);
                               });
     queue_.in(response_timeout, [this, number, at, redirects] {
@@ -139,7 +139,7 @@
     operation.answered = queue_.now();
     if (!answer || answer->status == 503 || answer->status == 408) return retry();
     if (answer->status == 307) {
-        operation.invoked = Time{1e17};   // it was not asked for anything
+        operation.invoked = Time{1e17};   // excluded from the history: a redirect has no effect
         if (redirects < max_redirects) return call(environment_.machine_for_location(answer->location), redirects + 1);
         return retry();
     }
@@ -148,15 +148,15 @@
         operation.version = last_read_version_ = base_version_ = answer->status == 200 ? version_of(answer->body) : 0;
         operation.body = answer->status == 200 ? checker_.number_of_update(answer->body, false) : 0;
     } else if (answer->status == 200) {
-        if (!body_is_valid_) checker_.report_violation(Invariant::refused_stays_out, "an invalid order was confirmed");
+        if (!body_is_valid_) checker_.report_violation(Invariant::refused_stays_out, "an invalid update was confirmed");
         operation.outcome = Operation::Outcome::accepted;
         base_version_ = std::max(base_version_, operation_.version);
     } else {
         const bool stale = answer->status == 412, old = answer->status == 400 && is_about_version(answer->body);
         if (stale) operation.outcome = Operation::Outcome::precondition_failed;
         if (old) operation.outcome = Operation::Outcome::version_too_low;
-        if (!stale && !old) operation.invoked = Time{1e17};   // refused whatever the state
-        if (body_is_valid_) return read_now();                // what is current by now
+        if (!stale && !old) operation.invoked = Time{1e17};   // excluded from the history: refused whatever the state
+        if (body_is_valid_) return read_now();                // reads the current version
     }
     finish();
 }
@@ -287,7 +287,8 @@
     tick(incarnation_);
 }
 
-// The hosts of service s: two that serve, which seldom fail, and three candidates, which fail where their version is bad.
+// The hosts of service s: two serving hosts, which seldom fail, and three candidates, which fail often if their
+// version is bad.
 void SubscribedProxy::serve_and_report() {
     const auto* rollout = rollouts_.rollout("s");
     if (!rollout || !rollout->in_progress()) return;
@@ -329,7 +330,7 @@
     queue_.in(proxy_tick_interval, [this, incarnation] { tick(incarnation); });
 }
 
-// Standing still.
+// Freezing: while frozen, the process runs nothing and everything that arrives is deferred.
 
 void SubscribedProxy::run_or_defer(std::function<void()> action) {
     if (is_frozen()) return deferred_.push_back(std::move(action));
@@ -389,9 +390,10 @@
 void SubscribedProxy::request(const TenantRequest& request, std::function<void()> granted) {
     if (!is_running()) return;
     run_or_defer([this, request, granted = std::move(granted)] {
-        if (!tenants_ || !configuration_lease_.is_valid(queue_.now())) return;   // no configuration, or an old one: 503
+        if (!tenants_ || !configuration_lease_.is_valid(queue_.now()))
+            return;   // no configuration, or an expired one: 503
         const auto tenant = tenants_->find(request.tenant);
-        if (tenant == tenants_->end() || tenant->second.api_keys.empty()) return;   // no such key: 401
+        if (tenant == tenants_->end() || tenant->second.api_keys.empty()) return;   // no valid API key: 401
         const auto ticket = next_ticket_++;
         const auto decision = leases_->acquire(request.tenant, request.cost, ticket, lease_timeout, queue_.now());
         if (decision.verdict == leases::Verdict::granted) return granted();
@@ -448,13 +450,13 @@
 
 void SubscribedProxy::handle(const messages::Message& message) {
     if (const auto* update = std::get_if<messages::ConfigurationUpdate>(&message)) {
-        const auto text = "edge-" + std::to_string(process_) + " was told version " + std::to_string(update->version);
+        const auto text = "edge-" + std::to_string(process_) + " received version " + std::to_string(update->version);
         if (std::exchange(awaits_first_configuration_, false) && update->version < confirmed_at_subscription_)
             checker_.report_violation(
                 Invariant::proxy_starts_current,
                 text + " after " + std::to_string(confirmed_at_subscription_) + " had been confirmed");
         if (update->version < version_)
-            checker_.report_violation(Invariant::proxy_goes_on, text + " behind " + std::to_string(version_));
+            checker_.report_violation(Invariant::proxy_goes_on, text + " after version " + std::to_string(version_));
         apply_configuration(*update);
     } else if (const auto* reply = std::get_if<leases::LeaseReply>(&message)) {
         leases_->apply(*reply, queue_.now());
--- a/src/lab/control/callers.hpp
+++ b/src/lab/control/callers.hpp
@@ -1,4 +1,4 @@
-// Who calls the control plane from outside: operators that race and resend, hosts that register, drain and leave, and
+// Clients of the control plane: operators that race and resend updates, hosts that register, drain and leave, and
 // proxies that subscribe.
 #pragma once
 #include <deque>
@@ -18,19 +18,19 @@
 
 namespace myrtleroute::lab::control {
 
-// What a caller knows of the world: which machines answer HTTP, and how to ask one.
+// What a caller needs of the simulation: which machines answer HTTP, and how to send them a request.
 struct CallerEnvironment {
-    std::function<std::vector<Machine*>()> machines;   // in the list that callers choose from
+    std::function<std::vector<Machine*>()> machines;   // those that callers choose from
     std::function<void(Machine&, myrtleroute::control::HttpRequest, Reply)> send_request;
-    std::function<Machine*(const std::string& location)> machine_for_location;   // of a 307
-    std::function<std::string(uint64_t version)> tenants_json;                   // of a new document
-    std::optional<Span> revocation_bound;    // for how long a key may be served after its removal; nothing: for ever
-    std::function<bool()> drops_responses;   // to operators, just now
+    std::function<Machine*(const std::string& location)> machine_for_location;   // of a 307 response
+    std::function<std::string(uint64_t version)> tenants_json;                   // for a new document of that version
+    std::optional<Span> revocation_bound;    // how long a key may be served after its removal; none: forever
+    std::function<bool()> drops_responses;   // whether responses to operators are being dropped now
 };
 
-// The version that a configuration's text names; 0 where it is none.
+// The version that a configuration document names; 0 if it names none.
 uint64_t version_of(const std::string& body);
-// Whether a 400 is about the version alone: the document is sound otherwise.
+// Whether a 400 response is only about the version, that is, the document is otherwise valid.
 bool is_about_version(const std::string& answer);
 
 class Operator {
@@ -40,7 +40,7 @@
     void start() { schedule_next(); }
     void stop() { stopped_ = true; }
     bool is_idle() const { return !busy_; }
-    uint64_t last_read_version() const { return last_read_version_; }   // version of the last reading; 0 = none yet
+    uint64_t last_read_version() const { return last_read_version_; }   // 0 = nothing read yet
     void read_now();
 
 private:
@@ -66,7 +66,7 @@
     uint64_t base_version_ = 0, call_number_ = 0, last_read_version_ = 0;
 };
 
-// One machine on which a host runs: one incarnation after the other.
+// One machine that runs a host, one incarnation after the other.
 class SimulatedHost {
 public:
     SimulatedHost(Queue& queue, RandomStream random, const CallerEnvironment& environment, Checker& checker,
@@ -92,10 +92,10 @@
     Machine* machine_ = nullptr;
 };
 
-// The control side of a proxy.
+// The control side of a proxy: subscription, leases and rollouts.
 class SubscribedProxy {
 public:
-    // `revocation_bound`: for how long a key may be served after its removal; nothing: for ever.
+    // `revocation_bound`: how long a key may be served after its removal; none: forever.
     SubscribedProxy(Queue& queue, Network& network, Checker& checker, ProcessId process,
                     std::optional<Span> revocation_bound,
                     std::function<std::optional<ProcessId>(const Endpoint&)> find_process);
@@ -106,11 +106,11 @@
     void closed(ConnectionId connection);
     void freeze(Time until);
     void thaw_now();
-    // A client's request arrives; `granted` is called where it goes on to a host.
+    // A client's request arrives; `granted` is called when it is forwarded to a host.
     void request(const TenantRequest& request, std::function<void()> granted);
 
     bool is_frozen() const { return queue_.now() < frozen_until_; }
-    Time resumed_at() const { return resumed_at_; }   // when it last was started or thawed
+    Time resumed_at() const { return resumed_at_; }   // the last start or thaw
     bool is_running() const { return subscriber_ != nullptr; }
     ProcessId process() const { return process_; }
     uint64_t version() const { return version_; }
@@ -125,8 +125,8 @@
     void request_leases();
     void request_configuration_lease();
     void handle_lease_decisions();
-    void serve_and_report();                           // some requests, of which rollouts are judged
-    void run_or_defer(std::function<void()> action);   // now, or when it no longer stands still
+    void serve_and_report();                           // sends some requests during a rollout and reports their results
+    void run_or_defer(std::function<void()> action);   // runs the action now, or after the thaw
     void thaw(uint64_t incarnation);
 
     Queue& queue_;
@@ -138,17 +138,18 @@
     registry::HostTable hosts_{{}};
     ConnectionId connection_ = 0;
     uint64_t incarnation_ = 0, version_ = 0;
-    uint64_t confirmed_at_subscription_ = 0;   // newest version when the subscription was opened
+    uint64_t confirmed_at_subscription_ = 0;   // newest confirmed version when the subscription was opened
     bool has_hosts_ = false, awaits_first_configuration_ = false;
-    // As src/roles/proxy/proxy.cpp wires them.
+    // Wired as in src/roles/proxy/proxy.cpp.
     std::unique_ptr<leases::Holder> leases_;
     std::optional<Span> revocation_bound_;
     leases::ConfigurationLease configuration_lease_{std::nullopt};
-    std::map<uint64_t, std::function<void()>> waiting_requests_;   // what is to be done once granted, by ticket
+    std::map<uint64_t, std::function<void()>>
+        waiting_requests_;   // continuations of requests that wait for a grant, by ticket
     uint64_t next_ticket_ = 1;
-    std::shared_ptr<const Tenants> tenants_;   // of the configuration that it was told; null before
+    std::shared_ptr<const Tenants> tenants_;   // of the configuration last received; null before the first
     rollout::Watcher rollouts_{{}, 0};
-    RandomStream host_random_{0, 0};   // what becomes of requests at hosts
+    RandomStream host_random_{0, 0};   // decides the results of requests at hosts
     Time frozen_until_ = long_ago, resumed_at_ = long_ago;
     std::deque<std::function<void()>> deferred_;
 };
--- a/src/lab/control/checker.cpp
+++ b/src/lab/control/checker.cpp
@@ -46,12 +46,12 @@
     if (keyless == keyless_.end() || !keyless->second.since) return;
     const Span beyond = request.sent - *keyless->second.since;
     if (beyond > *revocation_bound_)
-        report_violation(Invariant::revoked_keys, "a request of " + request.tenant + " ran that was sent " +
+        report_violation(Invariant::revoked_keys, "a request of " + request.tenant + " was executed that was sent " +
                                                       std::to_string(beyond.s) +
-                                                      " s after its key's removal was acknowledged");
+                                                      " s after the removal of its key was acknowledged");
 }
 
-// The run of versions in which a tenant has no key.
+// Tracks the range of versions in which a tenant has no key.
 void Checker::track_keys(uint64_t version, const std::string& document) {
     for (const auto& [name, tenant] : *documents_.read(document)) {
         auto& keyless = keyless_[name];
@@ -114,7 +114,7 @@
     if (replica.role() == consensus::Role::leader) {
         const auto [existing, inserted] = leaders_.try_emplace(replica.term(), replica.self());
         if (!inserted && existing->second != replica.self())
-            report_violation(Invariant::one_leader_a_term, "two leaders of term " + std::to_string(replica.term()));
+            report_violation(Invariant::one_leader_a_term, "two leaders in term " + std::to_string(replica.term()));
     }
     const auto& entry = replica.entry();
     if (!entry || replica.committed() < entry->position.index) return;
@@ -150,7 +150,7 @@
         std::count_if(machines.begin(), machines.end(), [&](const auto* machine) { return holds(*machine, version); }));
 }
 
-// On disks, and on disks that have been lost since.
+// Copies on disks, including disks lost since.
 size_t Checker::copies_made(uint64_t version, const std::vector<const Machine*>& machines) const {
     size_t copies = copies_of(version, machines);
     for (const auto& [process, held] : versions_on_lost_disks_) {
@@ -176,24 +176,27 @@
         report_violation(Invariant::one_body_a_version,
                          "two bodies were confirmed as version " + std::to_string(update.version));
     confirmed_bodies_.insert(update.body);
-    if (update.version <= newest_confirmed_) return;   // sent again
+    if (update.version <= newest_confirmed_) return;   // resent
     newest_confirmed_ = update.version;
     confirm_key_removals();
     quota_.limits().acknowledged(update.version, queue_.now());
-    // Of the losses that are borne, those that have just happened can't follow. Until these machines have caught up, so that
-    // they may be lost again, the order must be on as many disks as ever: `copies_before_a_loss`.
+    // The losses that have just happened use up part of the tolerated losses, so fewer can follow. Before these
+    // machines have caught up and may be lost again, the update must have its full number of copies:
+    // `copies_before_a_loss`.
     const size_t remaining_losses = tolerated_losses_ - std::min(tolerated_losses_, catching_up_.size());
     const auto copies = copies_made(update.version, machines);
     if (copies < remaining_losses + 1)
-        report_violation(Invariant::copies_at_acknowledgement,
-                         "version " + std::to_string(update.version) + " was on " + std::to_string(copies) + " disks");
+        report_violation(Invariant::copies_at_acknowledgement, "version " + std::to_string(update.version) +
+                                                                   " was acknowledged with copies on " +
+                                                                   std::to_string(copies) + " disks");
 }
 
 void Checker::refused(const Operation& update) {
     if (confirmed_bodies_.count(update.body))
         report_violation(Invariant::confirmed_again,
                          "version " + std::to_string(update.version) + " was confirmed and is refused");
-    if (update.is_patch) return refused_patches_.push_back(update);   // what it would have made is known at the end
+    if (update.is_patch)
+        return refused_patches_.push_back(update);   // the document it would have produced is known at the end
     const auto& text = body(update.body);
     refused_[update.version].insert(text);
     const auto committed = committed_.find(update.version);
--- a/src/lab/control/checker.hpp
+++ b/src/lab/control/checker.hpp
@@ -1,4 +1,4 @@
-// What must hold in the virtual world, checked as things happen. docs/control-safety.md lists the invariants.
+// The invariants of the simulated control plane, checked on every event. docs/control-safety.md lists them.
 #pragma once
 #include <array>
 #include <map>
@@ -16,23 +16,23 @@
 
 enum class Invariant {
     one_leader_a_term,
-    one_body_a_version,          // of what is committed, and of what is confirmed
-    copies_at_acknowledgement,   // made on disks, of an order that is confirmed: one more than may be lost
-    copies_before_a_loss,        // of the newest confirmed order, whenever nothing is out of order
-    linearizable,                // orders and readings
-    refused_stays_out,           // what was refused is never committed
-    confirmed_again,             // what was confirmed is not refused when it is sent again
-    drain_on_disks,              // of a majority of the voters when it is acknowledged
-    drain_known,                 // to every proxy in touch two seconds after its acknowledgement
-    proxy_goes_on,               // a proxy is never told an older configuration in one life
-    proxy_starts_current,        // nor begins one with an older one than was confirmed before it asked
+    one_body_a_version,          // holds for committed and for confirmed versions
+    copies_at_acknowledgement,   // a confirmed update has been written to one disk more than may be lost
+    copies_before_a_loss,        // of the newest confirmed update, whenever nothing is impaired
+    linearizable,                // updates and reads
+    refused_stays_out,           // a refused update is never committed
+    confirmed_again,             // a confirmed update is not refused when it is resent
+    drain_on_disks,              // an acknowledged drain is on the disks of a majority of the voters
+    drain_known,                 // to every proxy in contact, two seconds after its acknowledgement
+    proxy_goes_on,               // a proxy never receives an older configuration within one incarnation
+    proxy_starts_current,        // and its first one is no older than the newest confirmed when it subscribed
     nothing_lost,                // at the end the newest confirmed configuration, or a newer one, is read
-    agreement,                   // at the end, within a stated time
+    agreement,                   // of all machines and proxies at the end, within a stated time
     quota,                       // of tenants, at the hosts, in every window
-    revoked_keys,                // a request runs that was sent too long after its key's removal was acknowledged
-    patch_as_modelled,           // what a change of named items makes of its base
-    rollout_forward,             // one state a revision, stages never go back, and a bad version never completes
-    rollout_kept,                // what was acknowledged or told of a rollout is read again
+    revoked_keys,                // no request runs that was sent too long after the acknowledged removal of its key
+    patch_as_modelled,           // a patch produces what the reference model makes of its base version
+    rollout_forward,             // one state per revision, stages never go back, and a bad version never completes
+    rollout_kept,                // what was acknowledged or reported of a rollout is still there in later reads
     kinds
 };
 constexpr size_t invariant_kinds = static_cast<size_t>(Invariant::kinds);
@@ -46,28 +46,29 @@
 
 class Checker {
 public:
-    // `revocation_bound`: for how long a key may be served after its removal; nothing: for ever.
+    // `revocation_bound`: how long a key may be served after its removal; none: forever.
     Checker(const Queue& queue, size_t tolerated_losses, std::optional<Span> revocation_bound)
         : queue_(queue), tolerated_losses_(tolerated_losses), revocation_bound_(revocation_bound) {}
 
-    void check_node(const Machine& machine);   // after everything that a node does
-    // An order was confirmed by a machine; `machines` are all whose disks count.
+    void check_node(const Machine& machine);   // called after each step of a node
+    // A machine confirmed an update; `machines` are all machines whose disks count.
     void confirmed(const Operation& update, const std::vector<const Machine*>& machines);
     void refused(const Operation& update);
-    // The machine is about to lose its disk. A copy that was on it has been made: an order that was committed with it may
-    // be confirmed a moment later.
+    // The machine is about to lose its disk. The copy on it still counts as made: an update that was committed with
+    // it may be confirmed a moment later.
     void disk_lost(const Machine& machine);
-    // A machine that no longer counts as lost.
+    // The machine no longer counts as lost.
     void mark_caught_up(const Machine& machine);
     void drain_acknowledged(const std::string& host, registry::HostState state, const Machine& by,
                             const std::vector<const Machine*>& machines);
-    // Nothing is out of order at this moment: a disk may be lost.
+    // Called when nothing is impaired and a disk is about to be lost.
     void check_before_disk_loss(const std::vector<const Machine*>& machines);
     void report_violation(Invariant invariant, const std::string& what);
-    void request_executed(const TenantRequest& request);   // it has arrived at a host
-    // At the end: what the orders of a history make of their bases, as a plain model has it.
+    void request_executed(const TenantRequest& request);   // the request has arrived at a host
+    // At the end: computes the document that each update of the history produces from its base, with the reference
+    // model.
     void resolve_results(std::vector<Operation>& history);
-    // Proxies that are in touch now, of so many.
+    // `proxies`: those in contact with the control plane now, out of `proxy_count`.
     void proxies_in_contact(const std::set<size_t>& proxies, size_t proxy_count) {
         quota_.limits().proxies_in_contact(proxies, proxy_count, queue_.now());
     }
@@ -76,9 +77,9 @@
     RolloutChecker& rollouts() { return rollouts_; }
 
     uint64_t newest_confirmed() const { return newest_confirmed_; }
-    // The first break; of another invariant than `quota` where there is one.
+    // The first violation of an invariant other than `quota`, or else the first of `quota`.
     const std::optional<Violation>& first_violation() const { return first_violation_; }
-    // Whether the day has come to its end by a break. One of `quota` doesn't end it: the others are still to be checked.
+    // Whether a violation ends the run. One of `quota` does not, so that the other invariants are still checked.
     bool ends_run() const { return first_violation_ && first_violation_->invariant != Invariant::quota; }
     const std::array<size_t, invariant_kinds>& violations() const { return violations_; }
     const std::map<std::string, std::pair<registry::HostState, Time>>& drains() const { return drains_; }
@@ -95,8 +96,8 @@
     size_t tolerated_losses_;
     std::optional<Span> revocation_bound_;
     struct Keyless {
-        uint64_t version = 0;        // committed since which the tenant has had no key; 0 = it has one
-        std::optional<Time> since;   // when that, or a later one, was acknowledged
+        uint64_t version = 0;        // committed version since which the tenant has had no key; 0 = it has one
+        std::optional<Time> since;   // when that version, or a later one, was acknowledged
     };
     std::map<std::string, Keyless> keyless_;   // by tenant
     std::optional<Violation> first_violation_;
@@ -105,19 +106,19 @@
     QuotaChecker quota_;
     RolloutChecker rollouts_;
     std::map<uint64_t, consensus::ReplicaId> leaders_;   // by term
-    std::map<uint64_t, std::string> committed_;          // whole documents by version, in their canonical form
-    std::map<uint64_t, uint64_t> confirmed_;             // numbers of bodies by version
+    std::map<uint64_t, std::string> committed_;          // whole documents in canonical form, by version
+    std::map<uint64_t, uint64_t> confirmed_;             // body numbers, by version
     std::set<uint64_t> confirmed_bodies_;
-    std::map<ProcessId, uint64_t> last_checked_;          // index of the entry
-    std::map<uint64_t, std::set<std::string>> refused_;   // whole documents by version
+    std::map<ProcessId, uint64_t> last_checked_;          // index of the last entry checked, by machine
+    std::map<uint64_t, std::set<std::string>> refused_;   // whole documents, by version
     std::vector<Operation> refused_patches_;
-    std::map<std::string, std::pair<registry::HostState, Time>> drains_;   // hosts that were acknowledged
+    std::map<std::string, std::pair<registry::HostState, Time>> drains_;   // acknowledged host states, by host
     uint64_t newest_confirmed_ = 0;
-    std::map<ProcessId, uint64_t> versions_on_lost_disks_;   // the newest version that a machine's last disk held
-    std::set<ProcessId> catching_up_;                        // machines that count as lost since their disks were
+    std::map<ProcessId, uint64_t> versions_on_lost_disks_;   // the newest version on a machine's lost disk
+    std::set<ProcessId> catching_up_;                        // machines that count as lost since they lost their disks
 
 public:
-    // Bodies have numbers, so that histories are small.
+    // Bodies are numbered, to keep histories small.
     uint64_t number_of(const std::string& body);
     uint64_t number_of_update(const std::string& body, bool is_patch);
     const std::string& body(uint64_t number) const { return bodies_.at(number - 1); }
--- a/src/lab/control/disk.hpp
+++ b/src/lab/control/disk.hpp
@@ -1,6 +1,6 @@
-// A virtual disk with the files of a ring. What is written is safe once it is synced; a loss of power keeps, drops or tears
-// each write that was not. A write of the ring takes time: when its process ends in the middle, some first part of what
-// it asked for has happened.
+// A virtual disk with the files of a record ring. Written data is durable once it is synced; a power loss keeps,
+// drops or tears each unsynced write. A write takes time: if the process ends in the middle, only a prefix of the
+// requested operations has been applied.
 #pragma once
 #include <memory>
 #include <string>
@@ -17,16 +17,16 @@
     static constexpr uint64_t file_bytes = 192 * 1024;
 
     storage::RecordRing open();
-    bool fails_writes = false;   // every write and sync
+    bool fails_writes = false;   // fails every write and sync
 
-    // What a ring has asked for since the last call of one of these.
-    void complete();                        // has happened
-    void interrupt(RandomStream& random);   // has happened up to some point: the process has ended
+    // What to do with the operations that the ring has requested since the last call of one of these.
+    void complete();                        // applies them all
+    void interrupt(RandomStream& random);   // applies a random prefix: the process has ended
     void lose_power(RandomStream& random);
     void wipe();
-    void corrupt(RandomStream& random);   // bits of what is safe change
+    void corrupt(RandomStream& random);   // overwrites some durable bytes with random ones
 
-    // What would be found if power were lost now and nothing came through that is not safe.
+    // What recovery would find if power were lost now and no unsynced write survived.
     storage::Recovered recover_durable() const;
 
 private:
--- a/src/lab/control/explorer.cpp
+++ b/src/lab/control/explorer.cpp
@@ -33,7 +33,7 @@
     int election_timeouts = 0, heartbeats = 0, proposals = 0, crashes = 0, lost_disks = 0, broken_connections = 0;
     std::map<uint64_t, ReplicaId> leaders;   // by term
     uint64_t next_version = 1;
-    Position committed;   // the highest that a leader has seen committed, and its version
+    Position committed;   // the highest position that a leader has committed, and its version
     uint64_t committed_version = 0;
 };
 
@@ -76,7 +76,7 @@
         }
         return state;
     }
-    // The first replica times out, and everything that follows happens at once and in order.
+    // The first replica times out; all that follows is delivered at once, in order.
     void elect(State& state) {
         state.now = state.now + election_timeout_step;
         state.slots[0].replica->tick(state.now);
@@ -112,7 +112,7 @@
         return state.slots.size();
     }
 
-    // Takes what a replica asks for, and checks what has changed.
+    // Takes the replica's outputs and checks the invariants that they affect.
     void execute_outputs(State& state, size_t i) {
         auto& slot = state.slots[i];
         for (auto& output : slot.replica->take_outputs()) {
@@ -150,25 +150,25 @@
     void check_new_leader(State& state, const Slot& slot) {
         ++result_.elections;
         const auto [existing, inserted] = state.leaders.try_emplace(slot.replica->term(), slot.id);
-        if (!inserted && existing->second != slot.id) report_violation("two leaders of one term");
+        if (!inserted && existing->second != slot.id) report_violation("two leaders in one term");
         if (slot.replica->entry()->state.version < state.committed_version)
-            report_violation("a leader lacks what is committed");
+            report_violation("a leader lacks a committed entry");
     }
 
     void check_commit(State& state, const Slot& slot, const Committed& committed) {
         ++result_.commits;
         const auto& entry = *slot.replica->entry();
         if (entry.position.index != committed.position.index) return;
-        // A disk that was lost since has taken its copy with it.
+        // A disk lost since then may have held a copy.
         auto copies = static_cast<size_t>(options_.lost_disks - state.lost_disks);
         for (const auto& other : state.slots)
             copies += other.disk_entry && other.disk_entry->position >= entry.position &&
                       std::binary_search(entry.state.voters.begin(), entry.state.voters.end(), other.id);
         if (2 * copies <= entry.state.voters.size())
-            report_violation("an entry is committed without a majority's disks");
+            report_violation("an entry is committed without being on the disks of a majority");
         if (entry.position < state.committed) return;
         state.committed = entry.position;
-        if (entry.state.version < state.committed_version) report_violation("a later entry lacks what is committed");
+        if (entry.state.version < state.committed_version) report_violation("a later entry lacks a committed version");
         state.committed_version = entry.state.version;
     }
 
@@ -180,7 +180,7 @@
         return path_to(nodes_[node].parent) + " " + nodes_[node].action + ";";
     }
 
-    // A state is expanded once, when it is first reached: that is with as many actions left as it ever is.
+    // A state is expanded once, when it is first reached; breadth first, that is with the most actions left.
     void add_state(State state, size_t parent, const std::string& action) {
         if (!seen_.insert(fingerprint(state)).second) return;
         if (seen_.size() >= options_.max_states) result_.complete = false;
@@ -226,14 +226,14 @@
         if (!slot.writes.empty()) step(state, "write at " + number, [&](State& next) { write(next, i); });
         const bool leads = slot.replica->role() == Role::leader;
         if (leads && state.heartbeats > 0)
-            step(state, "beat of " + number, [&](State& next) {
+            step(state, "heartbeat of " + number, [&](State& next) {
                 --next.heartbeats;
                 next.now = next.now + heartbeat_step;
                 next.slots[i].replica->tick(next.now);
                 execute_outputs(next, i);
             });
         if (!leads && state.election_timeouts > 0 && slot.replica->is_voter(slot.id))
-            step(state, "time-out at " + number, [&](State& next) {
+            step(state, "election timeout at " + number, [&](State& next) {
                 --next.election_timeouts;
                 next.now = next.now + election_timeout_step;
                 next.slots[i].replica->tick(next.now);
@@ -306,10 +306,10 @@
         std::string action;
     };
     static constexpr size_t no_parent = static_cast<size_t>(-1);
-    std::unordered_set<uint64_t> seen_;   // fingerprints
+    std::unordered_set<uint64_t> seen_;   // fingerprints of the states
     std::vector<Node> nodes_;             // how each state was first reached
     std::vector<std::pair<State, size_t>> frontier_;
-    size_t current_node_ = no_parent;   // the node that is expanded
+    size_t current_node_ = no_parent;   // the node being expanded
     std::string action_;
 };
 
--- a/src/lab/control/explorer.hpp
+++ b/src/lab/control/explorer.hpp
@@ -1,8 +1,9 @@
-// Explores the real replica: all interleavings, up to a depth and within budgets of faults, of messages, ends of writes,
-// time-outs, proposals, crashes, broken connections, lost disks and machines that join.
+// Model checker for the real replica: explores all interleavings, up to a depth and within budgets of faults, of
+// messages, completed writes, timeouts, proposals, crashes, broken connections, lost disks and joining machines.
 //
-// Messages between two replicas arrive in their order, as on a connection; a broken connection loses what was on its way.
-// States that differ only in the numbers of rounds count as one. Breadth first: what is found has the fewest actions.
+// Messages between two replicas arrive in order, as on a connection; a broken connection loses its messages in
+// flight. States that differ only in round numbers count as one. The search is breadth first, so a violation is found
+// with the fewest actions.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,25 +14,25 @@
 
 struct ExplorationOptions {
     size_t voters = 3;
-    size_t joiners = 0;           // machines that are no voters at first
-    bool starts_elected = true;   // it begins with a leader whose first entry is committed, and nothing under way
-    size_t depth = 16;            // actions
-    int election_timeouts = 2;    // elections begun, of all replicas together
+    size_t joiners = 0;           // machines that are not voters at first
+    bool starts_elected = true;   // starts with a leader whose first entry is committed and no messages in flight
+    size_t depth = 16;            // max actions on a path
+    int election_timeouts = 2;    // elections started, by all replicas together
     int heartbeats = 1;           // ticks of a leader
     int proposals = 1;
-    int crashes = 1;              // with what was not yet written
-    int lost_disks = 0;           // a crash after which the machine is another replica
-    int broken_connections = 1;   // connections
+    int crashes = 1;              // with the loss of pending writes
+    int lost_disks = 0;           // crashes after which the machine is a new replica
+    int broken_connections = 1;   // number of connections broken
     uint64_t max_states = 400'000;
 };
 
 struct ExplorationResult {
-    uint64_t states = 0;   // different ones
+    uint64_t states = 0;   // distinct states
     uint64_t transitions = 0;
-    uint64_t elections = 0;                 // leaders that were seen to begin
-    uint64_t commits = 0;                   // entries that a leader saw committed, on all paths
-    bool complete = true;                   // else the number of states was the limit
-    std::optional<std::string> violation;   // the invariant and the actions that lead to it
+    uint64_t elections = 0;                 // times that a leader was elected, on all paths
+    uint64_t commits = 0;                   // entries that a leader committed, on all paths
+    bool complete = true;                   // false: stopped at max_states
+    std::optional<std::string> violation;   // the invariant and the actions that lead to its violation
 };
 
 ExplorationResult explore(const ExplorationOptions& options);
--- a/src/lab/control/history.cpp
+++ b/src/lab/control/history.cpp
@@ -8,12 +8,12 @@
 
 constexpr size_t max_states = 300000;
 
-// The register as the documents of the operators' interface describe it.
+// Reference model of the configuration: a register with versions, as the operators' interface documents it.
 struct Register {
     uint64_t version = 0, body = 0;
-    std::set<uint64_t> accepted;   // bodies that are in force or have been
+    std::set<uint64_t> accepted;   // bodies that are or have been in force
 
-    // Whether the register gives the operation's answer now; if so, its effect is applied.
+    // Whether the register would give the operation's response now; if so, applies its effect.
     bool apply(const Operation& operation) {
         using Outcome = Operation::Outcome;
         if (operation.is_read) return operation.version == version && operation.body == body;
@@ -46,7 +46,7 @@
         Time first_answer{1e18};
         for (size_t i = 0; i < history_.size(); ++i)
             if (!linearized_[i] && !is_unresolved(i)) first_answer = std::min(first_answer, history_[i].answered);
-        if (first_answer.s >= 1e18) return true;   // what is left need not have happened
+        if (first_answer.s >= 1e18) return true;   // the remaining operations need not have taken effect
         if (++states_ >= max_states || !visited_.emplace(linearized_, state.body).second) return false;
         for (size_t i = 0; i < history_.size(); ++i) {
             if (linearized_[i] || history_[i].invoked > first_answer) continue;
--- a/src/lab/control/history.hpp
+++ b/src/lab/control/history.hpp
@@ -1,4 +1,4 @@
-// What operators asked of the configuration and were answered, and whether one register can explain it.
+// The history of the operators' calls on the configuration, and the check that it is linearizable.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -9,23 +9,26 @@
 
 namespace myrtleroute::lab::control {
 
-// One call of an operator. Every try of an order is one.
+// One call of an operator. Each attempt of an update is a call of its own.
 struct Operation {
     enum class Outcome { unresolved, accepted, precondition_failed, version_too_low, read };
     bool is_read = false;
-    uint64_t base = 0;       // of an order: the version that it builds on
-    uint64_t version = 0;    // of an order: its own; of a reading: the one that was answered
-    uint64_t body = 0;       // of an order or what a reading was answered: number of the body
-    bool is_patch = false;   // an order that changes named items
-    uint64_t result = 0;     // of an order: number of the whole that it makes of its base; 0 = nothing valid
+    uint64_t base = 0;       // of an update: the version that it builds on
+    uint64_t version = 0;    // of an update: its own; of a read: the one returned
+    uint64_t body = 0;       // of an update or of the document that a read returned: body number
+    bool is_patch = false;   // an update that changes named items
+    uint64_t result =
+        0;   // of an update: body number of the whole document that it makes of its base; 0 = none that is valid
     Time invoked, answered;
-    Outcome outcome = Outcome::unresolved;   // open: no clear answer came; it may have taken effect, then or never
+    Outcome outcome = Outcome::
+        unresolved;   // unresolved: no clear response came; it may have taken effect, at the time or later, or never
 };
 
 enum class Verdict { linearizable, not_linearizable, undecided };
 
-// Looks for an order of the operations, each between its call and its answer, in which a plain register with versions
-// gives all the answers (Wing and Gong 1993, with Lowe's memory of what was tried). Slow; for one day's history.
+// Looks for an order of the operations, each between its call and its response, in which a sequential register with
+// versions gives all the responses (Wing and Gong 1993, with Lowe's memoization of visited states). Slow: meant for the
+// history of one run.
 Verdict check_history(const std::vector<Operation>& history);
 
 }   // namespace myrtleroute::lab::control
--- a/src/lab/control/machine.cpp
+++ b/src/lab/control/machine.cpp
@@ -62,7 +62,7 @@
     return myrtleroute::control::stored_state(disk_.recover_durable(), settings_, 1);
 }
 
-// Standing still.
+// Freezing: while frozen, the process runs nothing and everything that arrives is deferred.
 
 void Machine::run_or_defer(std::function<void()> action) {
     if (is_frozen()) return deferred_.push_back(std::move(action));
@@ -78,7 +78,7 @@
 void Machine::thaw(uint64_t incarnation) {
     if (incarnation != incarnation_ || !node_ || is_frozen()) return;
     resumed_at = queue_.now();
-    // What has come meanwhile lies in the sockets and is read first.
+    // What arrived meanwhile is in the socket buffers and is read first.
     for (auto held = std::exchange(deferred_, {}); !held.empty() && node_ && incarnation == incarnation_;
          held.pop_front())
         held.front()();
@@ -166,7 +166,7 @@
     });
 }
 
-// What the node asks for.
+// The node's outputs.
 
 void Machine::execute_outputs() {
     if (!node_) return;
@@ -217,7 +217,7 @@
     auto next = writes_.take();
     const bool written = myrtleroute::control::write_to(*ring_, next);
     Time done = queue_.now() + write_duration * (1 + random_.uniform());
-    // A factor of 0 is a disk that ends nothing until then.
+    // A factor of 0: no write completes before that time.
     if (queue_.now() < disk_delayed_until_)
         done = write_time_factor_ > 0 ? queue_.now() + write_duration * write_time_factor_ : disk_delayed_until_;
     queue_.at(done, [this, incarnation = incarnation_, written, write = std::move(next.write)]() mutable {
--- a/src/lab/control/machine.hpp
+++ b/src/lab/control/machine.hpp
@@ -1,4 +1,4 @@
-// A control machine of the virtual world: the real node on a virtual disk, driven as the runtime drives it.
+// A simulated control machine: the real node on a virtual disk, driven as the runtime drives it.
 #pragma once
 #include <deque>
 #include <functional>
@@ -15,14 +15,14 @@
 namespace myrtleroute::lab::control {
 
 using Reply =
-    std::function<void(const std::optional<myrtleroute::control::HttpResponse>&)>;   // nothing: no answer comes
+    std::function<void(const std::optional<myrtleroute::control::HttpResponse>&)>;   // nullopt: no response arrives
 
 class Machine {
 public:
-    // What a machine wants of the world around it.
+    // What a machine needs of the simulation.
     struct Environment {
         std::function<std::optional<ProcessId>(const Endpoint&)> process_at;
-        std::function<void(Machine&)> after_step;   // after everything that its node has done
+        std::function<void(Machine&)> after_step;   // called after each step of its node
     };
     Machine(Queue& queue, Network& network, ProcessId process, configuration::NodeSettings settings, uint64_t seed,
             Environment environment);
@@ -31,19 +31,20 @@
     enum class Termination { killed, power_lost };
     void terminate(Termination how);
     void freeze(Time until);
-    // SIGTERM: it ends by itself a little later, and `ended` is called.
+    // SIGTERM: the process ends by itself a little later, and `on_stopped` is called.
     void stop(std::function<void()> on_stopped);
-    void delay_disk_until(Time until, double factor);   // factor: of the time of a write; 0 = it ends none
+    void delay_disk_until(Time until,
+                          double factor);   // factor: multiplies the time of a write; 0 = no write completes until then
     void end_disk_delay();
     bool disk_is_impaired() const { return disk_.fails_writes || queue_.now() < disk_delayed_until_; }
     void thaw_now();
     void clear_bootstrap() { settings_.bootstrap = false; }
 
-    // For the network and the callers of its HTTP interface.
+    // For the network and the callers of the HTTP interface.
     void opened(ConnectionId connection);
     void received(ConnectionId connection, const messages::Message& message);
     void closed(ConnectionId connection);
-    // `given` hears the answer when the node gives it, `reply` when it arrives.
+    // `on_answered` is called when the node responds, `reply` when the response arrives.
     void request(myrtleroute::control::HttpRequest request, Reply on_answered, Reply reply);
 
     bool is_running() const { return node_ != nullptr; }
@@ -54,13 +55,13 @@
     const configuration::NodeSettings& settings() const { return settings_; }
     Endpoint peer() const { return {settings_.address, settings_.first_internal_port}; }
     VirtualDisk& disk() { return disk_; }
-    // What a start after a loss of power would find of it.
+    // What a start after a power loss would recover.
     myrtleroute::control::StoredState durable_state() const;
     uint64_t incarnations() const { return incarnation_; }
     bool removed = false;              // for good
-    bool is_successor = false;         // one that is gone or will be
-    Time resumed_at = long_ago;        // when it last was started, thawed or joined again
-    Time disk_created_at = long_ago;   // since when it has this disk
+    bool is_successor = false;         // replaces a machine that is, or will be, removed
+    Time resumed_at = long_ago;        // last time it was started, thawed or added
+    Time disk_created_at = long_ago;   // when it got its current disk
 
 private:
     struct OutgoingConnection {
@@ -68,7 +69,7 @@
         bool established = false;
         Time next_attempt = long_ago;
     };
-    void run_or_defer(std::function<void()> action);   // now, or when it no longer stands still
+    void run_or_defer(std::function<void()> action);   // runs the action now, or after the thaw
     void tick(uint64_t incarnation);
     void thaw(uint64_t incarnation);
     void shut_down(uint64_t incarnation, Time until);
--- a/src/lab/control/main.cpp
+++ b/src/lab/control/main.cpp
@@ -1,5 +1,5 @@
-// Plays days of the control plane in a virtual world. Exit status: 0 every invariant held, 1 one broke, 2 what was asked is
-// at fault.
+// Runs the control plane in a simulated world. Exit status: 0 every invariant held, 1 an invariant was violated, 2
+// invalid command line.
 #include <tclap/CmdLine.h>
 
 #include <algorithm>
@@ -54,18 +54,19 @@
         }
     }
     void print(std::ostream& out, bool with_pairs) const {
-        out << sum.confirmed << " orders confirmed, " << sum.refused << " refused, " << sum.unresolved
-            << " calls without a clear answer, " << sum.reads << " readings, " << sum.drains << " hosts drained, "
+        out << sum.confirmed << " updates confirmed, " << sum.refused << " refused, " << sum.unresolved
+            << " calls without a clear response, " << sum.reads << " reads, " << sum.drains << " hosts drained, "
             << sum.undecided
             << " histories undecided\nlongest time to agreement after the last fault: " << std::setprecision(3)
-            << longest_agreement << " s\nfaults met:";
+            << longest_agreement << " s\nfaults injected:";
         for (size_t i = 0; i < fault_kinds; ++i)
             out << ' ' << name_of(static_cast<FaultKind>(i)) << ' ' << sum.injected[i];
-        out << "\nrequests of tenants: " << sum.requests << ", run " << sum.executed
-            << "; fullest window: " << std::setprecision(3) << sum.max_quota_usage << " of what is allowed";
+        out << "\nrequests of tenants: " << sum.requests << ", executed " << sum.executed
+            << "; highest usage of a quota window: " << std::setprecision(3) << sum.max_quota_usage
+            << " of what is allowed";
         for (size_t i = 0; i < invariant_kinds; ++i)
             if (runs_violating[i] > 0)
-                out << "\nbroken: " << name_of(static_cast<Invariant>(i)) << " on " << runs_violating[i] << " days, "
+                out << "\nviolated: " << name_of(static_cast<Invariant>(i)) << " in " << runs_violating[i] << " runs, "
                     << sum.violations[i] << " violations";
         size_t covered = 0, possible = 0;
         for (size_t i = 0; i < fault_kinds; ++i)
@@ -73,7 +74,7 @@
                 ++possible;
                 covered += sum.overlapping_pairs[i][j] > 0;
             }
-        out << "\npairs of faults at one time: " << covered << " of " << possible << '\n';
+        out << "\npairs of faults that overlapped: " << covered << " of " << possible << '\n';
         if (!with_pairs) return;
         for (size_t i = 0; i < fault_kinds; ++i)
             for (size_t j = i; j < fault_kinds; ++j)
@@ -82,18 +83,18 @@
     }
 };
 
-void report(std::ostream& out, uint64_t seed, const Violation& broken) {
-    out << "seed " << seed << ", at " << std::fixed << std::setprecision(3) << broken.at.s - 100
-        << " s: " << name_of(broken.invariant) << ": " << broken.what << std::defaultfloat << '\n';
+void report(std::ostream& out, uint64_t seed, const Violation& violation) {
+    out << "seed " << seed << ", at " << std::fixed << std::setprecision(3) << violation.at.s - 100
+        << " s: " << name_of(violation.invariant) << ": " << violation.what << std::defaultfloat << '\n';
 }
 
-// Those of `quota` last: they must not hide others.
+// Violations of `quota` come last, so that they don't hide others.
 void report_all(std::ostream& out, const std::map<uint64_t, Violation>& violations_by_seed) {
     size_t reported = 0;
     for (const bool is_quota : {false, true})
-        for (const auto& [seed, broken] : violations_by_seed)
-            if ((broken.invariant == Invariant::quota) == is_quota && ++reported <= max_reports)
-                report(out, seed, broken);
+        for (const auto& [seed, violation] : violations_by_seed)
+            if ((violation.invariant == Invariant::quota) == is_quota && ++reported <= max_reports)
+                report(out, seed, violation);
 }
 
 int sweep(uint64_t from, uint64_t seeds, unsigned jobs, bool first, bool with_pairs, bool but_quota) {
@@ -118,10 +119,10 @@
     report_all(std::cout, violations_by_seed);
     totals.print(std::cout, with_pairs);
     const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
-    std::cout << totals.runs << " days, " << totals.violating_runs << " broke an invariant; digest " << std::hex
+    std::cout << totals.runs << " runs, " << totals.violating_runs << " violated an invariant; digest " << std::hex
               << totals.digest << std::dec << "; " << std::fixed << std::setprecision(1) << elapsed.count() << " s, "
               << static_cast<double>(totals.sum.steps) / 1e6 << " million steps\n";
-    // A day's break is of `quota` only where no other invariant broke.
+    // A run's violation is of `quota` only if no other invariant was violated.
     const bool other = std::any_of(violations_by_seed.begin(), violations_by_seed.end(),
                                    [](const auto& entry) { return entry.second.invariant != Invariant::quota; });
     return other || (!but_quota && totals.violating_runs) ? exit_violation : exit_ok;
@@ -137,20 +138,20 @@
     return outcome.violation ? exit_violation : exit_ok;
 }
 
-// Budgets that end within seconds each; `depth` above 0 replaces theirs.
+// Budgets with which each exploration takes seconds; a `depth` above 0 replaces theirs.
 int explore_all(size_t depth, uint64_t states) {
     struct NamedExploration {
         const char* name;
         ExplorationOptions options;
     };
     const NamedExploration explorations[] = {
-        {"first election: three voters, two time-outs", {3, 0, false, 60, 2, 0, 0, 0, 0, 0}},
-        {"three voters, a time-out, a proposal, a crash", {3, 0, true, 60, 1, 0, 1, 1, 0, 0}},
-        {"three voters, two time-outs, two proposals", {3, 0, true, 60, 2, 0, 2, 0, 0, 0}},
-        {"three voters, a time-out, two proposals, two broken connections", {3, 0, true, 60, 1, 1, 2, 0, 0, 2}},
-        {"three voters, a lost disk, a time-out, a proposal", {3, 0, true, 60, 1, 3, 1, 0, 1, 0}},
-        {"three voters and one that joins, a time-out, a proposal", {3, 1, true, 60, 1, 2, 1, 0, 0, 0}},
-        {"four voters, a time-out, a proposal, a crash", {4, 0, true, 60, 1, 0, 1, 1, 0, 0}},
+        {"first election: three voters, two timeouts", {3, 0, false, 60, 2, 0, 0, 0, 0, 0}},
+        {"three voters, a timeout, a proposal, a crash", {3, 0, true, 60, 1, 0, 1, 1, 0, 0}},
+        {"three voters, two timeouts, two proposals", {3, 0, true, 60, 2, 0, 2, 0, 0, 0}},
+        {"three voters, a timeout, two proposals, two broken connections", {3, 0, true, 60, 1, 1, 2, 0, 0, 2}},
+        {"three voters, a lost disk, a timeout, a proposal", {3, 0, true, 60, 1, 3, 1, 0, 1, 0}},
+        {"three voters and a joining machine, a timeout, a proposal", {3, 1, true, 60, 1, 2, 1, 0, 0, 0}},
+        {"four voters, a timeout, a proposal, a crash", {4, 0, true, 60, 1, 0, 1, 1, 0, 0}},
         {"four voters, a lost disk, a proposal", {4, 0, true, 60, 0, 4, 1, 0, 1, 0}},
     };
     struct ExplorationReport {
@@ -168,10 +169,10 @@
             const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
             std::ostringstream text;
             text << named.name << ": depth " << options.depth << ", " << result.states << " states"
-                 << (result.complete ? "" : " (the limit)") << ", " << result.transitions << " transitions, "
+                 << (result.complete ? "" : " (limit reached)") << ", " << result.transitions << " transitions, "
                  << result.elections << " elections, " << result.commits << " commits, " << std::fixed
                  << std::setprecision(1) << elapsed.count() << " s\n";
-            if (result.violation) text << "broken: " << *result.violation << '\n';
+            if (result.violation) text << "violated: " << *result.violation << '\n';
             return ExplorationReport{text.str(), !result.violation};
         }));
     bool passed = true;
@@ -191,22 +192,22 @@
                                ' ', "1.0.0");
         std::vector<std::string> words{"sweep", "replay", "shrink", "explore"};
         TCLAP::ValuesConstraint<std::string> verbs(words);
-        TCLAP::UnlabeledValueArg<std::string> verb(
-            "command", "sweep: many seeds; replay: one; shrink: its least plan; explore: states of replicas.", true, "",
-            &verbs, command);
+        TCLAP::UnlabeledValueArg<std::string> verb("command",
+                                                   "sweep: many seeds; replay: one seed; shrink: one seed, with its "
+                                                   "plan reduced; explore: states of replicas.",
+                                                   true, "", &verbs, command);
         TCLAP::ValueArg<uint64_t> from("", "from", "The first seed, or the only one.", false, 1, "seed", command);
-        TCLAP::ValueArg<uint64_t> seeds("", "seeds", "How many.", false, 1000, "count", command);
-        TCLAP::ValueArg<unsigned> jobs("", "jobs", "How many at a time.", false,
+        TCLAP::ValueArg<uint64_t> seeds("", "seeds", "Number of seeds.", false, 1000, "count", command);
+        TCLAP::ValueArg<unsigned> jobs("", "jobs", "Number of runs in parallel.", false,
                                        std::max(1U, std::thread::hardware_concurrency()), "count", command);
-        TCLAP::ValueArg<size_t> depth("", "depth", "Actions on a path; 0: as many as end in seconds.", false, 0,
-                                      "count", command);
-        TCLAP::ValueArg<uint64_t> states("", "states", "States of an exploration at the most.", false, 60000, "count",
-                                         command);
-        TCLAP::SwitchArg first("", "first", "Stop at the first break.", command);
-        TCLAP::SwitchArg pairs("", "pairs", "Print how often each pair of faults was met.", command);
-        TCLAP::SwitchArg but_quota("", "but-quota", "Breaks of `quota` are printed and don't set the exit status.",
+        TCLAP::ValueArg<size_t> depth("", "depth", "Max actions on a path; 0: the default of each exploration.", false,
+                                      0, "count", command);
+        TCLAP::ValueArg<uint64_t> states("", "states", "Max states of an exploration.", false, 60000, "count", command);
+        TCLAP::SwitchArg first("", "first", "Stop at the first violation.", command);
+        TCLAP::SwitchArg pairs("", "pairs", "Print how often each pair of faults overlapped.", command);
+        TCLAP::SwitchArg but_quota("", "but-quota", "Violations of `quota` are printed but don't set the exit status.",
                                    command);
-        command.setExceptionHandling(false);   // a fault of the command line has an exit status of its own
+        command.setExceptionHandling(false);   // command line errors have their own exit status
         command.parse(argc, argv);
         myrtleroute::start_log(argc, argv, "error");
         if (verb.getValue() == "sweep")
--- a/src/lab/control/network.cpp
+++ b/src/lab/control/network.cpp
@@ -5,7 +5,8 @@
 namespace myrtleroute::lab::control {
 namespace {
 
-constexpr Span user_timeout{1.5};      // then the sender gives the connection up, as both roles set it
+constexpr Span user_timeout{
+    1.5};   // TCP user timeout of both roles: data unacknowledged for this long closes the connection
 constexpr Span keepalive_timeout{4};   // keep-alive probes have failed by then
 constexpr Span connect_timeout{1};
 
@@ -16,7 +17,7 @@
     ++entry.incarnation;
     entry.is_running = true;
     entry.silent = false;
-    for (auto& [id, connection] : connections_)   // what is left of its life before is reset now
+    for (auto& [id, connection] : connections_)   // connections of its previous incarnation are reset now
         for (int i = 0; i < 2; ++i)
             if (connection.sides[i].process == process && connection.sides[1 - i].open)
                 close_side(id, 1 - i, queue_.now() + latency());
--- a/src/lab/control/network.hpp
+++ b/src/lab/control/network.hpp
@@ -1,5 +1,5 @@
-// Connections between processes of the system in a virtual world: ordered, with latency; held up by cuts, and broken where
-// what was sent is not acknowledged in time. Cuts are one way each.
+// Simulated connections between the processes: ordered, with latency. Cuts are one-way; they delay messages, and
+// break a connection if what was sent is not acknowledged in time.
 #pragma once
 #include <functional>
 #include <map>
@@ -17,17 +17,17 @@
 
 class Network {
 public:
-    // What a process hears of its connections. The caller delays it while the process stands still.
+    // Events of a process's connections. The receiver defers them while the process is frozen.
     struct Events {
-        std::function<void(ProcessId, ConnectionId)> opened;   // the one that it dialled
+        std::function<void(ProcessId, ConnectionId)> opened;   // for the side that dialled
         std::function<void(ProcessId, ConnectionId, const messages::Message&)> received;
-        std::function<void(ProcessId, ConnectionId)> closed;   // also: did not come up
+        std::function<void(ProcessId, ConnectionId)> closed;   // also when the connection could not be established
     };
     Network(Queue& queue, RandomStream random, Events events)
         : queue_(queue), random_(random), events_(std::move(events)) {}
 
-    void process_started(ProcessId process);                // it can be connected to from now on
-    void process_ended(ProcessId process, bool silently);   // silently: without power nobody is told
+    void process_started(ProcessId process);                // accepts connections from now on
+    void process_ended(ProcessId process, bool silently);   // silently: after a power loss the peers get no reset
     bool is_running(ProcessId process) const;
 
     void cut(ProcessId from, ProcessId to, Time until);
@@ -44,15 +44,15 @@
         ProcessId process = 0;
         uint64_t incarnation = 0;
         bool open = false;
-        Time last_arrival;   // nothing overtakes what arrives then
+        Time last_arrival;   // arrival time of the last message: later ones don't overtake it
     };
     struct Connection {
-        Side sides[2];   // 0 has dialled
+        Side sides[2];   // 0 is the side that dialled
     };
     struct Process {
         uint64_t incarnation = 0;
         bool is_running = false;
-        bool silent = false;   // without power
+        bool silent = false;   // after a power loss
     };
     Time blocked_until(ProcessId from, ProcessId to) const;
     bool is_current(const Side& side) const;
--- a/src/lab/control/patch_model.cpp
+++ b/src/lab/control/patch_model.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using Json = nlohmann::json;
-using Names = std::set<std::pair<std::string, std::string>>;   // list and name
+using Names = std::set<std::pair<std::string, std::string>>;   // list and item name
 
 bool has_name(const Json& item, const std::string& name) { return item.value("name", "") == name; }
 
@@ -46,7 +46,7 @@
 
 bool is_valid(const Json& document) {
     std::set<std::string> services, prefixes;
-    std::map<std::string, std::string> holders;   // of keys
+    std::map<std::string, std::string> holders;   // tenants, by API key
     for (const auto& service : document["services"]) services.insert(service["name"]);
     for (const auto& route : document["routes"])
         if (!services.count(route["service"]) || !prefixes.insert(route["pathPrefix"]).second ||
--- a/src/lab/control/patch_model.hpp
+++ b/src/lab/control/patch_model.hpp
@@ -1,5 +1,5 @@
-// What a change of named items makes of a configuration, as the operators' page describes it: a plain model, without an index
-// or a copy of the parts, beside src/configuration/patch.cpp.
+// Reference model of a patch of named items, as the operators' page describes it: plain code, without an index or
+// copies of the parts, to compare src/configuration/patch.cpp with.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -7,11 +7,11 @@
 
 namespace myrtleroute::lab::control {
 
-// The result; nothing where the patch names what is not there or names something twice, or where the result is not valid. Knows
-// the members that documents of the virtual world and of the tests have, not the whole schema.
+// The patched document; nullopt if the patch names a missing item, names an item twice, or gives an invalid document.
+// Knows the members that the documents of the simulation and of the tests have, not the whole schema.
 std::optional<nlohmann::json> patched(nlohmann::json document, const nlohmann::json& patch);
 
-// The same document always as the same text; a text that is no JSON as it is.
+// The canonical text of a document: equal documents have equal texts. Text that is not JSON is returned as it is.
 std::string canonical(const std::string& document);
 
 }   // namespace myrtleroute::lab::control
--- a/src/lab/control/plan.cpp
+++ b/src/lab/control/plan.cpp
@@ -92,7 +92,7 @@
     RandomStream random(seed, plan_stream);
     Plan plan;
     plan.seed = seed;
-    const int shape = random.below(8);   // three or four machines, five now and then
+    const int shape = random.below(8);   // three or four machines; one run in eight has five
     plan.joiners = shape == 7 ? 2 : static_cast<size_t>(shape % 2);
     plan.tolerated_losses = shape == 7 ? 2 : 1;
     plan.orderly = random.bernoulli(0.7);
@@ -115,18 +115,18 @@
          << " control machines, " << plan.tolerated_losses << " tolerated, " << (plan.orderly ? "orderly" : "wild")
          << '\n';
     for (const auto& fault : plan.faults) {
-        constexpr const char* targets[] = {"a machine by lot", "the leader", "the oldest disk"};
+        constexpr const char* targets[] = {"a random machine", "the leader", "the oldest disk"};
         text << "  " << fault.at << " s  " << name_of(fault.kind) << " for " << fault.duration << " s, "
              << targets[static_cast<size_t>(fault.target)] << ' ' << fault.selector % 97
              << (fault.after_acknowledgement ? ", right after the next acknowledgement" : "") << '\n';
     }
     for (const auto& surge : plan.surges)
-        text << "  " << surge.at << " s  tenant " << surge.tenant << " asks for " << surge.factor
-             << " times its usual for " << surge.duration << " s\n";
-    if (!plan.changes_limits) text << "  limits of tenants stay\n";
-    if (plan.revokes_keys) text << "  keys are taken away\n";
+        text << "  " << surge.at << " s  tenant " << surge.tenant << " demands " << surge.factor
+             << " times its usual rate for " << surge.duration << " s\n";
+    if (!plan.changes_limits) text << "  limits of tenants do not change\n";
+    if (plan.revokes_keys) text << "  keys are removed\n";
     if (plan.closing)
-        text << "  at the end disks are lost, " << (plan.closing->oldest_disks ? "the oldest" : "by lot")
+        text << "  at the end disks are lost, " << (plan.closing->oldest_disks ? "the oldest" : "at random")
              << (plan.closing->acknowledger ? ", that of the last acknowledgement first" : "")
              << ", and all others lose power, " << plan.closing->delay << " s after an acknowledgement, for "
              << plan.closing->downtime << " s\n";
--- a/src/lab/control/quota_checker.cpp
+++ b/src/lab/control/quota_checker.cpp
@@ -7,7 +7,7 @@
 namespace myrtleroute::lab::control {
 namespace {
 
-constexpr Span max_config_delay{2};   // configMs of the operators' rule
+constexpr Span max_config_delay{2};   // configMs of the operators' rule: until a new configuration applies
 
 }   // namespace
 
--- a/src/lab/control/quota_checker.hpp
+++ b/src/lab/control/quota_checker.hpp
@@ -1,7 +1,7 @@
 // The invariant `quota`: what hosts run of a tenant's requests, against the limits that may be in force.
 //
-// In no window are more tokens both sent by clients and arrived at hosts than (rate x window + burst) x (1 + over) +
-// slack. A window that breaks this has one that ends at an arrival and breaks it too, so that only those are looked at.
+// In no window are more tokens both sent by clients and received by hosts than (rate x window + burst) x (1 + over) +
+// slack. If a window violates this, so does one that ends at an arrival; hence only those are checked.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -19,7 +19,8 @@
 class SlidingSum {
 public:
     explicit SlidingSum(Span window) : window_(window) {}
-    // A request arrives at its host; the sum of the window that ends now. Arrivals are told in their order.
+    // Adds a request that arrives at its host; returns the sum of the window that ends now. Calls must be in order of
+    // arrival.
     double add(Time sent, double cost, Time now);
 
 private:
@@ -28,28 +29,28 @@
         double cost;
     };
     Span window_;
-    std::deque<Use> uses_;   // by the time at which they were sent
+    std::deque<Use> uses_;   // in order of sending
     double sum_ = 0;
 };
 
-// Which versions' limits may still be in force. A version ends those before it one window after every proxy has been in
-// touch, at some moment `config` or more after its acknowledgement.
+// Tracks which versions' limits may still be in force. A version ends the earlier ones one window after every proxy
+// has been in contact at some time at least `config_delay` after its acknowledgement.
 class LimitsInForce {
 public:
     LimitsInForce(Span window, Span config_delay) : window_(window), config_delay_(config_delay) {}
-    void committed(uint64_t version, std::shared_ptr<const Tenants> tenants);   // it is committed
+    void committed(uint64_t version, std::shared_ptr<const Tenants> tenants);   // the version is committed
     void acknowledged(uint64_t version, Time now);
-    // Who is in touch now, of so many proxies.
+    // `proxies`: those in contact now, out of `proxy_count`.
     void proxies_in_contact(const std::set<size_t>& proxies, size_t proxy_count, Time now);
-    // The highest that a tenant may use within a window that ends now.
+    // The most tokens that a tenant may use within a window that ends now.
     double max_allowed(const std::string& tenant, Time now);
 
 private:
     struct Version {
         std::shared_ptr<const Tenants> tenants;
         std::optional<Time> acknowledged;
-        std::set<size_t> contacted;        // proxies that have been since
-        std::optional<Time> in_force_at;   // alone, or with later ones, from then on
+        std::set<size_t> contacted;        // proxies that have been in contact since
+        std::optional<Time> in_force_at;   // from then on earlier versions no longer apply
     };
     void drop_ended(Time now);
 
@@ -63,9 +64,10 @@
 public:
     QuotaChecker();
     LimitsInForce& limits() { return limits_; }
-    // A request arrives at a host that runs it. What is wrong, where the tenant is over its quota.
+    // A request arrives at a host that runs it. Returns a description of the violation if the tenant is over its
+    // quota.
     std::optional<std::string> check_arrival(const TenantRequest& request, Time now);
-    // What the fullest window yet held, as a share of what it might.
+    // The highest usage of a window so far, as a share of what was allowed.
     double max_usage() const { return max_usage_; }
 
 private:
--- a/src/lab/control/rollout_caller.cpp
+++ b/src/lab/control/rollout_caller.cpp
@@ -52,7 +52,7 @@
     if (!is_read_)
         request.body = nlohmann::json{{"service", "s"}, {"targetVersion", target_version_}, {"durationS", 6}}.dump();
     environment_.send_request(*machine, request, [this, number, redirects](const std::optional<HttpResponse>& answer) {
-        if (answer && environment_.drops_responses() && random_.bernoulli(0.7)) return;   // a time-out follows
+        if (answer && environment_.drops_responses() && random_.bernoulli(0.7)) return;   // the call then times out
         if (number == call_number_) completed(answer, redirects);
     });
     queue_.in(response_timeout, [this, number, redirects] {
--- a/src/lab/control/rollout_caller.hpp
+++ b/src/lab/control/rollout_caller.hpp
@@ -1,4 +1,4 @@
-// An operator who orders one rollout after the other and asks what has become of them.
+// An operator that starts one rollout after the other and reads their states.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,7 +13,7 @@
     RolloutOperator(Queue& queue, RandomStream random, const CallerEnvironment& environment, Checker& checker)
         : queue_(queue), random_(random), environment_(environment), checker_(checker) {}
     void start() { schedule_next(); }
-    void stop() { stopped_ = true; }   // after the call that is under way
+    void stop() { stopped_ = true; }   // once the call in progress has ended
     void read_now();
     bool has_read() const { return has_read_; }   // since the last `read_now`
 
@@ -31,7 +31,7 @@
     const CallerEnvironment& environment_;
     Checker& checker_;
     bool stopped_ = false, busy_ = false, is_read_ = false, has_read_ = false;
-    bool in_progress_ = false;   // by the last reading
+    bool in_progress_ = false;   // as of the last read
     std::string target_version_;
     int attempts_ = 0;
     uint64_t call_number_ = 0, rollouts_sent_ = 0;
--- a/src/lab/control/rollout_checker.cpp
+++ b/src/lab/control/rollout_checker.cpp
@@ -16,16 +16,18 @@
     const auto [existing, inserted] = by_revision_.try_emplace(rollouts.revision, rollouts);
     if (!inserted) {
         if (existing->second == rollouts) return {};
-        return "revision " + std::to_string(rollouts.revision) + " of the rollouts was committed in two forms";
+        return "revision " + std::to_string(rollouts.revision) + " of the rollouts was committed with two states";
     }
     for (const auto& rollout : rollouts.all) {
         const auto name = "the rollout to " + rollout.target_version;
-        if (rollout.stage == Stage::completed && is_bad_version(rollout.target_version)) return name + " has completed";
+        if (rollout.stage == Stage::completed && is_bad_version(rollout.target_version))
+            return name + " has completed, its version is bad";
         const auto [furthest, first_seen] = furthest_.try_emplace(rollout.number, rollouts.revision, rollout.stage);
         auto& [revision, stage] = furthest->second;
         if (first_seen || rollouts.revision < revision) continue;
         const bool has_ended = stage == Stage::completed || stage == Stage::rolled_back;
-        if (rollout.stage < stage || (has_ended && rollout.stage != stage)) return name + " has gone back";
+        if (rollout.stage < stage || (has_ended && rollout.stage != stage))
+            return name + " has changed to a stage that may not follow";
         furthest->second = {rollouts.revision, rollout.stage};
     }
     return {};
@@ -41,7 +43,7 @@
 
 RolloutChecker::Error RolloutChecker::read(const RolloutReading& reading) {
     if (send_number_[reading.target_version] < acknowledged_)
-        return "the rollout to " + reading.target_version + " is read, a later one was acknowledged";
+        return "the rollout to " + reading.target_version + " was read, a later one was acknowledged";
     const auto final_state = final_state_.find(reading.target_version);
     if (final_state != final_state_.end() && final_state->second != reading.state)
         return "the rollout to " + reading.target_version + " was " + final_state->second + " and is " + reading.state;
--- a/src/lab/control/tenants.cpp
+++ b/src/lab/control/tenants.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr uint64_t traffic_stream = 0x54454e41, limits_stream = 0x4c494d49, keys_stream = 0x4b455953;
-constexpr double keyless_share = 0.35;           // of the spans of versions, for each tenant
-constexpr uint64_t versions_per_key_draw = 14;   // a key stays away for so many
-constexpr std::array<double, tenant_count> usual_rates{80000, 150000, 250000};   // limits, tokens a second
+constexpr double keyless_share = 0.35;           // of the ranges of versions, for each tenant
+constexpr uint64_t versions_per_key_draw = 14;   // the draw whether a tenant has a key holds for this many versions
+constexpr std::array<double, tenant_count> usual_rates{80000, 150000, 250000};   // limits, in tokens per second
 constexpr double limit_to_demand = 1.3;
-constexpr double min_burst = 1, max_burst = 1.6;   // seconds of the rate
+constexpr double min_burst = 1, max_burst = 1.6;   // in seconds of the rate
 constexpr double max_change_factor = 4;            // factor of a limit, up or down
-constexpr uint64_t versions_per_limit = 12;        // limits change once in so many versions
+constexpr uint64_t versions_per_limit = 12;        // limits change once in this many versions
 constexpr double mean_cost = 7000, min_cost = 50, max_cost = 50000;
 constexpr double cost_spread = 1;   // standard deviation of the logarithm
 
@@ -46,7 +46,7 @@
 }
 
 Span draw_host_latency(RandomStream& random) {
-    constexpr double queued_share = 0.1;   // waits at the proxy for a host that is free
+    constexpr double queued_share = 0.1;   // share of requests that wait at the proxy for a free host
     return Span{0.002 + random.exponential(0.005) + (random.bernoulli(queued_share) ? random.between(0.05, 0.5) : 0)};
 }
 
--- a/src/lab/control/tenants.hpp
+++ b/src/lab/control/tenants.hpp
@@ -1,4 +1,4 @@
-// Tenants of the virtual world: the limits that the operators' documents name, and what their clients send to which
+// Tenants of the simulation: the limits in the operators' documents, and what the tenants' clients send to which
 // proxy.
 #pragma once
 #include <cstdint>
@@ -16,11 +16,12 @@
 
 namespace myrtleroute::lab::control {
 
-constexpr leases::LimitRule limit_rule{140000, 0.1, Span{8}};   // slack in tokens, over, window
+constexpr leases::LimitRule limit_rule{140000, 0.1, Span{8}};   // slack in tokens, tolerated excess as a ratio, window
 std::string tenant_name(size_t number);
 
-// The `tenants` member of a document. Limits stay for a few versions; then, where they change at all, each tenant's is
-// drawn anew, up to four times as high or as low as its usual one. Where keys are taken away, now and then one has none.
+// The `tenants` member of a document. Limits stay the same for several versions; then, if they change at all, each
+// tenant's is drawn anew, up to four times as high or as low as its usual one. If keys are removed, a tenant
+// sometimes has none.
 struct TenantChanges {
     bool limits = true, keys = false;
 };
@@ -28,7 +29,7 @@
 
 using Tenants = std::map<std::string, configuration::Tenant>;   // by name
 
-// Tenants of documents, each document parsed once.
+// Tenants of documents; each document is parsed once.
 class TenantDocuments {
 public:
     std::shared_ptr<const Tenants> read(const std::string& body);
@@ -45,7 +46,7 @@
     Span to_host;      // from the proxy's grant to the arrival at the host that runs it
 };
 
-// What the tenants' clients send: each tenant its usual demand, spread unevenly over the proxies, and surges.
+// The requests of the tenants' clients: each tenant's usual demand, spread unevenly over the proxies, and surges.
 class TenantTraffic {
 public:
     using Send = std::function<void(size_t proxy, const TenantRequest&)>;
--- a/src/lab/control/world.cpp
+++ b/src/lab/control/world.cpp
@@ -13,16 +13,16 @@
 constexpr size_t proxy_count = 6, operator_count = 2, host_count = 3;
 constexpr ProcessId first_proxy = 100;
 constexpr uint16_t internal_port = 7500, control_port = 8367;
-constexpr Span catch_up_duration{4};   // a machine that is back counts as lost for so long
-constexpr Span contact_duration{3};    // what was disturbed longer ago no longer excuses
+constexpr Span catch_up_duration{4};   // a machine that is back counts as lost for this long
+constexpr Span contact_duration{3};    // a disturbance longer ago than this no longer excuses a violation
 constexpr Span drain_bound{2};         // from an acknowledgement to the last request
-constexpr Span stop_timeout{8};        // SIGTERM; an order to stop for good
+constexpr Span stop_timeout{8};        // from SIGTERM to SIGKILL when a machine is removed
 constexpr Span fault_retry_interval{0.5}, drain_check_interval{0.5}, contact_check_interval{0.25};
 constexpr Span settle_timeout{12},
-    final_read_timeout{4};   // after the last fault: until all agree, and then until the last answers
+    final_read_timeout{4};   // after the last fault: until all agree, then until the last responses
 constexpr double slow_disk_factor = 30;
 constexpr Span revocation_bound{5};
-constexpr Span closing_timeout{2};        // without an acknowledgement the day is closed then all the same
+constexpr Span closing_timeout{2};        // without an acknowledgement the closing fault occurs after this time
 constexpr Span max_closing_duration{6};   // from the end of the plan until all are back
 
 }   // namespace
@@ -89,7 +89,7 @@
     for (size_t i = 0; i < plan_.seeds; ++i)
         settings.seeds.push_back({"10.0.0." + std::to_string(i + 1), control_port});
     if (!is_seed) settings.seeds.clear();
-    for (const auto& machine : machines_)   // a list of machines that serve control just now
+    for (const auto& machine : machines_)   // the machines that serve control now
         if (!is_seed && !machine->removed && settings.seeds.size() < 3)
             settings.seeds.push_back(*machine->settings().control);
     settings.bootstrap = is_seed;
@@ -164,7 +164,8 @@
         checker_.resolve_results(history_);
         const auto verdict = check_history(history_);
         if (verdict == Verdict::not_linearizable)
-            checker_.report_violation(Invariant::linearizable, "no register gives these answers");
+            checker_.report_violation(Invariant::linearizable,
+                                      "the history of the operators' calls is not linearizable");
         outcome_.undecided += verdict == Verdict::undecided;
     }
     outcome_.violation = checker_.first_violation();
@@ -217,7 +218,7 @@
 // Faults.
 
 bool World::is_lost(const Machine& machine) const {
-    if (machine.removed) return false;   // its successor counts until it has had its time
+    if (machine.removed) return false;   // its successor counts as lost until it has caught up
     const auto cut = cut_until_.find(machine.process());
     const bool is_cut = cut != cut_until_.end() && queue_.now() < cut->second + catch_up_duration;
     return !machine.is_running() || machine.is_frozen() || is_cut || machine.is_stopping() ||
@@ -238,7 +239,7 @@
     if (fault.kind == FaultKind::kill_all || fault.kind == FaultKind::power_loss_all) return true;
     if (machine.removed) return false;
     if (!plan_.orderly) return true;
-    // Until it has had its time it stands for the one that it replaces, which is lost already.
+    // Until it has caught up it counts for the machine that it replaces, which is lost already.
     if (loses_disk(fault.kind) && machine.is_successor && is_lost(machine)) return false;
     return lost_count() - (is_lost(machine) ? 1 : 0) < plan_.tolerated_losses;
 }
@@ -418,7 +419,7 @@
     });
 }
 
-// What a node answers, at the moment at which it does.
+// Called when a node responds, before the response arrives.
 void World::request_answered(Machine& machine, const myrtleroute::control::HttpRequest& request,
                              const myrtleroute::control::HttpResponse& answer) {
     record(machine.settings().node_name + " answers " + request.method + " " + request.path + " " +
@@ -467,7 +468,7 @@
 
 // Tenants.
 
-// Clients prefer a proxy, and take the next one where its machine refuses connections.
+// Clients prefer a proxy, and take the next one if it refuses connections.
 void World::send(size_t preferred, const TenantRequest& request) {
     ++outcome_.requests;
     queue_.in(request.to_proxy, [this, preferred, request] {
@@ -482,7 +483,7 @@
     });
 }
 
-// Connected to a majority of the control machines, their leader among them, that are in order themselves.
+// Whether a proxy is connected to a majority of the control machines, including the leader, that are unimpaired.
 bool World::is_in_contact(const SubscribedProxy& proxy) {
     if (!proxy.is_running() || proxy.is_frozen()) return false;
     size_t reached = 0;
@@ -509,7 +510,7 @@
     queue_.in(contact_check_interval, [this] { watch_contact(); });
 }
 
-// Checks of the whole.
+// Checks of the whole system.
 
 void World::watch_drains() {
     check_drains();
@@ -525,8 +526,8 @@
             const auto* host = proxy->hosts().find(id);
             if (host && host->state == registry::HostState::ready)
                 checker_.report_violation(Invariant::drain_known, "edge-" + std::to_string(proxy->process()) +
-                                                                      " takes " + id +
-                                                                      " for ready after its drain was acknowledged");
+                                                                      " lists " + id +
+                                                                      " as ready after its drain was acknowledged");
         }
     }
 }
@@ -538,7 +539,7 @@
     });
 }
 
-// The machines in the order in which their disks are lost.
+// The machines in the order in which they lose their disks.
 std::vector<Machine*> World::closing_order(Machine* acknowledger) {
     auto machines = present_machines();
     std::rotate(machines.begin(),
@@ -552,7 +553,7 @@
     return machines;
 }
 
-// One that is lost already counts among the losses that are borne, whether its disk is lost now or not.
+// A machine that is lost already counts among the tolerated losses, whether it loses its disk now or not.
 void World::inject_closing(Machine* acknowledger) {
     record("the day is closed");
     const Span downtime{plan_.closing->downtime};
@@ -609,10 +610,10 @@
         check_drains();
         if (operators_[0]->last_read_version() < checker_.newest_confirmed() || !operators_[0]->is_idle())
             checker_.report_violation(Invariant::nothing_lost,
-                                      "version " + std::to_string(operators_[0]->last_read_version()) + " is read, " +
+                                      "version " + std::to_string(operators_[0]->last_read_version()) + " was read, " +
                                           std::to_string(checker_.newest_confirmed()) + " was confirmed");
         if (!rollout_operator_->has_read())
-            checker_.report_violation(Invariant::rollout_kept, "no rollout can be read");
+            checker_.report_violation(Invariant::rollout_kept, "the rollout could not be read");
         record("read " + std::to_string(operators_[0]->last_read_version()));
     });
 }
@@ -623,21 +624,22 @@
     const consensus::Replica* leader = nullptr;
     for (const auto& machine : machines_) {
         if (machine->removed) continue;
-        if (!machine->is_running()) return machine->settings().node_name + " does not run";
+        if (!machine->is_running()) return machine->settings().node_name + " is not running";
         const auto& replica = machine->node()->replica();
         if (replica.role() == consensus::Role::leader) leader = &replica;
     }
-    if (!leader || !leader->entry()) return "nobody leads";
+    if (!leader || !leader->entry()) return "no control machine leads";
     for (const auto& machine : machines_) {
         if (machine->removed) continue;
         const auto& replica = machine->node()->replica();
         if (!replica.entry() || !(*replica.entry() == *leader->entry()))
             return machine->settings().node_name + " lacks the last entry";
         if (replica.committed() < replica.entry()->position.index)
-            return machine->settings().node_name + " does not know the last entry committed";
-        if (!leader->is_voter(replica.self())) return machine->settings().node_name + " does not vote";
+            return machine->settings().node_name + " has not committed the last entry";
+        if (!leader->is_voter(replica.self())) return machine->settings().node_name + " is not a voter";
     }
-    if (leader->entry()->state.voters.size() != present_machines_const().size()) return "one that is gone still votes";
+    if (leader->entry()->state.voters.size() != present_machines_const().size())
+        return "a removed machine is still a voter";
     for (const auto& proxy : proxies_)
         if (proxy->version() != leader->entry()->state.version || !proxy->has_hosts())
             return "edge-" + std::to_string(proxy->process()) + " has version " + std::to_string(proxy->version());
@@ -650,7 +652,7 @@
 
 namespace {
 
-// Each with one fault or surge fewer, or without changes of limits.
+// Plans with one fault or surge less, without changes of limits, or without the closing fault.
 std::vector<Plan> reduced_plans(const Plan& plan) {
     std::vector<Plan> plans;
     for (size_t i = 0; i < plan.faults.size(); ++i) {
--- a/src/lab/control/world.hpp
+++ b/src/lab/control/world.hpp
@@ -1,5 +1,5 @@
-// A day of the control plane in a virtual world: control machines with the real node and the real ring on virtual disks,
-// operators, hosts and proxies, under the faults of a plan. Everything is drawn from the plan's seed.
+// A simulated run of the control plane: control machines with the real node and the real record ring on virtual
+// disks, operators, hosts and proxies, under the faults of a plan. Everything is drawn from the plan's seed.
 #pragma once
 #include <array>
 #include <functional>
@@ -16,19 +16,19 @@
 
 constexpr size_t fault_kinds = static_cast<size_t>(FaultKind::kinds);
 
-// What a day came to.
+// The result of a run.
 struct Outcome {
     std::optional<Violation> violation;
     std::array<size_t, invariant_kinds> violations{};
-    size_t requests = 0, executed = 0;   // of tenants' clients; that arrived at hosts
-    uint64_t digest = 0;                 // of all that was committed, answered and told
+    size_t requests = 0, executed = 0;   // tenants' requests: sent by clients, and arrived at hosts
+    uint64_t digest = 0;                 // of all that was committed, answered and reported
     uint64_t steps = 0;
     size_t confirmed = 0, refused = 0, reads = 0, unresolved = 0, drains = 0;
-    double max_quota_usage = 0;                   // of a tenant, as a share of what it might use
-    size_t undecided = 0;                         // histories too long for the plain model
-    std::array<size_t, fault_kinds> injected{};   // faults that struck
-    std::array<std::array<size_t, fault_kinds>, fault_kinds> overlapping_pairs{};   // that overlapped
-    double agreement_time = 0;   // seconds from the end of the last fault to agreement
+    double max_quota_usage = 0;                   // of a tenant in a window, as a share of what was allowed
+    size_t undecided = 0;                         // histories too long for the linearizability check
+    std::array<size_t, fault_kinds> injected{};   // number of faults, by kind
+    std::array<std::array<size_t, fault_kinds>, fault_kinds> overlapping_pairs{};   // faults that overlapped
+    double agreement_time = 0;   // seconds from the end of the last fault
 };
 
 class World {
@@ -63,12 +63,12 @@
     void lose_disk(Machine& machine, Span downtime, bool rots);
     bool is_lost(const Machine& machine) const;
     size_t lost_count() const;
-    void mark_all_caught_up();   // tells the checker which machines no longer count as lost
+    void mark_all_caught_up();   // reports to the checker the machines that no longer count as lost
     void request_answered(Machine& machine, const myrtleroute::control::HttpRequest& request,
                           const myrtleroute::control::HttpResponse& answer);
     void update_answered(Machine& machine, const myrtleroute::control::HttpRequest& request,
                          const myrtleroute::control::HttpResponse& answer);
-    void acknowledged(Machine& machine);   // faults that wait for this strike
+    void acknowledged(Machine& machine);   // injects the faults that wait for an acknowledgement
     void check_drains();
     void watch_drains();
     void await_closing();
@@ -80,7 +80,7 @@
     void record(const std::string& what);
     void record_fault(FaultKind kind, Time until);
     std::vector<const Machine*> present_machines_const() const;
-    std::vector<messages::ControlNode> seed_nodes();   // as a process is told them that starts now
+    std::vector<messages::ControlNode> seed_nodes();   // for a process that starts now
     std::vector<Machine*> present_machines();
 
     Plan plan_;
@@ -97,19 +97,19 @@
     std::unique_ptr<RolloutOperator> rollout_operator_;
     std::vector<std::unique_ptr<SimulatedHost>> simulated_hosts_;
     std::unique_ptr<TenantTraffic> traffic_;
-    std::vector<Time> contact_since_;   // of each proxy, with a majority
+    std::vector<Time> contact_since_;   // with a majority of the control machines, by proxy
     std::vector<Operation> history_;
     std::vector<Fault> waiting_for_acknowledgement_;
     std::vector<ActiveFault> active_;
     std::map<ProcessId, Time> cut_until_;   // control machines that are cut off
     Time answers_lost_until_ = long_ago, disturbed_until_ = long_ago;
-    bool closing_pending_ = false;   // for the next acknowledgement
+    bool closing_pending_ = false;   // waits for the next acknowledgement
     bool faults_ended_ = false;
 };
 
 Outcome run_plan(const Plan& plan, std::function<void(const std::string&)> trace = {});
 
-// The least of the plan's faults with which the same invariant still breaks.
+// Removes faults from the plan as long as the same invariant is still violated.
 Plan shrink(const Plan& plan);
 
 }   // namespace myrtleroute::lab::control
--- a/tests/system/quota_checker_test.cpp
+++ b/tests/system/quota_checker_test.cpp
@@ -1,4 +1,4 @@
-// The checker of the invariant `quota` beside a plain model that adds everything up anew.
+// The checker of the invariant `quota`, compared with a plain model that sums up every window from scratch.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -17,7 +17,7 @@
     double cost;
 };
 
-// Of all windows: those that begin when some request was sent hold the most.
+// The highest sum of all windows; it occurs in a window that begins when some request was sent.
 double max_window_sum(const std::vector<Arrival>& arrivals, Span window) {
     double max_sum = 0;
     for (const auto& first : arrivals) {
@@ -29,7 +29,7 @@
     return max_sum;
 }
 
-// Latencies of all sizes, up to longer than the window; times on a grid, so that ends of windows meet arrivals.
+// Latencies up to longer than the window; times on a grid, so that window ends coincide with arrivals.
 std::vector<Arrival> draw_arrivals(RandomStream& random) {
     constexpr double grid = 0.125;
     std::vector<Arrival> arrivals;
@@ -55,7 +55,7 @@
 
 }   // namespace
 
-TEST_CASE("the sliding sum's highest is that of the fullest of all windows") {
+TEST_CASE("the sliding sum's maximum equals the highest sum of all windows") {
     RandomStream random(1, 1);
     for (int round = 0; round < 2000; ++round) {
         const auto arrivals = draw_arrivals(random);
@@ -67,12 +67,12 @@
     }
 }
 
-TEST_CASE("a lower limit takes hold a window after every proxy was in touch two seconds past its acknowledgement") {
+TEST_CASE("a lower limit applies one window after every proxy was in contact two seconds after the acknowledgement") {
     LimitsInForce limits(Span{8}, Span{2});
     limits.committed(1, tenant_with(1000, 100));
     limits.committed(2, tenant_with(400, 100));
     limits.acknowledged(2, Time{10});
-    limits.proxies_in_contact({0, 1}, 2, Time{11.9});   // too soon
+    limits.proxies_in_contact({0, 1}, 2, Time{11.9});   // less than two seconds after the acknowledgement
     limits.proxies_in_contact({0}, 2, Time{13});
     CHECK(limits.max_allowed("t", Time{100}) == allowed(1000, 100));
     limits.proxies_in_contact({1}, 2, Time{20});
@@ -80,7 +80,7 @@
     CHECK(limits.max_allowed("t", Time{28}) == allowed(400, 100));
 }
 
-TEST_CASE("a higher limit holds as soon as it is committed, and what was never acknowledged ends nothing") {
+TEST_CASE("a higher limit applies once committed, and a version never acknowledged ends no earlier one") {
     LimitsInForce limits(Span{8}, Span{2});
     CHECK(limits.max_allowed("t", Time{1}) == 0);
     limits.committed(1, tenant_with(1000, 100));
