--- a/src/lab/control/main.cpp
+++ b/src/lab/control/main.cpp
@@ -66,7 +66,7 @@
             << " of what is allowed";
         for (size_t i = 0; i < invariant_kinds; ++i)
             if (runs_violating[i] > 0)
-                out << "\nviolated: " << name_of(static_cast<Invariant>(i)) << " in " << runs_violating[i] << " runs, "
+                out << "\nbroken: " << name_of(static_cast<Invariant>(i)) << " in " << runs_violating[i] << " runs, "
                     << sum.violations[i] << " violations";
         size_t covered = 0, possible = 0;
         for (size_t i = 0; i < fault_kinds; ++i)
@@ -172,7 +172,7 @@
                  << (result.complete ? "" : " (limit reached)") << ", " << result.transitions << " transitions, "
                  << result.elections << " elections, " << result.commits << " commits, " << std::fixed
                  << std::setprecision(1) << elapsed.count() << " s\n";
-            if (result.violation) text << "violated: " << *result.violation << '\n';
+            if (result.violation) text << "broken: " << *result.violation << '\n';
             return ExplorationReport{text.str(), !result.violation};
         }));
     bool passed = true;
