--- a/src/lab/held_bytes.hpp
+++ b/src/lab/held_bytes.hpp
@@ -1,29 +1,30 @@
-// Bytes that code holds of the heap, counted while one of these lives: what it allocates counts up, what it
-// frees counts down. Only where the program's allocator is interposed (held_bytes.cpp); else it stays at 0.
+// Counts the heap bytes that code of this thread holds.
 #pragma once
 #include <cstddef>
 
 namespace myrtleroute::lab {
 
-class HeldBytes {
+// While one exists, `bytes` grows by what this thread allocates and shrinks by what it frees. Works only where
+// operator new and delete are replaced (held_bytes.cpp); otherwise the count stays at 0.
+class HeapCounter {
 public:
-    explicit HeldBytes(ptrdiff_t& bytes);
-    ~HeldBytes();
-    HeldBytes(const HeldBytes&) = delete;
+    explicit HeapCounter(ptrdiff_t& bytes);
+    ~HeapCounter();
+    HeapCounter(const HeapCounter&) = delete;
 
 private:
-    ptrdiff_t* before_;
+    ptrdiff_t* previous_;
 };
 
-// While one of these lives, nothing counts: the lab's own work inside of a proxy's.
-class NotHeld {
+// While one exists, nothing is counted: used where the lab allocates for itself during a call from a proxy.
+class HeapCounterPause {
 public:
-    NotHeld();
-    ~NotHeld();
-    NotHeld(const NotHeld&) = delete;
+    HeapCounterPause();
+    ~HeapCounterPause();
+    HeapCounterPause(const HeapCounterPause&) = delete;
 
 private:
-    ptrdiff_t* before_;
+    ptrdiff_t* previous_;
 };
 
 }  // namespace myrtleroute::lab
--- a/tests/system/proxy_world.hpp
+++ b/tests/system/proxy_world.hpp
@@ -34,7 +34,7 @@
     void reset() { net_.reset(*socket_); }
     // Returns the bytes received since the last call.
     std::string take() { return std::exchange(received, {}); }
-    bool up() const { return socket_->state == lab::Socket::State::up; }
+    bool up() const { return socket_->state == lab::Socket::State::established; }
 
     std::string received;
     bool ended = false, broken = false;   // the peer half-closed; the connection was reset
@@ -130,7 +130,7 @@
         in_addr address{};
         inet_pton(AF_INET, proxy_address, &address);
         const auto to = lab::address_of(ntohl(address.s_addr), port);
-        // The ScriptedEnd listens to the socket, which must exist first.
+        // The ScriptedEnd observes the socket, which must exist first.
         clients_.push_back(std::make_unique<LateObserver>());
         auto socket = net.connect(client_machine_, *clients_.back(), to);
         clients_.back()->end = std::make_unique<ScriptedEnd>(net, socket);
