--- a/src/lab/control/callers.cpp
+++ b/src/lab/control/callers.cpp
@@ -152,11 +152,13 @@
         operation.outcome = Operation::Outcome::accepted;
         base_version_ = std::max(base_version_, operation_.version);
     } else {
-        const bool stale = answer->status == 412, old = answer->status == 400 && is_about_version(answer->body);
-        if (stale) operation.outcome = Operation::Outcome::precondition_failed;
-        if (old) operation.outcome = Operation::Outcome::version_too_low;
-        if (!stale && !old) operation.invoked = Time{1e17};   // excluded from the history: refused whatever the state
-        if (body_is_valid_) return read_now();                // reads the current version
+        const bool precondition_failed = answer->status == 412,
+                   version_too_low = answer->status == 400 && is_about_version(answer->body);
+        if (precondition_failed) operation.outcome = Operation::Outcome::precondition_failed;
+        if (version_too_low) operation.outcome = Operation::Outcome::version_too_low;
+        if (!precondition_failed && !version_too_low)
+            operation.invoked = Time{1e17};      // excluded from the history: refused whatever the state
+        if (body_is_valid_) return read_now();   // reads the current version
     }
     finish();
 }
@@ -352,7 +354,7 @@
 void SubscribedProxy::thaw(uint64_t incarnation) {
     if (incarnation != incarnation_ || !is_running() || is_frozen()) return;
     resumed_at_ = queue_.now();
-    for (auto held = std::exchange(deferred_, {}); !held.empty(); held.pop_front()) held.front()();
+    for (auto deferred = std::exchange(deferred_, {}); !deferred.empty(); deferred.pop_front()) deferred.front()();
 }
 
 void SubscribedProxy::opened(ConnectionId connection) {
--- a/src/lab/control/machine.cpp
+++ b/src/lab/control/machine.cpp
@@ -79,9 +79,9 @@
     if (incarnation != incarnation_ || !node_ || is_frozen()) return;
     resumed_at = queue_.now();
     // What arrived meanwhile is in the socket buffers and is read first.
-    for (auto held = std::exchange(deferred_, {}); !held.empty() && node_ && incarnation == incarnation_;
-         held.pop_front())
-        held.front()();
+    for (auto deferred = std::exchange(deferred_, {}); !deferred.empty() && node_ && incarnation == incarnation_;
+         deferred.pop_front())
+        deferred.front()();
 }
 
 void Machine::tick(uint64_t incarnation) {
