--- a/src/lab/control/tenants.hpp
+++ b/src/lab/control/tenants.hpp
@@ -1,4 +1,4 @@
-// Tenants of the virtual world: the limits that the operators' documents name, and what their clients send to which
+// Tenants of the simulation: the limits in the operators' documents, and what the tenants' clients send to which
 // proxy.
 #pragma once
 #include <cstdint>
@@ -16,11 +16,12 @@
 
 namespace myrtleroute::lab::control {
 
-constexpr leases::LimitRule limit_rule{140000, 0.1, Span{8}};   // slack in tokens, over, window
+constexpr leases::LimitRule limit_rule{140000, 0.1, Span{8}};   // slack in tokens, tolerated excess as a ratio, window
 std::string tenant_name(size_t number);
 
-// The `tenants` member of a document. Limits stay for a few versions; then, where they change at all, each tenant's is
-// drawn anew, up to four times as high or as low as its usual one. Where keys are taken away, now and then one has none.
+// The `tenants` member of a document. Limits stay the same for several versions; then, if they change at all, each
+// tenant's is drawn anew, up to four times as high or as low as its usual one. If keys are removed, a tenant
+// sometimes has none.
 struct TenantChanges {
     bool limits = true, keys = false;
 };
@@ -28,13 +29,13 @@
 
 using Tenants = std::map<std::string, configuration::Tenant>;   // by name
 
-// Tenants of documents, each document parsed once.
+// Tenants of documents; each document is parsed once.
 class TenantDocuments {
 public:
     std::shared_ptr<const Tenants> read(const std::string& body);
 
 private:
-    std::map<std::string, std::shared_ptr<const Tenants>> known_;
+    std::map<std::string, std::shared_ptr<const Tenants>> parsed_;
 };
 
 struct TenantRequest {
@@ -45,24 +46,24 @@
     Span to_host;      // from the proxy's grant to the arrival at the host that runs it
 };
 
-// What the tenants' clients send: each tenant its usual demand, spread unevenly over the proxies, and surges.
+// The requests of the tenants' clients: each tenant's usual demand, spread unevenly over the proxies, and surges.
 class TenantTraffic {
 public:
     using Send = std::function<void(size_t proxy, const TenantRequest&)>;
     TenantTraffic(Queue& queue, uint64_t seed, std::vector<Surge> surges, size_t proxies, Send send);
-    void begin();
+    void start();
 
 private:
     struct Client {
-        RandomStream chance;
+        RandomStream random;
         std::vector<double> preference;   // cumulative shares of the proxies
     };
-    void wait(size_t tenant);
+    void schedule_next(size_t tenant);
     void send(size_t tenant);
     double requests_per_second(size_t tenant) const;
 
     Queue& queue_;
-    Time began_;
+    Time started_at_;
     std::vector<Surge> surges_;
     std::vector<Client> clients_;   // by tenant
     Send send_;
