--- a/src/soak/plan.cpp
+++ b/src/soak/plan.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 constexpr uint64_t plan_stream = 0x706c616e;   // of draws, beside those of clients and hosts
-constexpr double first_fault = 1, shortest_span = 0.3, longest_start_gap = 1;
+constexpr double first_fault = 1, min_duration = 0.3, max_start_gap = 1;
 
-struct Spans {
-    double least, most;   // seconds
+struct DurationRange {
+    double min, max;   // seconds
 };
 
 // How long a fault of the kind lasts.
-Spans spans_of(FaultKind kind) {
+DurationRange duration_range(FaultKind kind) {
     switch (kind) {
         case FaultKind::kill_every_proxy:
         case FaultKind::kill_every_control: return {0.3, 1};
@@ -36,20 +36,20 @@
 }
 
 // Told to the processes in a moment, and over.
-bool is_told_once(FaultKind kind) { return kind == FaultKind::hang_up_every_process; }
+bool is_instantaneous(FaultKind kind) { return kind == FaultKind::hang_up_every_process; }
 
-bool strikes_every(FaultKind kind) {
+bool affects_every_machine(FaultKind kind) {
     return kind == FaultKind::kill_every_proxy || kind == FaultKind::kill_every_control ||
-           kind == FaultKind::cut_every_control || is_told_once(kind);
+           kind == FaultKind::cut_every_control || is_instantaneous(kind);
 }
 
-bool is_of_links(FaultKind kind) {
+bool affects_connections(FaultKind kind) {
     return kind == FaultKind::control_answers_lost || kind == FaultKind::subscriptions_reset ||
            kind == FaultKind::host_answers_lost;
 }
 
 // How many machines, from the first, have what the kind of fault strikes.
-size_t struck_among(FaultKind kind, FleetSize size) {
+size_t candidate_count(FaultKind kind, FleetSize size) {
     switch (kind) {
         case FaultKind::kill_controls:
         case FaultKind::kill_every_control:
@@ -62,51 +62,52 @@
     }
 }
 
-class Drawer {
+class PlanGenerator {
 public:
-    Drawer(uint64_t seed, FleetSize size, double length) : chance_(seed, plan_stream), size_(size), length_(length) {}
+    PlanGenerator(uint64_t seed, FleetSize size, double length)
+        : chance_(seed, plan_stream), size_(size), length_(length) {}
 
-    std::vector<Fault> draw() {
-        for (double at = first_fault; at + shortest_span < length_;) at = draw_episode(at);
+    std::vector<Fault> generate() {
+        for (double at = first_fault; at + min_duration < length_;) at = add_episode(at);
         std::sort(faults_.begin(), faults_.end(), [](const auto& a, const auto& b) { return a.at < b.at; });
         return std::move(faults_);
     }
 
 private:
     // Two or three faults that overlap. Returns when the next episode begins.
-    double draw_episode(double at) {
+    double add_episode(double at) {
         const int count = 2 + chance_.below(2);
         double end = at;
-        double quiet = chance_.yes(0.5) ? chance_.between(0.3, 2) : chance_.between(4, 7);
+        double pause = chance_.yes(0.5) ? chance_.between(0.3, 2) : chance_.between(4, 7);
         for (int i = 0; i < count; ++i) {
-            auto fault = draw_fault(at + (i ? chance_.between(0, longest_start_gap) : 0));
-            if (fault.end() > length_) fault.span = length_ - fault.at;
-            if (fault.span < shortest_span || !is_tolerated(fault)) continue;
-            if (fault.kind == FaultKind::wipe_control) quiet = std::max(quiet, catch_up);
+            auto fault = random_fault(at + (i ? chance_.between(0, max_start_gap) : 0));
+            if (fault.end() > length_) fault.duration = length_ - fault.at;
+            if (fault.duration < min_duration || !is_tolerated(fault)) continue;
+            if (fault.kind == FaultKind::wipe_control) pause = std::max(pause, catch_up);
             end = std::max(end, fault.end());
             faults_.push_back(std::move(fault));
         }
-        return end + quiet;
+        return end + pause;
     }
 
-    Fault draw_fault(double at) {
+    Fault random_fault(double at) {
         Fault fault;
         fault.kind = static_cast<FaultKind>(chance_.below(static_cast<int>(FaultKind::kinds)));
         fault.at = at;
-        const auto spans = spans_of(fault.kind);
-        fault.span = chance_.between(spans.least, spans.most);
+        const auto range = duration_range(fault.kind);
+        fault.duration = chance_.between(range.min, range.max);
         if (is_cut(fault.kind) && chance_.yes(0.5)) fault.side = chance_.yes(0.5) ? CutSide::inward : CutSide::outward;
-        if (!is_of_links(fault.kind)) fault.machines = draw_machines(fault.kind);
+        if (!affects_connections(fault.kind)) fault.machines = choose_machines(fault.kind);
         return fault;
     }
 
-    std::vector<size_t> draw_machines(FaultKind kind) {
-        const size_t among = struck_among(kind, size_);
+    std::vector<size_t> choose_machines(FaultKind kind) {
+        const size_t among = candidate_count(kind, size_);
         std::vector<size_t> machines(among);
         for (size_t i = 0; i < among; ++i) machines[i] = i;
-        if (strikes_every(kind)) return machines;
-        const int most = std::max(1, static_cast<int>(among / 2));
-        const auto count = static_cast<size_t>(kind == FaultKind::wipe_control ? 1 : 1 + chance_.below(most));
+        if (affects_every_machine(kind)) return machines;
+        const int max_count = std::max(1, static_cast<int>(among / 2));
+        const auto count = static_cast<size_t>(kind == FaultKind::wipe_control ? 1 : 1 + chance_.below(max_count));
         for (size_t i = 0; i < count; ++i)
             std::swap(machines[i], machines[i + static_cast<size_t>(chance_.below(static_cast<int>(among - i)))]);
         machines.resize(count);
@@ -116,11 +117,11 @@
 
     // A lost disk and another control node out of order, at once or shortly after each other, are one loss too many.
     bool is_tolerated(const Fault& fault) const {
-        if (!strikes_control(fault, size_.controls)) return true;
+        if (!affects_control(fault, size_.controls)) return true;
         return std::none_of(faults_.begin(), faults_.end(), [&](const Fault& other) {
             const bool wipes = other.kind == FaultKind::wipe_control || fault.kind == FaultKind::wipe_control;
             const bool near = fault.at < other.end() + catch_up && other.at < fault.end() + catch_up;
-            return wipes && near && strikes_control(other, size_.controls);
+            return wipes && near && affects_control(other, size_.controls);
         });
     }
 
@@ -142,25 +143,27 @@
     return names[static_cast<size_t>(kind)];
 }
 
-Plan draw_plan(uint64_t seed, FleetSize size, double length) { return {seed, Drawer(seed, size, length).draw()}; }
+Plan generate_plan(uint64_t seed, FleetSize size, double length) {
+    return {seed, PlanGenerator(seed, size, length).generate()};
+}
 
-Plan draw_planned_work(uint64_t seed, FleetSize size, double length) {
+Plan generate_planned_work(uint64_t seed, FleetSize size, double length) {
     lab::Chance chance(seed, plan_stream);
     Plan plan{seed, {}};
-    const auto add_series = [&](FaultKind kind, size_t among, int most_together, double least_gap, double most_gap) {
+    const auto add_series = [&](FaultKind kind, size_t among, int max_together, double min_gap, double max_gap) {
         auto machine = static_cast<size_t>(chance.below(static_cast<int>(among)));
-        for (double at = chance.between(first_fault, first_fault + 1); at + shortest_span < length;) {
-            Fault stop{kind, at, shortest_span, {}, CutSide::both};
-            for (int together = 1 + chance.below(most_together); together > 0; --together)
+        for (double at = chance.between(first_fault, first_fault + 1); at + min_duration < length;) {
+            Fault stop{kind, at, min_duration, {}, CutSide::both};
+            for (int together = 1 + chance.below(max_together); together > 0; --together)
                 stop.machines.push_back(machine++ % among);
             plan.faults.push_back(std::move(stop));
-            at += chance.between(least_gap, most_gap);
+            at += chance.between(min_gap, max_gap);
         }
     };
     add_series(FaultKind::stop_proxies, size.proxies, 2, 0.3, 2.5);
     add_series(FaultKind::stop_controls, size.controls, 1, 3, 6);
     for (double at = first_fault; at < length; at += chance.between(0.5, 4))
-        plan.faults.push_back({FaultKind::hang_up_every_process, at, shortest_span, {}, CutSide::both});
+        plan.faults.push_back({FaultKind::hang_up_every_process, at, min_duration, {}, CutSide::both});
     for (auto& fault : plan.faults)
         for (size_t machine = 0; fault.kind == FaultKind::hang_up_every_process && machine < size.proxies; ++machine)
             fault.machines.push_back(machine);
@@ -168,33 +171,34 @@
     return plan;
 }
 
-bool strikes_control(const Fault& fault, size_t controls) {
+bool affects_control(const Fault& fault, size_t controls) {
     if (fault.kind == FaultKind::cut_machines)
         return std::any_of(fault.machines.begin(), fault.machines.end(), [&](size_t m) { return m < controls; });
     constexpr FleetSize any{1, 2};
-    return struck_among(fault.kind, any) == any.controls;
+    return candidate_count(fault.kind, any) == any.controls;
 }
 
-bool blocks(const Fault& cut, const Link& link, Way way) {
+bool blocks(const Fault& cut, const InternalConnection& connection, Direction direction) {
     const auto named = [&](size_t machine) {
         return std::find(cut.machines.begin(), cut.machines.end(), machine) != cut.machines.end();
     };
-    if (cut.kind == FaultKind::cut_every_control) return !link.from_proxy;
-    bool from_inside = named(link.from), to_inside = named(link.to);
+    if (cut.kind == FaultKind::cut_every_control) return !connection.from_proxy;
+    bool from_inside = named(connection.from), to_inside = named(connection.to);
     if (cut.kind == FaultKind::cut_proxies) {
-        from_inside = from_inside && link.from_proxy;
+        from_inside = from_inside && connection.from_proxy;
         to_inside = false;
-    } else if (cut.kind == FaultKind::cut_controls && link.from_proxy) {
+    } else if (cut.kind == FaultKind::cut_controls && connection.from_proxy) {
         return false;
     } else if (cut.kind != FaultKind::cut_machines && cut.kind != FaultKind::cut_controls) {
         return false;
     }
     if (from_inside == to_inside) return false;
-    const bool leaves = (way == Way::there) == from_inside;   // the bytes come from a machine that is named
+    const bool leaves =
+        (direction == Direction::forward) == from_inside;   // the bytes come from a machine that is named
     return cut.side == CutSide::both || (cut.side == CutSide::outward) == leaves;
 }
 
-std::string text_of(const Fault& fault) {
+std::string fault_text(const Fault& fault) {
     constexpr const char* sides[] = {"", " inward", " outward"};
     std::ostringstream text;
     text << std::fixed << std::setprecision(2) << fault.at << " to " << fault.end() << "  " << name_of(fault.kind)
--- a/src/soak/plan.hpp
+++ b/src/soak/plan.hpp
@@ -37,11 +37,11 @@
 
 struct Fault {
     FaultKind kind = FaultKind::kill_proxies;
-    double at = 0;     // seconds from the start of the faults
-    double span = 1;   // seconds
+    double at = 0;         // seconds from the start of the faults
+    double duration = 1;   // seconds
     std::vector<size_t> machines;
     CutSide side = CutSide::both;   // of cuts
-    double end() const { return at + span; }
+    double end() const { return at + duration; }
     bool operator==(const Fault&) const = default;
 };
 
@@ -57,26 +57,26 @@
 // No fault outlasts `length` (seconds). A disk is lost only while every other control node is well, and has been for
 // `catch_up` seconds: that is what the settings' tolerance of one machine allows.
 constexpr double catch_up = 6;
-Plan draw_plan(uint64_t seed, FleetSize size, double length);
+Plan generate_plan(uint64_t seed, FleetSize size, double length);
 
 // Planned work alone, in series that overlap: machines are stopped and started again one or two after the other, and
 // processes are told that their settings have changed. Control nodes are stopped one at a time.
-Plan draw_planned_work(uint64_t seed, FleetSize size, double length);
+Plan generate_planned_work(uint64_t seed, FleetSize size, double length);
 
 // Whether the fault puts a control node out of order.
-bool strikes_control(const Fault& fault, size_t controls);
+bool affects_control(const Fault& fault, size_t controls);
 
 // A connection within the fleet: a control node or a proxy has dialed a control node.
-struct Link {
+struct InternalConnection {
     bool from_proxy = false;
     size_t from = 0, to = 0;   // machines
 };
 // Of the bytes on a link: `there` go from who has dialed, `back` come to it.
-enum class Way { there, back };
+enum class Direction { forward, backward };
 
 // Whether a cut holds up what goes this way on the link.
-bool blocks(const Fault& cut, const Link& link, Way way);
+bool blocks(const Fault& cut, const InternalConnection& connection, Direction direction);
 
-std::string text_of(const Fault& fault);
+std::string fault_text(const Fault& fault);
 
 }   // namespace myrtleroute::soak
--- a/src/soak/relay.cpp
+++ b/src/soak/relay.cpp
@@ -14,62 +14,63 @@
 
 namespace {
 
-constexpr double look_again = 0.01;   // seconds
+constexpr double poll_interval = 0.01;   // seconds
 
 }   // namespace
 
 // A connection that was accepted, and the one that carries it on.
-class Relay::Pair : public std::enable_shared_from_this<Pair> {
+class Relay::ConnectionPair : public std::enable_shared_from_this<ConnectionPair> {
 public:
-    Pair(tcp::socket dialer, asio::io_context& context, const RelayOptions& options, const RelayRules& rules)
-        : options_(options), rules_(rules), dialer_(std::move(dialer)), node_(context) {
-        for (auto& direction : directions_) direction.timer.emplace(context);
+    ConnectionPair(tcp::socket client, asio::io_context& context, const RelayOptions& options, const RelayRules& rules)
+        : options_(options), rules_(rules), client_(std::move(client)), node_(context) {
+        for (auto& pipe : pipes_) pipe.timer.emplace(context);
         identified_ = !options_.identify;
     }
 
     void start() {
         asio::error_code ignored;
-        dialer_.set_option(tcp::no_delay(true), ignored);
+        client_.set_option(tcp::no_delay(true), ignored);
         node_.async_connect(address_of(options_.to), [self = shared_from_this()](asio::error_code error) {
-            if (error) return self->drop();
+            if (error) return self->close();
             asio::error_code unset;
             self->node_.set_option(tcp::no_delay(true), unset);
-            self->read(Way::there);
-            self->read(Way::back);
+            self->read(Direction::forward);
+            self->read(Direction::backward);
         });
     }
 
 private:
     // What goes one way.
-    struct Direction {
+    struct Pipe {
         std::array<char, 16384> buffer{};
-        std::string held;     // has come and has not been passed on
-        bool ended = false;   // nothing comes behind it
-        bool done = false;    // and the other side knows
+        std::string pending;   // has come and has not been passed on
+        bool ended = false;    // nothing comes behind it
+        bool done = false;     // and the other side knows
         std::optional<asio::steady_timer> timer;
-        std::chrono::steady_clock::time_point held_since{};
+        std::chrono::steady_clock::time_point pending_since{};
     };
 
-    Direction& direction(Way way) { return directions_[static_cast<size_t>(way)]; }
-    tcp::socket& source(Way way) { return way == Way::there ? dialer_ : node_; }
-    tcp::socket& target(Way way) { return way == Way::there ? node_ : dialer_; }
+    Pipe& pipe(Direction direction) { return pipes_[static_cast<size_t>(direction)]; }
+    tcp::socket& source(Direction direction) { return direction == Direction::forward ? client_ : node_; }
+    tcp::socket& target(Direction direction) { return direction == Direction::forward ? node_ : client_; }
 
-    void read(Way way) {
-        auto& from = direction(way);
-        source(way).async_read_some(
-            asio::buffer(from.buffer),
-            [self = shared_from_this(), way](asio::error_code error, size_t n) { self->came(way, error, n); });
+    void read(Direction direction) {
+        auto& from = pipe(direction);
+        source(direction).async_read_some(asio::buffer(from.buffer),
+                                          [self = shared_from_this(), direction](asio::error_code error, size_t n) {
+                                              self->on_read(direction, error, n);
+                                          });
     }
 
-    void came(Way way, asio::error_code error, size_t n) {
-        auto& from = direction(way);
-        if (dropped_) return;
+    void on_read(Direction direction, asio::error_code error, size_t n) {
+        auto& from = pipe(direction);
+        if (closed_) return;
         from.ended = bool(error);
-        from.held.append(from.buffer.data(), n);
-        from.held_since = std::chrono::steady_clock::now();
-        if (way == Way::there && !identified_) identify({from.buffer.data(), n});
-        if (!identified_ && !from.ended) return read(way);
-        pass(way);
+        from.pending.append(from.buffer.data(), n);
+        from.pending_since = std::chrono::steady_clock::now();
+        if (direction == Direction::forward && !identified_) identify({from.buffer.data(), n});
+        if (!identified_ && !from.ended) return read(direction);
+        forward(direction);
     }
 
     void identify(std::string_view bytes) {
@@ -77,57 +78,57 @@
         const auto json = first_frame_.next();
         if (!json) return;
         identified_ = true;
-        link_ = options_.identify(*json);
+        connection_ = options_.identify(*json);
     }
 
-    bool is_held(Way way) const { return link_ && rules_.holds(*link_, way); }
-
-    void pass(Way way) {
-        auto& from = direction(way);
-        if (dropped_) return;
-        if (is_held(way)) return wait(way);
-        if (way == Way::back && !from.held.empty() && rules_.loses_answer()) return drop();
-        if (from.held.empty()) return end(way);
-        asio::async_write(target(way), asio::buffer(from.held),
-                          [self = shared_from_this(), way](asio::error_code error, size_t) {
-                              if (error) return self->drop();
-                              self->passed(way);
+    bool is_blocked(Direction direction) const { return connection_ && rules_.is_blocked(*connection_, direction); }
+
+    void forward(Direction direction) {
+        auto& from = pipe(direction);
+        if (closed_) return;
+        if (is_blocked(direction)) return wait_until_unblocked(direction);
+        if (direction == Direction::backward && !from.pending.empty() && rules_.resets_response()) return close();
+        if (from.pending.empty()) return finish(direction);
+        asio::async_write(target(direction), asio::buffer(from.pending),
+                          [self = shared_from_this(), direction](asio::error_code error, size_t) {
+                              if (error) return self->close();
+                              self->on_written(direction);
                           });
     }
 
-    void passed(Way way) {
-        auto& from = direction(way);
-        from.held.clear();
-        from.ended ? end(way) : read(way);
+    void on_written(Direction direction) {
+        auto& from = pipe(direction);
+        from.pending.clear();
+        from.ended ? finish(direction) : read(direction);
     }
 
-    void wait(Way way) {
-        auto& from = direction(way);
-        if (std::chrono::steady_clock::now() - from.held_since > given_up_after) return drop();
-        after(*from.timer, look_again, [self = shared_from_this(), way] { self->pass(way); });
+    void wait_until_unblocked(Direction direction) {
+        auto& from = pipe(direction);
+        if (std::chrono::steady_clock::now() - from.pending_since > blocked_data_timeout) return close();
+        after(*from.timer, poll_interval, [self = shared_from_this(), direction] { self->forward(direction); });
     }
 
-    void end(Way way) {
-        direction(way).done = true;
+    void finish(Direction direction) {
+        pipe(direction).done = true;
         asio::error_code ignored;
-        target(way).shutdown(tcp::socket::shutdown_send, ignored);
-        if (direction(Way::there).done && direction(Way::back).done) drop();
+        target(direction).shutdown(tcp::socket::shutdown_send, ignored);
+        if (pipe(Direction::forward).done && pipe(Direction::backward).done) close();
     }
 
-    void drop() {
-        if (std::exchange(dropped_, true)) return;
-        for (auto& each : directions_) each.timer->cancel();
-        reset(dialer_);
+    void close() {
+        if (std::exchange(closed_, true)) return;
+        for (auto& each : pipes_) each.timer->cancel();
+        reset(client_);
         reset(node_);
     }
 
     const RelayOptions& options_;
     const RelayRules& rules_;
-    tcp::socket dialer_, node_;
-    std::array<Direction, 2> directions_;   // by way
+    tcp::socket client_, node_;
+    std::array<Pipe, 2> pipes_;   // by way
     messages::FrameReader first_frame_;
-    std::optional<Link> link_;
-    bool identified_ = false, dropped_ = false;
+    std::optional<InternalConnection> connection_;
+    bool identified_ = false, closed_ = false;
 };
 
 Relay::Relay(asio::io_context& context, RelayOptions options, RelayRules rules)
@@ -141,7 +142,7 @@
 void Relay::accept() {
     acceptor_.async_accept([this](asio::error_code error, tcp::socket socket) {
         if (error == asio::error::operation_aborted) return;
-        if (!error) std::make_shared<Pair>(std::move(socket), context_, options_, rules_)->start();
+        if (!error) std::make_shared<ConnectionPair>(std::move(socket), context_, options_, rules_)->start();
         accept();
     });
 }
--- a/src/soak/relay.hpp
+++ b/src/soak/relay.hpp
@@ -13,19 +13,19 @@
 
 namespace myrtleroute::soak {
 
-constexpr std::chrono::milliseconds given_up_after{1500};
+constexpr std::chrono::milliseconds blocked_data_timeout{1500};
 
 // What befalls connections at this moment.
 struct RelayRules {
-    std::function<bool(const Link&, Way)> holds;   // the bytes that go this way wait
-    std::function<bool()> loses_answer;            // asked for each piece that comes back: the connection is reset
+    std::function<bool(const InternalConnection&, Direction)> is_blocked;   // the bytes that go this way wait
+    std::function<bool()> resets_response;   // asked for each piece that comes back: the connection is reset
 };
 
 struct RelayOptions {
     Endpoint at, to;
     // Tells from the first frame on a connection who has dialed; empty for ports that don't carry frames, which no cut
     // concerns.
-    std::function<std::optional<Link>(const std::string& json)> identify;
+    std::function<std::optional<InternalConnection>(const std::string& json)> identify;
 };
 
 class Relay {
@@ -34,7 +34,7 @@
     Relay(asio::io_context& context, RelayOptions options, RelayRules rules);
 
 private:
-    class Pair;
+    class ConnectionPair;
     void accept();
 
     asio::io_context& context_;
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -39,8 +39,8 @@
       addresses_(block_.number(), options_.size.controls),
       checker_(bounds_of(fleet_options(options_)), options_.planned),
       chance_(options_.seed, 0x736f616b),
-      plan_(options_.planned ? draw_planned_work(options_.seed, options_.size, options_.seconds)
-                             : draw_plan(options_.seed, options_.size, options_.seconds)),
+      plan_(options_.planned ? generate_planned_work(options_.seed, options_.size, options_.seconds)
+                             : generate_plan(options_.seed, options_.size, options_.seconds)),
       start_(std::chrono::steady_clock::now()),
       fleet_(fleet_options(options_), addresses_,
              [this](const std::string& text) {
@@ -94,7 +94,9 @@
         };
         relays_.push_back(std::make_unique<Relay>(
             context_, internal,
-            RelayRules{[this](const Link& link, Way way) { return holds(link, way); },
+            RelayRules{[this](const InternalConnection& connection, Direction direction) {
+                           return is_blocked(connection, direction);
+                       },
                        [this] {
                            return is_active(FaultKind::subscriptions_reset) && chance_.yes(subscription_loss);
                        }}));
@@ -132,21 +134,23 @@
 }
 
 // Control nodes tell the address that they advertise, proxies their name.
-std::optional<Link> Soak::identify(const std::string& json, size_t dialed) const {
+std::optional<InternalConnection> Soak::identify(const std::string& json, size_t dialed) const {
     const auto frame = nlohmann::json::parse(json, nullptr, false);
     if (!frame.is_object()) return {};
     const auto kind = frame.value("kind", "");
     for (size_t machine = 0; machine < options_.size.proxies; ++machine) {
         if (kind == "subscribe" && frame.value("node", "") == "machine-" + std::to_string(machine))
-            return Link{true, machine, dialed};
+            return InternalConnection{true, machine, dialed};
         const auto endpoint = addresses_.advertised(machine) + ":" + std::to_string(Addresses::internal_port);
-        if (kind == "hello" && frame["node"].value("peer", "") == endpoint) return Link{false, machine, dialed};
+        if (kind == "hello" && frame["node"].value("peer", "") == endpoint)
+            return InternalConnection{false, machine, dialed};
     }
     return {};
 }
 
-bool Soak::holds(const Link& link, Way way) const {
-    return std::any_of(active_.begin(), active_.end(), [&](const Fault* fault) { return blocks(*fault, link, way); });
+bool Soak::is_blocked(const InternalConnection& connection, Direction direction) const {
+    return std::any_of(active_.begin(), active_.end(),
+                       [&](const Fault* fault) { return blocks(*fault, connection, direction); });
 }
 
 bool Soak::is_active(FaultKind kind) const {
@@ -229,7 +233,7 @@
 }
 
 void Soak::begin(const Fault& fault) {
-    note("begins: " + text_of(fault));
+    note("begins: " + fault_text(fault));
     active_.push_back(&fault);
     for (const auto machine : fault.machines) strike(fault, machine);
 }
@@ -254,7 +258,7 @@
 }
 
 void Soak::end(const Fault& fault) {
-    note("ends: " + text_of(fault));
+    note("ends: " + fault_text(fault));
     std::erase(active_, &fault);
     for (const auto machine : fault.machines) {
         if (fault.kind == FaultKind::pause_proxies) fleet_.pause(Role::proxy, machine, false);
--- a/src/soak/soak.hpp
+++ b/src/soak/soak.hpp
@@ -58,8 +58,8 @@
     void end(const Fault& fault);
     void strike(const Fault& fault, size_t machine);
     bool is_active(FaultKind kind) const;
-    bool holds(const Link& link, Way way) const;
-    std::optional<Link> identify(const std::string& json, size_t dialed) const;
+    bool is_blocked(const InternalConnection& connection, Direction direction) const;
+    std::optional<InternalConnection> identify(const std::string& json, size_t dialed) const;
     bool serves() const;
     void settle_limits();
     void read_counters();
--- a/tests/system/soak_test.cpp
+++ b/tests/system/soak_test.cpp
@@ -86,22 +86,22 @@
 }
 
 TEST_CASE("a seed gives one plan, another seed another") {
-    CHECK(draw_plan(7, {}, length).faults == draw_plan(7, {}, length).faults);
-    CHECK(draw_plan(7, {}, length).faults != draw_plan(8, {}, length).faults);
+    CHECK(generate_plan(7, {}, length).faults == generate_plan(7, {}, length).faults);
+    CHECK(generate_plan(7, {}, length).faults != generate_plan(8, {}, length).faults);
 }
 
 TEST_CASE("every kind of fault is drawn, most overlap, and none outlasts the run") {
     std::vector<size_t> drawn(static_cast<size_t>(FaultKind::kinds));
     size_t faults = 0, overlapping = 0;
     for (uint64_t seed = 1; seed <= many_seeds; ++seed) {
-        const auto plan = draw_plan(seed, {}, length);
+        const auto plan = generate_plan(seed, {}, length);
         for (const auto& fault : plan.faults) {
             ++drawn[static_cast<size_t>(fault.kind)];
             ++faults;
             overlapping += std::any_of(plan.faults.begin(), plan.faults.end(),
                                        [&](const Fault& other) { return &other != &fault && overlap(fault, other); });
             CHECK(fault.end() <= length);
-            CHECK(fault.span > 0);
+            CHECK(fault.duration > 0);
             CHECK(std::all_of(fault.machines.begin(), fault.machines.end(), [](size_t m) { return m < 8; }));
         }
     }
@@ -111,13 +111,13 @@
 
 TEST_CASE("a disk is lost only while the other control nodes are well and have caught up") {
     for (uint64_t seed = 1; seed <= many_seeds; ++seed) {
-        const auto plan = draw_plan(seed, {}, length);
+        const auto plan = generate_plan(seed, {}, length);
         for (const auto& wipe : plan.faults) {
             if (wipe.kind != FaultKind::wipe_control) continue;
             CHECK(wipe.machines.size() == 1);
             for (const auto& other : plan.faults) {
                 const bool near = other.at < wipe.end() + catch_up && wipe.at < other.end() + catch_up;
-                CHECK_FALSE((&other != &wipe && near && strikes_control(other, FleetSize{}.controls)));
+                CHECK_FALSE((&other != &wipe && near && affects_control(other, FleetSize{}.controls)));
             }
         }
     }
@@ -125,10 +125,10 @@
 
 TEST_CASE("planned work is stops one after the other, that overlap, and reloads; the same for a seed") {
     constexpr FleetSize size{4, 8};
-    CHECK(draw_planned_work(7, size, length).faults == draw_planned_work(7, size, length).faults);
+    CHECK(generate_planned_work(7, size, length).faults == generate_planned_work(7, size, length).faults);
     for (uint64_t seed = 1; seed <= many_seeds; ++seed) {
         CAPTURE(seed);
-        const auto faults = draw_planned_work(seed, size, length).faults;
+        const auto faults = generate_planned_work(seed, size, length).faults;
         size_t proxies = 0, controls = 0, reloads = 0;
         for (const auto& fault : faults) {
             proxies += fault.kind == FaultKind::stop_proxies;
@@ -147,30 +147,31 @@
 }
 
 TEST_CASE("a cut holds up what passes between its machines and the others, on its sides") {
-    const Link in{false, 0, 1}, out{false, 1, 0}, beside{false, 2, 3}, of_proxy{true, 1, 0}, own_proxy{true, 1, 1};
+    const InternalConnection in{false, 0, 1}, out{false, 1, 0}, beside{false, 2, 3}, of_proxy{true, 1, 0},
+        own_proxy{true, 1, 1};
     const Fault machines{FaultKind::cut_machines, 0, 1, {1}, CutSide::both};
-    for (const auto& link : {in, out, of_proxy}) {
-        CHECK(blocks(machines, link, Way::there));
-        CHECK(blocks(machines, link, Way::back));
+    for (const auto& connection : {in, out, of_proxy}) {
+        CHECK(blocks(machines, connection, Direction::forward));
+        CHECK(blocks(machines, connection, Direction::backward));
     }
-    CHECK_FALSE(blocks(machines, beside, Way::there));
-    CHECK_FALSE(blocks(machines, own_proxy, Way::there));
+    CHECK_FALSE(blocks(machines, beside, Direction::forward));
+    CHECK_FALSE(blocks(machines, own_proxy, Direction::forward));
     const Fault inward{FaultKind::cut_machines, 0, 1, {1}, CutSide::inward};
-    CHECK(blocks(inward, in, Way::there));
-    CHECK_FALSE(blocks(inward, in, Way::back));
-    CHECK_FALSE(blocks(inward, out, Way::there));
-    CHECK(blocks(inward, out, Way::back));
+    CHECK(blocks(inward, in, Direction::forward));
+    CHECK_FALSE(blocks(inward, in, Direction::backward));
+    CHECK_FALSE(blocks(inward, out, Direction::forward));
+    CHECK(blocks(inward, out, Direction::backward));
     const Fault controls{FaultKind::cut_controls, 0, 1, {1}, CutSide::both};
-    CHECK(blocks(controls, in, Way::there));
-    CHECK_FALSE(blocks(controls, of_proxy, Way::there));
+    CHECK(blocks(controls, in, Direction::forward));
+    CHECK_FALSE(blocks(controls, of_proxy, Direction::forward));
     const Fault every{FaultKind::cut_every_control, 0, 1, {0, 1, 2, 3}, CutSide::both};
-    CHECK(blocks(every, beside, Way::back));
-    CHECK_FALSE(blocks(every, of_proxy, Way::there));
+    CHECK(blocks(every, beside, Direction::backward));
+    CHECK_FALSE(blocks(every, of_proxy, Direction::forward));
     const Fault proxies{FaultKind::cut_proxies, 0, 1, {1}, CutSide::outward};
-    CHECK(blocks(proxies, own_proxy, Way::there));
-    CHECK_FALSE(blocks(proxies, own_proxy, Way::back));
-    CHECK_FALSE(blocks(proxies, in, Way::there));
-    CHECK_FALSE(blocks(Fault{FaultKind::kill_proxies, 0, 1, {1}, CutSide::both}, in, Way::there));
+    CHECK(blocks(proxies, own_proxy, Direction::forward));
+    CHECK_FALSE(blocks(proxies, own_proxy, Direction::backward));
+    CHECK_FALSE(blocks(proxies, in, Direction::forward));
+    CHECK_FALSE(blocks(Fault{FaultKind::kill_proxies, 0, 1, {1}, CutSide::both}, in, Direction::forward));
 }
 
 TEST_CASE("the count of windows agrees with adding each of them up") {
