--- a/src/soak/checker.cpp
+++ b/src/soak/checker.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double never = 1e18;
-constexpr size_t most_violations = 200;   // told of one run
+constexpr size_t max_violations = 200;   // told of one run
 
 bool is_success(int status) { return status >= 200 && status < 300; }
 
@@ -28,15 +28,15 @@
 }
 
 void Checker::report(Rule rule, double now, std::string text) {
-    if (violations_.size() < most_violations) violations_.push_back({rule, now, std::move(text)});
+    if (violations_.size() < max_violations) violations_.push_back({rule, now, std::move(text)});
 }
 
-void Checker::sent(const Sent& request, double now) {
+void Checker::request_sent(const SentRequest& request, double now) {
     by_id_[request.id] = requests_.size();
     requests_.push_back({request, now, 0, {}, 0});
 }
 
-void Checker::ran(const std::string& id, const std::string& tenant, double now) {
+void Checker::request_ran(const std::string& id, const std::string& tenant, double now) {
     const auto known = by_id_.find(id);
     if (known == by_id_.end()) return report(Rule::unasked, now, "a host ran '" + id + "', which no client sent");
     auto& request = requests_[known->second];
@@ -46,7 +46,7 @@
     if (request.runs.size() > 1 && !request.sent.repeatable) report(Rule::twice, now, id + " ran again");
 }
 
-void Checker::got(const std::string& id, const Got& answer, double now) {
+void Checker::response_received(const std::string& id, const ReceivedResponse& answer, double now) {
     auto& request = requests_[by_id_.at(id)];
     request.status = answer.status;
     request.answered_at = now;
@@ -55,11 +55,11 @@
     const std::string of = " answer of " + id;
     if (!answer.signed_by_host) report(Rule::mixed, now, "no host's signature in the" + of);
     if (answer.id != id) report(Rule::mixed, now, "'" + answer.id + "' is the id in the" + of);
-    if (!answer.body_sound) report(Rule::mixed, now, "another body than the host's in the" + of);
+    if (!answer.body_matches) report(Rule::mixed, now, "another body than the host's in the" + of);
     if (request.runs.empty()) report(Rule::mixed, now, "no host ran what led to the" + of);
 }
 
-void Checker::cut(const std::string& id, const char* how, double now) {
+void Checker::response_cut(const std::string& id, const char* how, double now) {
     auto& request = requests_[by_id_.at(id)];
     request.answered_at = now;
     ++cuts_;
@@ -69,7 +69,7 @@
                std::to_string(now - request.sent_at) + " s before, was cut " + how);
 }
 
-void Checker::unread(const std::string& id, double now) {
+void Checker::request_unread(const std::string& id, double now) {
     auto& request = requests_[by_id_.at(id)];
     request.answered_at = now;
     ++unread_;
@@ -98,13 +98,13 @@
     return limits;
 }
 
-void Checker::judge_quota(const std::string& tenant) {
+void Checker::check_quota(const std::string& tenant) {
     std::vector<QuotaUse> uses;
     for (const auto& request : requests_)
         if (request.sent.tenant == tenant && !request.runs.empty())
             uses.push_back({request.sent_at, request.runs.front(), request.sent.cost});
-    const auto peak = peaks_[tenant] = peak_use(uses, limits_of(tenant), bounds_);
-    if (!peak.broken()) return;
+    const auto peak = peaks_[tenant] = peak_usage(uses, limits_of(tenant), bounds_);
+    if (!peak.is_exceeded()) return;
     std::ostringstream text;
     text << std::fixed << std::setprecision(0) << tenant << " was granted " << peak.granted << " in " << bounds_.window
          << " s from " << std::setprecision(3) << peak.from << " on, " << std::setprecision(0) << peak.allowed
@@ -112,7 +112,7 @@
     report(Rule::quota, peak.from, text.str());
 }
 
-void Checker::judge_refused(const Request& request) {
+void Checker::check_refused(const Request& request) {
     if (request.sent.repeatable || request.runs.empty() || !promises_not_run(request.status)) return;
     report(Rule::refused, request.answered_at,
            request.sent.id + " was answered " + std::to_string(request.status) + " and has run");
@@ -122,19 +122,20 @@
     std::set<std::string> tenants;
     for (const auto& request : requests_) {
         tenants.insert(request.sent.tenant);
-        judge_refused(request);
+        check_refused(request);
     }
-    for (const auto& tenant : tenants) judge_quota(tenant);
+    for (const auto& tenant : tenants) check_quota(tenant);
 }
 
-std::optional<double> Checker::served_share(const std::string& tenant, double from, double until, size_t least) const {
+std::optional<double> Checker::served_share(const std::string& tenant, double from, double until,
+                                            size_t min_requests) const {
     size_t sent = 0, served = 0;
     for (auto request = requests_.rbegin(); request != requests_.rend() && request->sent_at >= from; ++request) {
         if (request->sent_at > until || request->sent.tenant != tenant) continue;
         ++sent;
         served += is_success(request->status);
     }
-    if (sent < least) return {};
+    if (sent < min_requests) return {};
     return static_cast<double>(served) / static_cast<double>(sent);
 }
 
@@ -163,13 +164,13 @@
     return violated;
 }
 
-std::optional<double> calm_since(const std::vector<std::pair<double, double>>& troubles, double after, double calm,
-                                 double until) {
-    auto sorted = troubles;
+std::optional<double> stable_since(const std::vector<std::pair<double, double>>& disturbances, double after,
+                                   double quiet, double until) {
+    auto sorted = disturbances;
     std::sort(sorted.begin(), sorted.end());
     double moment = after;
     for (const auto& [begin, end] : sorted)
-        if (begin < moment && moment < end + calm) moment = end + calm;
+        if (begin < moment && moment < end + quiet) moment = end + quiet;
     if (moment >= until) return {};
     return moment;
 }
--- a/src/soak/checker.hpp
+++ b/src/soak/checker.hpp
@@ -21,7 +21,7 @@
 };
 
 // What a client sends.
-struct Sent {
+struct SentRequest {
     std::string id;   // X-Request-Id
     std::string tenant;
     double cost = 0;
@@ -30,11 +30,11 @@
 };
 
 // What a client has got for it.
-struct Got {
+struct ReceivedResponse {
     int status = 0;   // 0: no answer, or not a whole one
     std::string id;   // X-Request-Id of the answer
     bool signed_by_host = false;
-    bool body_sound = false;   // the whole of what a host sends for this request
+    bool body_matches = false;   // the whole of what a host sends for this request
 };
 
 // A limit of a tenant, as the operator sets it.
@@ -50,14 +50,14 @@
     // `planned_only`: nothing but planned work befalls the fleet, so that every request that was read is answered.
     explicit Checker(QuotaBounds bounds, bool planned_only = false) : bounds_(bounds), planned_only_(planned_only) {}
 
-    void sent(const Sent& request, double now);
-    void ran(const std::string& id, const std::string& tenant, double now);
-    void got(const std::string& id, const Got& answer, double now);
+    void request_sent(const SentRequest& request, double now);
+    void request_ran(const std::string& id, const std::string& tenant, double now);
+    void response_received(const std::string& id, const ReceivedResponse& answer, double now);
 
     // A connection ended without the whole answer: the proxy had read the request (`how` it ended follows "was cut"), or
     // had not.
-    void cut(const std::string& id, const char* how, double now);
-    void unread(const std::string& id, double now);
+    void response_cut(const std::string& id, const char* how, double now);
+    void request_unread(const std::string& id, double now);
 
     void configuration_sent(uint64_t version, const Limits& limits, double now);
     // From `in_force` on every proxy must have it; unset: not known to be so before the run ends.
@@ -71,7 +71,7 @@
     const std::vector<Violation>& violations() const { return violations_; }
     const std::map<std::string, QuotaPeak>& peaks() const { return peaks_; }
     // Share of a tenant's requests sent in a span that were served; nothing where fewer than `least` were sent.
-    std::optional<double> served_share(const std::string& tenant, double from, double until, size_t least) const;
+    std::optional<double> served_share(const std::string& tenant, double from, double until, size_t min_requests) const;
     std::string requests_text() const;   // a line of comma-separated values for each request
     size_t requests() const { return requests_.size(); }
     size_t served() const { return served_; }
@@ -80,7 +80,7 @@
 
 private:
     struct Request {
-        Sent sent;
+        SentRequest sent;
         double sent_at = 0, answered_at = 0;
         std::vector<double> runs;
         int status = 0;
@@ -92,8 +92,8 @@
         std::optional<double> in_force;
     };
     std::vector<QuotaLimit> limits_of(const std::string& tenant) const;
-    void judge_quota(const std::string& tenant);
-    void judge_refused(const Request& request);
+    void check_quota(const std::string& tenant);
+    void check_refused(const Request& request);
 
     QuotaBounds bounds_;
     bool planned_only_;
@@ -110,7 +110,7 @@
 
 // The first moment, not before `after`, at which nothing has been in trouble for `calm` seconds; troubles are spans of
 // begin and end. Nothing where that is not before `until`.
-std::optional<double> calm_since(const std::vector<std::pair<double, double>>& troubles, double after, double calm,
-                                 double until);
+std::optional<double> stable_since(const std::vector<std::pair<double, double>>& disturbances, double after,
+                                   double quiet, double until);
 
 }   // namespace myrtleroute::soak
--- a/src/soak/clients.cpp
+++ b/src/soak/clients.cpp
@@ -79,20 +79,20 @@
                         {"X-Token-Count", std::to_string(prompt) + "," + std::to_string(output)},
                         {"X-Prompt-Prefix", id + ":" + std::to_string(prompt)},
                         {"Connection", "close"}};
-    const Sent sent{id, tenant.name, static_cast<double>(prompt + output), route.repeatable, proxy};
+    const SentRequest sent{id, tenant.name, static_cast<double>(prompt + output), route.repeatable, proxy};
     auto was_sent = std::make_shared<bool>(false);
     HttpCall call{to, request_text("POST", std::string(route.path) + "x", route_host, fields, "{}"), client_patience,
                   [this, sent, was_sent] {
                       *was_sent = true;
-                      checker_.sent(sent, now_());
+                      checker_.request_sent(sent, now_());
                   },
                   [this, id, was_sent, streams = route.streams](const HttpReply& reply) {
                       if (!*was_sent) return;
-                      checker_.got(id,
-                                   {reply.status, field_of(reply.fields, "X-Request-Id"),
-                                    !field_of(reply.fields, "X-Server-Signature").empty(),
-                                    is_whole_body(reply.body, id, streams)},
-                                   now_());
+                      checker_.response_received(id,
+                                                 {reply.status, field_of(reply.fields, "X-Request-Id"),
+                                                  !field_of(reply.fields, "X-Server-Signature").empty(),
+                                                  is_whole_body(reply.body, id, streams)},
+                                                 now_());
                   }};
     start_call(context_, std::move(call));
 }
--- a/src/soak/kept_clients.cpp
+++ b/src/soak/kept_clients.cpp
@@ -65,7 +65,7 @@
         text_ = request_text("POST", std::string(route.path) + "x", route_host, fields, "{}");
         http_.next();
         reader_ = {};
-        checker_.sent(request_, now_());
+        checker_.request_sent(request_, now_());
         after(timer_, patience, [this] { timed_out(); });
         asio::async_write(socket_, asio::buffer(text_), [this](asio::error_code error, size_t) {
             if (error) return unread();
@@ -96,7 +96,7 @@
 
     void answered() {
         const auto& reply = reader_.reply;
-        checker_.got(
+        checker_.response_received(
             request_.id,
             {reply.status, field_of(reply.fields, "X-Request-Id"),
              !field_of(reply.fields, "X-Server-Signature").empty(), is_whole_body(reply.body, request_.id, streams_)},
@@ -116,13 +116,13 @@
     void timed_out() { cut("by the client, which has waited long enough,"); }
 
     void cut(const char* how) {
-        checker_.cut(request_.id, how, now_());
+        checker_.response_cut(request_.id, how, now_());
         connect_again();
     }
 
     // The proxy has not read it: nothing was promised.
     void unread() {
-        checker_.unread(request_.id, now_());
+        checker_.request_unread(request_.id, now_());
         connect_again();
     }
 
@@ -136,7 +136,7 @@
     wire::HttpMachine http_;
     std::array<char, 16384> buffer_{};
     size_t proxy_ = 0;
-    Sent request_;
+    SentRequest request_;
     bool streams_ = false;
     std::string text_;
 };
--- a/src/soak/quota_check.cpp
+++ b/src/soak/quota_check.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 // Costs by a moment, for sums of all that come before one.
-class CostsInTime {
+class CumulativeCosts {
 public:
     void add(double at, double cost) { costs_.emplace_back(at, cost); }
 
-    void sum_up() {
+    void build() {
         std::sort(costs_.begin(), costs_.end());
         sums_.assign(1, 0);
         for (const auto& [at, cost] : costs_) sums_.push_back(sums_.back() + cost);
@@ -41,7 +41,7 @@
     for (const auto& limit : limits) {
         if (limit.from > from + bounds.window || limit.until <= from) continue;
         const double quota = limit.rate * bounds.window + limit.burst;
-        allowed = std::max(allowed, quota * (1 + bounds.over) + bounds.slack);
+        allowed = std::max(allowed, quota * (1 + bounds.tolerance) + bounds.slack);
     }
     return allowed;
 }
@@ -51,9 +51,9 @@
 //
 // The sum is greatest where a window begins with a sending; what is allowed drops with a window's start and rises with its
 // end, so windows that end with a run are looked at as well.
-QuotaPeak peak_use(const std::vector<QuotaUse>& uses, const std::vector<QuotaLimit>& limits,
-                   const QuotaBounds& bounds) {
-    CostsInTime sent, ran;
+QuotaPeak peak_usage(const std::vector<QuotaUse>& uses, const std::vector<QuotaLimit>& limits,
+                     const QuotaBounds& bounds) {
+    CumulativeCosts sent, ran;
     std::vector<double> starts;
     for (const auto& use : uses) {
         if (use.ran - use.sent > bounds.window) continue;
@@ -62,16 +62,16 @@
         starts.push_back(use.sent);
         starts.push_back(use.ran - bounds.window);
     }
-    sent.sum_up();
-    ran.sum_up();
+    sent.build();
+    ran.build();
     QuotaPeak peak;
-    double most = -1;
+    double max_share = -1;
     for (const double from : starts) {
         const QuotaPeak window{from, ran.until(from + bounds.window) - sent.before(from),
                                allowed_in_window(limits, bounds, from)};
         const double share = window.granted / std::max(window.allowed, 1.0);
-        if (share <= most) continue;
-        most = share;
+        if (share <= max_share) continue;
+        max_share = share;
         peak = window;
     }
     return peak;
--- a/src/soak/quota_check.hpp
+++ b/src/soak/quota_check.hpp
@@ -20,8 +20,8 @@
 
 struct QuotaBounds {
     double window = 8;
-    double over = 0;    // tolerated share beyond the limit
-    double slack = 0;   // units beyond it
+    double tolerance = 0;   // tolerated share beyond the limit
+    double slack = 0;       // units beyond it
 };
 
 // The window in which the most was granted, compared with what was allowed.
@@ -29,13 +29,14 @@
     double from = 0;   // start of the window
     double granted = 0, allowed = 0;
     double share() const { return allowed > 0 ? granted / allowed : 0; }
-    bool broken() const { return granted > allowed; }
+    bool is_exceeded() const { return granted > allowed; }
 };
 
 // What the highest of the limits that may be in force in the window from `from` on allows; 0 where none is.
 double allowed_in_window(const std::vector<QuotaLimit>& limits, const QuotaBounds& bounds, double from);
 
 // Counts requests that were both sent and run within a window; windows of every start are looked at.
-QuotaPeak peak_use(const std::vector<QuotaUse>& uses, const std::vector<QuotaLimit>& limits, const QuotaBounds& bounds);
+QuotaPeak peak_usage(const std::vector<QuotaUse>& uses, const std::vector<QuotaLimit>& limits,
+                     const QuotaBounds& bounds);
 
 }   // namespace myrtleroute::soak
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -125,11 +125,12 @@
             for (size_t c = 0; c < options_.size.controls; ++c) host.controls.push_back(addresses_.control(c));
             hosts_.push_back(std::make_unique<Host>(
                 context_, std::move(host),
-                HostEvents{
-                    [this](const std::string& id, const std::string& tenant) { checker_.ran(id, tenant, now()); },
-                    [this] {
-                        return is_active(FaultKind::host_answers_lost) && chance_.yes(host_loss);
-                    }}));
+                HostEvents{[this](const std::string& id, const std::string& tenant) {
+                               checker_.request_ran(id, tenant, now());
+                           },
+                           [this] {
+                               return is_active(FaultKind::host_answers_lost) && chance_.yes(host_loss);
+                           }}));
         }
 }
 
@@ -285,13 +286,13 @@
 
 // A version is in force everywhere once nothing has been in trouble for a while, some time past its acknowledgement.
 void Soak::settle_limits() {
-    std::vector<std::pair<double, double>> troubles;
+    std::vector<std::pair<double, double>> disturbances;
     for (const auto& fault : plan_.faults) {
         const bool stops = fault.kind == FaultKind::stop_proxies || fault.kind == FaultKind::stop_controls;
-        troubles.emplace_back(faults_at_ + fault.at, faults_at_ + (stops ? fault.at + longest_stop : fault.end()));
+        disturbances.emplace_back(faults_at_ + fault.at, faults_at_ + (stops ? fault.at + longest_stop : fault.end()));
     }
     for (const auto& [version, at] : acknowledged_)
-        if (const auto in_force = calm_since(troubles, at + configuration_within, contact, now()))
+        if (const auto in_force = stable_since(disturbances, at + configuration_within, contact, now()))
             checker_.configuration_in_force(version, *in_force);
 }
 
--- a/tests/system/soak_test.cpp
+++ b/tests/system/soak_test.cpp
@@ -21,15 +21,15 @@
 
 namespace {
 
-constexpr uint64_t many_seeds = 500;
-constexpr double length = 30;
+constexpr uint64_t seed_count = 500;
+constexpr double run_length = 30;
 
 bool overlap(const Fault& a, const Fault& b) { return a.at < b.end() && b.at < a.end(); }
 
 // The greatest share of what is allowed, by adding up each window that begins on the grid.
-double slow_peak_share(const std::vector<QuotaUse>& uses, const std::vector<QuotaLimit>& limits,
-                       const QuotaBounds& bounds, int first, int last) {
-    double most = 0;
+double reference_peak_share(const std::vector<QuotaUse>& uses, const std::vector<QuotaLimit>& limits,
+                            const QuotaBounds& bounds, int first, int last) {
+    double max_share = 0;
     for (int from = first; from <= last; ++from) {
         double granted = 0, allowed = 0;
         const double until = from + bounds.window;
@@ -37,11 +37,11 @@
             if (use.sent >= from && use.ran <= until) granted += use.cost;
         for (const auto& limit : limits)
             if (limit.from <= until && limit.until > from)
-                allowed =
-                    std::max(allowed, (limit.rate * bounds.window + limit.burst) * (1 + bounds.over) + bounds.slack);
-        most = std::max(most, granted / std::max(allowed, 1.0));
+                allowed = std::max(allowed,
+                                   (limit.rate * bounds.window + limit.burst) * (1 + bounds.tolerance) + bounds.slack);
+        max_share = std::max(max_share, granted / std::max(allowed, 1.0));
     }
-    return most;
+    return max_share;
 }
 
 bool has(const Checker& checker, Rule rule) {
@@ -49,7 +49,7 @@
     return std::any_of(found.begin(), found.end(), [&](const auto& violation) { return violation.rule == rule; });
 }
 
-const Got sound_answer{200, "a", true, true};
+const ReceivedResponse valid_response{200, "a", true, true};
 
 }   // namespace
 
@@ -86,32 +86,32 @@
 }
 
 TEST_CASE("a seed gives one plan, another seed another") {
-    CHECK(generate_plan(7, {}, length).faults == generate_plan(7, {}, length).faults);
-    CHECK(generate_plan(7, {}, length).faults != generate_plan(8, {}, length).faults);
+    CHECK(generate_plan(7, {}, run_length).faults == generate_plan(7, {}, run_length).faults);
+    CHECK(generate_plan(7, {}, run_length).faults != generate_plan(8, {}, run_length).faults);
 }
 
 TEST_CASE("every kind of fault is drawn, most overlap, and none outlasts the run") {
     std::vector<size_t> drawn(static_cast<size_t>(FaultKind::kinds));
     size_t faults = 0, overlapping = 0;
-    for (uint64_t seed = 1; seed <= many_seeds; ++seed) {
-        const auto plan = generate_plan(seed, {}, length);
+    for (uint64_t seed = 1; seed <= seed_count; ++seed) {
+        const auto plan = generate_plan(seed, {}, run_length);
         for (const auto& fault : plan.faults) {
             ++drawn[static_cast<size_t>(fault.kind)];
             ++faults;
             overlapping += std::any_of(plan.faults.begin(), plan.faults.end(),
                                        [&](const Fault& other) { return &other != &fault && overlap(fault, other); });
-            CHECK(fault.end() <= length);
+            CHECK(fault.end() <= run_length);
             CHECK(fault.duration > 0);
             CHECK(std::all_of(fault.machines.begin(), fault.machines.end(), [](size_t m) { return m < 8; }));
         }
     }
-    CHECK(*std::min_element(drawn.begin(), drawn.end()) > many_seeds / 10);
+    CHECK(*std::min_element(drawn.begin(), drawn.end()) > seed_count / 10);
     CHECK(overlapping > faults * 2 / 3);
 }
 
 TEST_CASE("a disk is lost only while the other control nodes are well and have caught up") {
-    for (uint64_t seed = 1; seed <= many_seeds; ++seed) {
-        const auto plan = generate_plan(seed, {}, length);
+    for (uint64_t seed = 1; seed <= seed_count; ++seed) {
+        const auto plan = generate_plan(seed, {}, run_length);
         for (const auto& wipe : plan.faults) {
             if (wipe.kind != FaultKind::wipe_control) continue;
             CHECK(wipe.machines.size() == 1);
@@ -125,10 +125,10 @@
 
 TEST_CASE("planned work is stops one after the other, that overlap, and reloads; the same for a seed") {
     constexpr FleetSize size{4, 8};
-    CHECK(generate_planned_work(7, size, length).faults == generate_planned_work(7, size, length).faults);
-    for (uint64_t seed = 1; seed <= many_seeds; ++seed) {
+    CHECK(generate_planned_work(7, size, run_length).faults == generate_planned_work(7, size, run_length).faults);
+    for (uint64_t seed = 1; seed <= seed_count; ++seed) {
         CAPTURE(seed);
-        const auto faults = generate_planned_work(seed, size, length).faults;
+        const auto faults = generate_planned_work(seed, size, run_length).faults;
         size_t proxies = 0, controls = 0, reloads = 0;
         for (const auto& fault : faults) {
             proxies += fault.kind == FaultKind::stop_proxies;
@@ -188,25 +188,25 @@
             const double from = chance.below(40) + 0.5;   // off the grid: at a moment itself either side would do
             limits.push_back({1.0 + chance.below(12), 4, from, from + chance.below(20)});
         }
-        const auto peak = peak_use(uses, limits, bounds);
-        CHECK(peak.share() == doctest::Approx(slow_peak_share(uses, limits, bounds, -20, 60)));
+        const auto peak = peak_usage(uses, limits, bounds);
+        CHECK(peak.share() == doctest::Approx(reference_peak_share(uses, limits, bounds, -20, 60)));
     }
 }
 
 TEST_CASE("what was sent before a window or runs after it does not count in it") {
     const QuotaBounds bounds{8, 0, 0};
     const std::vector<QuotaLimit> limits{{1, 0, 0, 1000}};
-    CHECK_FALSE(peak_use({{10, 19, 100}}, limits, bounds).broken());
-    CHECK(peak_use({{10, 18, 9}}, limits, bounds).broken());
-    CHECK_FALSE(peak_use({{10, 11, 8}, {19, 19, 8}}, limits, bounds).broken());
-    CHECK(peak_use({{10, 11, 5}, {18, 18, 4}}, limits, bounds).broken());
+    CHECK_FALSE(peak_usage({{10, 19, 100}}, limits, bounds).is_exceeded());
+    CHECK(peak_usage({{10, 18, 9}}, limits, bounds).is_exceeded());
+    CHECK_FALSE(peak_usage({{10, 11, 8}, {19, 19, 8}}, limits, bounds).is_exceeded());
+    CHECK(peak_usage({{10, 11, 5}, {18, 18, 4}}, limits, bounds).is_exceeded());
 }
 
 TEST_CASE("the higher limit holds until every proxy must have the lower one") {
     Checker checker({8, 0, 0});
     const auto play = [&](const std::string& id, double at, double cost) {
-        checker.sent({id, "t", cost, true}, at);
-        checker.ran(id, "t", at);
+        checker.request_sent({id, "t", cost, true}, at);
+        checker.request_ran(id, "t", at);
     };
     checker.configuration_sent(1, {{"t", {100, 0}}}, 0);
     checker.configuration_in_force(1, 2);
@@ -226,64 +226,64 @@
 }
 
 TEST_CASE("a configuration is in force once all has been calm since its acknowledgement") {
-    const std::vector<std::pair<double, double>> troubles{{4, 9}, {8, 10}, {20, 21}};
-    CHECK(calm_since(troubles, 5, 3, 100) == 13);
-    CHECK(calm_since(troubles, 14, 3, 100) == 14);
-    CHECK(calm_since(troubles, 21, 3, 100) == 24);
-    CHECK_FALSE(calm_since(troubles, 21, 3, 23));
+    const std::vector<std::pair<double, double>> disturbances{{4, 9}, {8, 10}, {20, 21}};
+    CHECK(stable_since(disturbances, 5, 3, 100) == 13);
+    CHECK(stable_since(disturbances, 14, 3, 100) == 14);
+    CHECK(stable_since(disturbances, 21, 3, 100) == 24);
+    CHECK_FALSE(stable_since(disturbances, 21, 3, 23));
 }
 
 TEST_CASE("requests are judged by what hosts have run and what clients have got") {
     Checker checker({8, 0, 1000});
     checker.configuration_sent(1, {{"t", {100, 0}}}, 0);
-    checker.sent({"a", "t", 10, false}, 1);
+    checker.request_sent({"a", "t", 10, false}, 1);
     SUBCASE("sound") {
-        checker.ran("a", "t", 1);
-        checker.got("a", sound_answer, 2);
+        checker.request_ran("a", "t", 1);
+        checker.response_received("a", valid_response, 2);
         checker.finish();
         CHECK(checker.violations().empty());
         CHECK(checker.served_share("t", 0, 2, 1) == 1);
     }
     SUBCASE("it runs twice") {
-        checker.ran("a", "t", 1), checker.ran("a", "t", 2);
+        checker.request_ran("a", "t", 1), checker.request_ran("a", "t", 2);
         CHECK(has(checker, Rule::twice));
     }
     SUBCASE("a request that may be repeated runs twice") {
-        checker.sent({"b", "t", 10, true}, 1);
-        checker.ran("b", "t", 1), checker.ran("b", "t", 2);
+        checker.request_sent({"b", "t", 10, true}, 1);
+        checker.request_ran("b", "t", 1), checker.request_ran("b", "t", 2);
         CHECK(checker.violations().empty());
     }
     SUBCASE("it is refused and runs") {
-        checker.got("a", {429, "", false, false}, 2);
-        checker.ran("a", "t", 3);
+        checker.response_received("a", {429, "", false, false}, 2);
+        checker.request_ran("a", "t", 3);
         checker.finish();
         CHECK(has(checker, Rule::refused));
     }
     SUBCASE("the answer is another request's") {
-        checker.ran("a", "t", 1);
-        checker.got("a", {200, "b", true, true}, 2);
+        checker.request_ran("a", "t", 1);
+        checker.response_received("a", {200, "b", true, true}, 2);
         CHECK(has(checker, Rule::mixed));
     }
     SUBCASE("the body is not whole") {
-        checker.ran("a", "t", 1);
-        checker.got("a", {200, "a", true, false}, 2);
+        checker.request_ran("a", "t", 1);
+        checker.response_received("a", {200, "a", true, false}, 2);
         CHECK(has(checker, Rule::mixed));
     }
     SUBCASE("no host has signed it") {
-        checker.ran("a", "t", 1);
-        checker.got("a", {200, "a", false, true}, 2);
+        checker.request_ran("a", "t", 1);
+        checker.response_received("a", {200, "a", false, true}, 2);
         CHECK(has(checker, Rule::mixed));
     }
     SUBCASE("no host has run it") {
-        checker.got("a", sound_answer, 2);
+        checker.response_received("a", valid_response, 2);
         CHECK(has(checker, Rule::mixed));
     }
     SUBCASE("it runs as another tenant's") {
-        checker.ran("a", "u", 1);
+        checker.request_ran("a", "u", 1);
         CHECK(has(checker, Rule::unasked));
     }
     SUBCASE("nobody has sent it") {
-        checker.ran("c", "t", 1);
+        checker.request_ran("c", "t", 1);
         CHECK(has(checker, Rule::unasked));
     }
 }
@@ -294,11 +294,11 @@
         for (const std::string how : {"answered", "cut", "unread", "unread and run"}) {
             CAPTURE(how);
             Checker checker({8, 0, 1000}, planned);
-            checker.sent({"a", "t", 10, true}, 1);
-            if (how != "unread") checker.ran("a", "t", 1);
-            if (how == "answered") checker.got("a", sound_answer, 2);
-            if (how == "cut") checker.cut("a", "with no answer", 2);
-            if (how.starts_with("unread")) checker.unread("a", 2);
+            checker.request_sent({"a", "t", 10, true}, 1);
+            if (how != "unread") checker.request_ran("a", "t", 1);
+            if (how == "answered") checker.response_received("a", valid_response, 2);
+            if (how == "cut") checker.response_cut("a", "with no answer", 2);
+            if (how.starts_with("unread")) checker.request_unread("a", 2);
             CHECK(has(checker, Rule::lost) == (planned && (how == "cut" || how == "unread and run")));
             CHECK(checker.cuts() == (how == "cut"));
             CHECK(checker.left_unread() == how.starts_with("unread"));
