--- a/src/demo/main.cpp
+++ b/src/demo/main.cpp
@@ -72,7 +72,7 @@
         tick();
         configure(0);
         context_.run();
-        fleet_.end();
+        fleet_.kill_all();
         return status_;
     }
 
@@ -91,7 +91,7 @@
         host.service = "model";
         host.zone = "zone-" + std::to_string(number % 2);
         host.streams = true;
-        host.at = {addresses_.host(number), host_port};
+        host.address = {addresses_.host(number), host_port};
         host.seed = number + 1;
         for (size_t machine = 0; machine < control_nodes; ++machine)
             host.controls.push_back(addresses_.control(machine));
@@ -164,7 +164,7 @@
         std::cout << "POST /stream/greeting: " << reply.status << ", by "
                   << field_of(reply.fields, "X-Server-Signature") << '\n'
                   << reply.body << std::flush;
-        if (reply.status != 200 || !is_whole_body(reply.body, request_id, true)) return fail("the answer is not whole");
+        if (reply.status != 200 || !is_complete_body(reply.body, request_id, true)) return fail("the answer is not whole");
         if (!stays_) return context_.stop();
         std::cout << "The fleet runs until Ctrl-C. Tenants have keys: Authorization: Token " << tenants().front().key
                   << std::endl;
--- a/src/soak/clients.cpp
+++ b/src/soak/clients.cpp
@@ -91,7 +91,7 @@
                       checker_.response_received(id,
                                                  {reply.status, field_of(reply.fields, "X-Request-Id"),
                                                   !field_of(reply.fields, "X-Server-Signature").empty(),
-                                                  is_whole_body(reply.body, id, streams)},
+                                                  is_complete_body(reply.body, id, streams)},
                                                  now_());
                   }};
     start_call(context_, std::move(call));
--- a/src/soak/fleet.cpp
+++ b/src/soak/fleet.cpp
@@ -17,10 +17,10 @@
 namespace myrtleroute::soak {
 namespace {
 
-constexpr double grace = 8;             // seconds from SIGTERM to SIGKILL
-constexpr double restart_after = 0.2;   // of a process that has ended
-constexpr double begins_after = 0.1;    // from its start: it is no copy of the soak any more
-constexpr size_t seeds = 3;
+constexpr double stop_grace = 8;        // seconds from SIGTERM to SIGKILL
+constexpr double restart_delay = 0.2;   // of a process that has ended
+constexpr double exec_delay = 0.1;      // from its start: it is no copy of the soak any more
+constexpr size_t max_seed_nodes = 3;
 constexpr size_t machine_group = 0, advertised_group = 1, host_group = 2;
 constexpr uint16_t lock_port = 7499;
 constexpr int first_block = 20, block_count = 200;
@@ -57,8 +57,8 @@
     return {this->machine(machine), static_cast<uint16_t>(role == Role::control ? 9101 : 9102)};
 }
 
-Fleet::Fleet(FleetOptions options, Addresses addresses, std::function<void(const std::string&)> own_end)
-    : options_(std::move(options)), addresses_(addresses), own_end_(std::move(own_end)) {
+Fleet::Fleet(FleetOptions options, Addresses addresses, std::function<void(const std::string&)> on_unexpected_exit)
+    : options_(std::move(options)), addresses_(addresses), on_unexpected_exit_(std::move(on_unexpected_exit)) {
     for (const auto role : {Role::control, Role::proxy}) {
         const size_t count = role == Role::control ? options_.size.controls : options_.size.proxies;
         for (size_t machine = 0; machine < count; ++machine) {
@@ -87,7 +87,7 @@
     std::string text = "nodeName=machine-" + std::to_string(process.machine) + "\nip=" + ip +
                        "\nadvertise.address=" + addresses_.advertised(process.machine) + "\nzone=zone-" +
                        std::to_string(process.machine % 2) + "\ninternalPorts=7500,7515\nseeds=";
-    for (size_t seed = 0; seed < std::min(seeds, options_.size.controls); ++seed)
+    for (size_t seed = 0; seed < std::min(max_seed_nodes, options_.size.controls); ++seed)
         text += (seed ? "," : "") + addresses_.control(seed).text();
     const auto metrics = addresses_.metrics(process.role, process.machine);
     text += "\nmetrics=" + std::to_string(metrics.port) + "/metrics\n";
@@ -119,8 +119,8 @@
 
 // A signal that comes before the program has got as far as to handle it would end the process, however long that takes on a
 // busy machine; a service manager waits for its word that it is ready.
-bool Fleet::hears(const Process& process, int signal, double now) {
-    if (!process.pid || now < process.started_at + begins_after) return false;
+bool Fleet::can_handle(const Process& process, int signal, double now) {
+    if (!process.pid || now < process.started_at + exec_delay) return false;
     std::ifstream file("/proc/" + std::to_string(process.pid) + "/status");
     const std::string status{std::istreambuf_iterator<char>(file), {}};
     return handles_signal(status, signal);
@@ -134,10 +134,10 @@
     start.variables = {{"MYRTLEROUTE_SETTINGS", file + ".conf"}};
     start.output = file + ".log";
     process.pid = std::max<pid_t>(0, rig::start(start));
-    process.told_to_end = false;
+    process.end_requested = false;
     process.kill_at = 0;
     process.started_at = now;
-    if (process.pid && process.pauses > 0) ::kill(process.pid, SIGSTOP);
+    if (process.pid && process.pause_count > 0) ::kill(process.pid, SIGSTOP);
 }
 
 void Fleet::start() {
@@ -149,7 +149,7 @@
     reap(now);
     for (auto& process : processes_) {
         if (process.pid && process.kill_at > 0 && now >= process.kill_at) ::kill(process.pid, SIGKILL);
-        if (!process.pid && now >= process.back_at) launch(process, now);
+        if (!process.pid && now >= process.restart_at) launch(process, now);
     }
 }
 
@@ -158,44 +158,44 @@
         const auto process =
             std::find_if(processes_.begin(), processes_.end(), [&](const auto& p) { return p.pid == ended.pid; });
         if (process == processes_.end()) continue;
-        const bool as_told = process->told_to_end && (ended.by_signal ? ended.code == SIGKILL : ended.code == 0);
-        if (!as_told)
-            own_end_(process->name + (ended.by_signal ? " was ended by signal " : " ended with status ") +
-                     std::to_string(ended.code));
+        const bool expected = process->end_requested && (ended.by_signal ? ended.code == SIGKILL : ended.code == 0);
+        if (!expected)
+            on_unexpected_exit_(process->name + (ended.by_signal ? " was ended by signal " : " ended with status ") +
+                                std::to_string(ended.code));
         process->pid = 0;
-        process->back_at = std::max(process->back_at, now + restart_after);
+        process->restart_at = std::max(process->restart_at, now + restart_delay);
     }
 }
 
-void Fleet::kill(Role role, size_t machine, double back_at) {
+void Fleet::kill(Role role, size_t machine, double restart_at) {
     auto& killed = process(role, machine);
-    killed.back_at = std::max(killed.back_at, back_at);
-    killed.told_to_end = true;
+    killed.restart_at = std::max(killed.restart_at, restart_at);
+    killed.end_requested = true;
     if (killed.pid) ::kill(killed.pid, SIGKILL);
 }
 
 void Fleet::stop(Role role, size_t machine, double now) {
     auto& stopped = process(role, machine);
-    if (!hears(stopped, SIGTERM, now) || stopped.told_to_end) return;
-    stopped.told_to_end = true;
-    stopped.kill_at = now + grace;
+    if (!can_handle(stopped, SIGTERM, now) || stopped.end_requested) return;
+    stopped.end_requested = true;
+    stopped.kill_at = now + stop_grace;
     ::kill(stopped.pid, SIGTERM);
 }
 
-void Fleet::pause(Role role, size_t machine, bool pauses) {
-    auto& paused = process(role, machine);
-    paused.pauses += pauses ? 1 : -1;
-    if (paused.pid) ::kill(paused.pid, paused.pauses > 0 ? SIGSTOP : SIGCONT);
+void Fleet::pause(Role role, size_t machine, bool paused) {
+    auto& target = process(role, machine);
+    target.pause_count += paused ? 1 : -1;
+    if (target.pid) ::kill(target.pid, target.pause_count > 0 ? SIGSTOP : SIGCONT);
 }
 
-void Fleet::hang_up(Role role, size_t machine, double now) {
-    const auto& told = process(role, machine);
-    if (hears(told, SIGHUP, now)) ::kill(told.pid, SIGHUP);
+void Fleet::reload(Role role, size_t machine, double now) {
+    const auto& reloaded = process(role, machine);
+    if (can_handle(reloaded, SIGHUP, now)) ::kill(reloaded.pid, SIGHUP);
 }
 
 // The disk is emptied once nothing writes to it any more.
-void Fleet::wipe(size_t machine, double back_at) {
-    kill(Role::control, machine, back_at);
+void Fleet::wipe(size_t machine, double restart_at) {
+    kill(Role::control, machine, restart_at);
     auto& wiped = process(Role::control, machine);
     if (wiped.pid) ::waitpid(wiped.pid, nullptr, 0);
     wiped.pid = 0;
@@ -204,7 +204,7 @@
     std::filesystem::create_directories(disk);
 }
 
-void Fleet::end() {
+void Fleet::kill_all() {
     for (auto& process : processes_) {
         if (!process.pid) continue;
         ::kill(process.pid, SIGKILL);
--- a/src/soak/fleet.hpp
+++ b/src/soak/fleet.hpp
@@ -64,42 +64,42 @@
 class Fleet {
 public:
     // `own_end`: a process has ended that nobody was to end.
-    Fleet(FleetOptions options, Addresses addresses, std::function<void(const std::string&)> own_end);
-    ~Fleet() { end(); }
+    Fleet(FleetOptions options, Addresses addresses, std::function<void(const std::string&)> on_unexpected_exit);
+    ~Fleet() { kill_all(); }
     Fleet(const Fleet&) = delete;
     Fleet& operator=(const Fleet&) = delete;
 
     void start();
     void tick(double now);   // reaps, and starts what is due; every few milliseconds
-    void end();              // kills every process and waits for it
+    void kill_all();         // kills every process and waits for it
 
-    void kill(Role role, size_t machine, double back_at);   // SIGKILL; started again at `back_at`
-    void stop(Role role, size_t machine, double now);       // SIGTERM, SIGKILL after the grace
-    void pause(Role role, size_t machine, bool pauses);
-    void hang_up(Role role, size_t machine, double now);   // SIGHUP: the settings file has changed
-    void wipe(size_t machine, double back_at);             // a control node and its disk
+    void kill(Role role, size_t machine, double restart_at);   // SIGKILL; started again at `back_at`
+    void stop(Role role, size_t machine, double now);          // SIGTERM, SIGKILL after the grace
+    void pause(Role role, size_t machine, bool paused);
+    void reload(Role role, size_t machine, double now);   // SIGHUP: the settings file has changed
+    void wipe(size_t machine, double restart_at);         // a control node and its disk
 
 private:
     struct Process {
         Role role = Role::control;
         size_t machine = 0;
-        pid_t pid = 0;              // 0: does not run
-        bool told_to_end = false;   // by a signal of the soak's
-        double back_at = 0;         // it does not start before
+        pid_t pid = 0;                // 0: does not run
+        bool end_requested = false;   // by a signal of the soak's
+        double restart_at = 0;        // it does not start before
         double started_at = 0;
         double kill_at = 0;   // where it was told to stop: the end of the grace
-        int pauses = 0;
+        int pause_count = 0;
         std::string name;
     };
     Process& process(Role role, size_t machine);
-    static bool hears(const Process& process, int signal, double now);
+    static bool can_handle(const Process& process, int signal, double now);
     void launch(Process& process, double now);
     void reap(double now);
     std::string settings(const Process& process) const;
 
     FleetOptions options_;
     Addresses addresses_;
-    std::function<void(const std::string&)> own_end_;
+    std::function<void(const std::string&)> on_unexpected_exit_;
     std::vector<Process> processes_;
     bool first_start_ = true;
 };
--- a/src/soak/hosts.cpp
+++ b/src/soak/hosts.cpp
@@ -14,13 +14,13 @@
 
 using asio::ip::tcp;
 
-constexpr double shortest_answer = 0.005, longest_answer = 0.06;   // seconds; for an event of a stream as well
-constexpr double longest_event = 1.25;                             // of a long stream
-constexpr std::string_view long_streams = "/long/";                // their path
-constexpr size_t most_request = 1 << 20;
-constexpr const char* ending = " end\n";
+constexpr double min_response_delay = 0.005, max_response_delay = 0.06;   // seconds; for an event of a stream as well
+constexpr double max_event_delay = 1.25;                                  // of a long stream
+constexpr std::string_view long_streams = "/long/";                       // their path
+constexpr size_t max_request_body = 1 << 20;
+constexpr const char* body_end = " end\n";
 
-std::string plain_body(const std::string& request_id) { return request_id + ending; }
+std::string plain_body(const std::string& request_id) { return request_id + body_end; }
 
 std::string event(const std::string& request_id, int number) {
     return "id: " + std::to_string(number) + "\ndata: " + request_id + "\n\n";
@@ -49,16 +49,16 @@
 
 wire::HttpLimits request_limits() {
     wire::HttpLimits limits;
-    limits.body = most_request;
+    limits.body = max_request_body;
     return limits;
 }
 
 }   // namespace
 
-bool is_whole_body(const std::string& body, const std::string& request_id, bool streams) {
+bool is_complete_body(const std::string& body, const std::string& request_id, bool streams) {
     if (!streams) return body == plain_body(request_id);
     std::string whole;
-    for (int number = 1; number <= events_of_stream; ++number) whole += event(request_id, number);
+    for (int number = 1; number <= events_per_stream; ++number) whole += event(request_id, number);
     return body == whole;
 }
 
@@ -75,12 +75,12 @@
         socket_.async_read_some(asio::buffer(buffer_), [self = shared_from_this()](asio::error_code error, size_t n) {
             if (error) return reset(self->socket_);
             self->unread_.append(self->buffer_.data(), n);
-            self->take();
+            self->process_input();
         });
     }
 
 private:
-    void take() {
+    void process_input() {
         unread_.erase(0, http_.feed(unread_));
         if (http_.fault()) return reset(socket_);
         if (!http_.done()) return read();
@@ -100,11 +100,11 @@
 
     void run() {
         request_id_ = field_of(reader_.fields, "X-Request-Id");
-        host_.events_.ran(request_id_, field_of(reader_.fields, "X-Tenant-Id"));
-        count_running(true);
+        host_.events_.request_started(request_id_, field_of(reader_.fields, "X-Tenant-Id"));
+        set_running(true);
         // A stream may go on at this host behind the last event that the client has.
-        event_ = wire::whole<int>(field_of(reader_.fields, "Last-Event-Id")).value_or(0);
-        after_a_while([this] {
+        last_event_ = wire::whole<int>(field_of(reader_.fields, "Last-Event-Id")).value_or(0);
+        after_random_delay([this] {
             if (host_.options_.streams) return begin_stream();
             finish([this] { answer(200, "", plain_body(request_id_)); });
         });
@@ -116,22 +116,23 @@
     }
 
     void next_event() {
-        if (event_ == events_of_stream) return finish([this] { write("0\r\n\r\n", [this] { take(); }); });
-        write(chunk(event(request_id_, ++event_)), [this] { after_a_while([this] { next_event(); }); });
+        if (last_event_ == events_per_stream)
+            return finish([this] { write("0\r\n\r\n", [this] { process_input(); }); });
+        write(chunk(event(request_id_, ++last_event_)), [this] { after_random_delay([this] { next_event(); }); });
     }
 
     // The work is done; unless the answer is lost it is sent.
     template <class Send>
     void finish(Send send) {
-        count_running(false);
-        if (host_.events_.loses_answer()) return reset(socket_);
+        set_running(false);
+        if (host_.events_.drops_response()) return reset(socket_);
         send();
     }
 
     template <class Then>
-    void after_a_while(Then then) {
+    void after_random_delay(Then then) {
         const bool is_long = reader_.target.starts_with(long_streams);
-        after(timer_, host_.chance_.between(shortest_answer, is_long ? longest_event : longest_answer),
+        after(timer_, host_.chance_.between(min_response_delay, is_long ? max_event_delay : max_response_delay),
               [self = shared_from_this(), then] { then(); });
     }
 
@@ -154,7 +155,7 @@
 
     void answer(int status, const std::string& more, const std::string& body) {
         write(head(status, more + "Content-Length: " + std::to_string(body.size()) + "\r\n") + body,
-              [this] { take(); });
+              [this] { process_input(); });
     }
 
     template <class Then>
@@ -163,13 +164,13 @@
         asio::async_write(socket_, asio::buffer(out_),
                           [self = shared_from_this(), then](asio::error_code error, size_t) {
                               if (!error) return then();
-                              self->count_running(false);   // the proxy has gone: a stream is given up
+                              self->set_running(false);   // the proxy has gone: a stream is given up
                               reset(self->socket_);
                           });
     }
 
-    void count_running(bool runs) {
-        if (std::exchange(runs_, runs) != runs) host_.running_ += runs ? 1 : -1;
+    void set_running(bool runs) {
+        if (std::exchange(counted_, runs) != runs) host_.running_ += runs ? 1 : -1;
     }
 
     Host& host_;
@@ -179,8 +180,8 @@
     wire::HttpMachine http_;
     std::array<char, 8192> buffer_{};
     std::string unread_, out_, request_id_;
-    int event_ = 0;       // that was sent last
-    bool runs_ = false;   // a request is worked on
+    int last_event_ = 0;     // that was sent last
+    bool counted_ = false;   // a request is worked on
 };
 
 Host::Host(asio::io_context& context, HostOptions options, HostEvents events)
@@ -188,10 +189,10 @@
       options_(std::move(options)),
       events_(std::move(events)),
       chance_(options_.seed, 0x686f7374),
-      acceptor_(context, address_of(options_.at)),
+      acceptor_(context, address_of(options_.address)),
       timer_(context) {
     accept();
-    beat();
+    send_heartbeats();
 }
 
 void Host::accept() {
@@ -206,23 +207,24 @@
     });
 }
 
-void Host::beat() {
-    tell(control_, options_.controls.size());
-    after(timer_, options_.heartbeat * chance_.between(0.9, 1.1), [this] { beat(); });
+void Host::send_heartbeats() {
+    send_heartbeat(control_, options_.controls.size());
+    after(timer_, options_.heartbeat * chance_.between(0.9, 1.1), [this] { send_heartbeats(); });
 }
 
 // A heartbeat; where it is not acknowledged, the next control node is told.
-void Host::tell(size_t control, size_t tries) {
-    const auto body = R"({"service":")" + options_.service + R"(","address":")" + options_.at.text() + R"(","zone":")" +
-                      options_.zone + R"(","version":"v1","state":"ready","coldRemainingMs":0,)" + R"("capacity":)" +
-                      std::to_string(options_.capacity) + R"(,"sequence":)" + std::to_string(++sequence_) + "}";
+void Host::send_heartbeat(size_t control, size_t tries) {
+    const auto body = R"({"service":")" + options_.service + R"(","address":")" + options_.address.text() +
+                      R"(","zone":")" + options_.zone + R"(","version":"v1","state":"ready","coldRemainingMs":0,)" +
+                      R"("capacity":)" + std::to_string(options_.capacity) + R"(,"sequence":)" +
+                      std::to_string(++sequence_) + "}";
     const auto& to = options_.controls[control];
     const auto text = request_text("PUT", "/instances/" + options_.id, to.text(),
                                    {{"Content-Type", "application/json"}, {"Connection", "close"}}, body);
     start_call(context_, {to, text, Span{1}, {}, [this, control, tries](const HttpReply& reply) {
                               control_ = control;
                               if (reply.status == 200 || tries <= 1) return;
-                              tell((control + 1) % options_.controls.size(), tries - 1);
+                              send_heartbeat((control + 1) % options_.controls.size(), tries - 1);
                           }});
 }
 
--- a/src/soak/hosts.hpp
+++ b/src/soak/hosts.hpp
@@ -14,8 +14,9 @@
 
 // What a host calls and asks for.
 struct HostEvents {
-    std::function<void(const std::string& request_id, const std::string& tenant)> ran;   // it begins work on a request
-    std::function<bool()> loses_answer;   // the answer that it has just made is lost by a reset
+    std::function<void(const std::string& request_id, const std::string& tenant)>
+        request_started;                    // it begins work on a request
+    std::function<bool()> drops_response;   // the answer that it has just made is lost by a reset
 };
 
 struct HostOptions {
@@ -24,15 +25,15 @@
     bool streams = false;     // it answers by events, else by one body
     int capacity = 64;        // requests at once
     double heartbeat = 1.2;   // seconds between heartbeats
-    Endpoint at;
+    Endpoint address;
     std::vector<Endpoint> controls;   // who takes heartbeats
     uint64_t seed = 1;                // of how long answers take
 };
 
 // The number of events of the stream that answers a request; its body says it as well.
-constexpr int events_of_stream = 5;
+constexpr int events_per_stream = 5;
 // Whether the body is all that a host sends for the request.
-bool is_whole_body(const std::string& body, const std::string& request_id, bool streams);
+bool is_complete_body(const std::string& body, const std::string& request_id, bool streams);
 
 class Host {
 public:
@@ -42,8 +43,8 @@
 private:
     class Connection;
     void accept();
-    void beat();
-    void tell(size_t control, size_t tries);
+    void send_heartbeats();
+    void send_heartbeat(size_t control, size_t tries);
 
     asio::io_context& context_;
     HostOptions options_;
--- a/src/soak/http_call.cpp
+++ b/src/soak/http_call.cpp
@@ -11,11 +11,11 @@
 
 using asio::ip::tcp;
 
-constexpr size_t most_answer = 32 << 20;
+constexpr size_t max_response_body = 32 << 20;
 
-wire::HttpLimits answer_limits() {
+wire::HttpLimits response_limits() {
     wire::HttpLimits limits;
-    limits.body = most_answer;
+    limits.body = max_response_body;
     return limits;
 }
 
@@ -25,41 +25,41 @@
         : call_(std::move(call)),
           socket_(context),
           timer_(context),
-          http_(wire::HttpMachine::Side::answer, reader_, answer_limits()) {}
+          http_(wire::HttpMachine::Side::answer, reader_, response_limits()) {}
 
     void start() {
-        after(timer_, call_.patience.s, [self = shared_from_this()] { self->end({}); });
+        after(timer_, call_.timeout.s, [self = shared_from_this()] { self->finish({}); });
         socket_.async_connect(address_of(call_.to), [self = shared_from_this()](asio::error_code error) {
-            error ? self->end({}) : self->write();
+            error ? self->finish({}) : self->write();
         });
     }
 
 private:
     void write() {
-        if (over_) return;
+        if (finished_) return;
         if (call_.on_sending) call_.on_sending();
         asio::async_write(
             socket_, asio::buffer(call_.text),
-            [self = shared_from_this()](asio::error_code error, size_t) { error ? self->end({}) : self->read(); });
+            [self = shared_from_this()](asio::error_code error, size_t) { error ? self->finish({}) : self->read(); });
     }
 
     void read() {
         socket_.async_read_some(asio::buffer(buffer_), [self = shared_from_this()](asio::error_code error, size_t n) {
-            self->came(error, {self->buffer_.data(), n});
+            self->on_read(error, {self->buffer_.data(), n});
         });
     }
 
-    void came(asio::error_code error, std::string_view bytes) {
-        if (over_) return;
+    void on_read(asio::error_code error, std::string_view bytes) {
+        if (finished_) return;
         http_.feed(bytes);
         if (error == asio::error::eof) http_.closed();
-        if (http_.done() && !http_.fault()) return end(std::move(reader_.reply));
-        if (error || http_.fault()) return end({});
+        if (http_.done() && !http_.fault()) return finish(std::move(reader_.reply));
+        if (error || http_.fault()) return finish({});
         read();
     }
 
-    void end(HttpReply reply) {
-        if (std::exchange(over_, true)) return;
+    void finish(HttpReply reply) {
+        if (std::exchange(finished_, true)) return;
         asio::error_code ignored;
         socket_.close(ignored);
         timer_.cancel();
@@ -72,7 +72,7 @@
     ReplyReader reader_;
     wire::HttpMachine http_;
     std::array<char, 16384> buffer_{};
-    bool over_ = false;
+    bool finished_ = false;
 };
 
 }   // namespace
--- a/src/soak/http_call.hpp
+++ b/src/soak/http_call.hpp
@@ -36,7 +36,7 @@
 struct HttpCall {
     Endpoint to;
     std::string text;                      // the request as it goes over the wire
-    Span patience{1};                      // from the connect to the end of the answer
+    Span timeout{1};                       // from the connect to the end of the answer
     std::function<void()> on_sending;      // the connection is up, the first byte is about to go; may be empty
     std::function<void(HttpReply)> done;   // called once
 };
--- a/src/soak/kept_clients.cpp
+++ b/src/soak/kept_clients.cpp
@@ -96,11 +96,11 @@
 
     void answered() {
         const auto& reply = reader_.reply;
-        checker_.response_received(
-            request_.id,
-            {reply.status, field_of(reply.fields, "X-Request-Id"),
-             !field_of(reply.fields, "X-Server-Signature").empty(), is_whole_body(reply.body, request_.id, streams_)},
-            now_());
+        checker_.response_received(request_.id,
+                                   {reply.status, field_of(reply.fields, "X-Request-Id"),
+                                    !field_of(reply.fields, "X-Server-Signature").empty(),
+                                    is_complete_body(reply.body, request_.id, streams_)},
+                                   now_());
         if (!http_.keeps()) return connect_again();
         after(timer_, chance_.exponential(mean_pause), [this] { send(); });
     }
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -120,7 +120,7 @@
             host.service = service;
             host.zone = "zone-" + std::to_string(i % 2);
             host.streams = host.service == "model";
-            host.at = {addresses_.host(number), host_port};
+            host.address = {addresses_.host(number), host_port};
             host.seed = options_.seed * 100 + number;
             for (size_t c = 0; c < options_.size.controls; ++c) host.controls.push_back(addresses_.control(c));
             hosts_.push_back(std::make_unique<Host>(
@@ -174,7 +174,7 @@
     tick();
     read_counters();
     context_.run();
-    fleet_.end();
+    fleet_.kill_all();
     return outcome();
 }
 
@@ -240,20 +240,20 @@
 }
 
 void Soak::strike(const Fault& fault, size_t machine) {
-    const double back_at = faults_at_ + fault.end();
+    const double restart_at = faults_at_ + fault.end();
     switch (fault.kind) {
         case FaultKind::kill_proxies:
-        case FaultKind::kill_every_proxy: return fleet_.kill(Role::proxy, machine, back_at);
+        case FaultKind::kill_every_proxy: return fleet_.kill(Role::proxy, machine, restart_at);
         case FaultKind::kill_controls:
-        case FaultKind::kill_every_control: return fleet_.kill(Role::control, machine, back_at);
+        case FaultKind::kill_every_control: return fleet_.kill(Role::control, machine, restart_at);
         case FaultKind::pause_proxies: return fleet_.pause(Role::proxy, machine, true);
         case FaultKind::pause_controls: return fleet_.pause(Role::control, machine, true);
         case FaultKind::stop_proxies: return fleet_.stop(Role::proxy, machine, now());
         case FaultKind::stop_controls: return fleet_.stop(Role::control, machine, now());
-        case FaultKind::wipe_control: return fleet_.wipe(machine, back_at);
+        case FaultKind::wipe_control: return fleet_.wipe(machine, restart_at);
         case FaultKind::hang_up_every_process:
-            if (machine < options_.size.controls) fleet_.hang_up(Role::control, machine, now());
-            return fleet_.hang_up(Role::proxy, machine, now());
+            if (machine < options_.size.controls) fleet_.reload(Role::control, machine, now());
+            return fleet_.reload(Role::proxy, machine, now());
         default: return;   // cuts and lost answers are asked for by those that carry bytes
     }
 }
--- a/tests/system/soak_test.cpp
+++ b/tests/system/soak_test.cpp
@@ -328,14 +328,14 @@
 }
 
 TEST_CASE("a body is a host's only if it is whole and of the request") {
-    CHECK(is_whole_body("r end\n", "r", false));
-    CHECK_FALSE(is_whole_body("r en", "r", false));
+    CHECK(is_complete_body("r end\n", "r", false));
+    CHECK_FALSE(is_complete_body("r en", "r", false));
     std::string events;
-    for (int number = 1; number <= events_of_stream; ++number) {
-        CHECK_FALSE(is_whole_body(events, "r", true));
+    for (int number = 1; number <= events_per_stream; ++number) {
+        CHECK_FALSE(is_complete_body(events, "r", true));
         events += "id: " + std::to_string(number) + "\ndata: r\n\n";
     }
-    CHECK(is_whole_body(events, "r", true));
-    CHECK_FALSE(is_whole_body(events, "s", true));
-    CHECK_FALSE(is_whole_body(events + events, "r", true));
+    CHECK(is_complete_body(events, "r", true));
+    CHECK_FALSE(is_complete_body(events, "s", true));
+    CHECK_FALSE(is_complete_body(events + events, "r", true));
 }
