--- a/src/soak/clients.cpp
+++ b/src/soak/clients.cpp
@@ -9,15 +9,15 @@
 namespace myrtleroute::soak {
 namespace {
 
-constexpr double least_prompt = 200, mean_prompt = 1000;   // tokens; a prompt is longer than the least by a random part
-constexpr double least_output = 20, most_output = 200;
-constexpr double mean_cost = least_prompt + mean_prompt + (least_output + most_output) / 2;
-constexpr double jumps[] = {0.3, 1, 4, 8};                // times the rate
-constexpr double shortest_phase = 4, longest_phase = 8;   // seconds between jumps
-constexpr Span client_patience{4};
+constexpr double min_prompt = 200, mean_prompt = 1000;   // tokens; a prompt is longer than the least by a random part
+constexpr double min_output = 20, max_output = 200;
+constexpr double mean_cost = min_prompt + mean_prompt + (min_output + max_output) / 2;
+constexpr double demand_factors[] = {0.3, 1, 4, 8};   // times the rate
+constexpr double min_phase = 4, max_phase = 8;        // seconds between jumps
+constexpr Span client_timeout{4};
 constexpr int deadline_ms = 3000;
 
-const RouteUse& pick_route(double share) {
+const ClientRoute& pick_route(double share) {
     for (const auto& route : routes) {
         if (share < route.weight) return route;
         share -= route.weight;
@@ -54,9 +54,9 @@
 }
 
 void Clients::next_request(Caller& caller) {
-    if (caller.tenant->jumps && now_() >= caller.drawn_until) {
-        caller.demand = jumps[chance_.below(static_cast<int>(std::size(jumps)))];
-        caller.drawn_until = now_() + chance_.between(shortest_phase, longest_phase);
+    if (caller.tenant->varying_demand && now_() >= caller.demand_until) {
+        caller.demand = demand_factors[chance_.below(static_cast<int>(std::size(demand_factors)))];
+        caller.demand_until = now_() + chance_.between(min_phase, max_phase);
     }
     const double per_second = caller.demand * caller.tenant->limit.rate / mean_cost;
     after(caller.timer, chance_.exponential(1 / per_second), [this, &caller] {
@@ -68,8 +68,8 @@
 void Clients::send(const Tenant& tenant) {
     const auto& route = pick_route(chance_.uniform());
     const auto id = new_request_id(chance_);
-    const auto prompt = static_cast<int>(least_prompt + chance_.exponential(mean_prompt));
-    const auto output = static_cast<int>(chance_.between(least_output, most_output));
+    const auto prompt = static_cast<int>(min_prompt + chance_.exponential(mean_prompt));
+    const auto output = static_cast<int>(chance_.between(min_output, max_output));
     const auto proxy = platform_.pick_proxy();
     const auto& to = platform_.front(proxy);
     const Fields fields{{"X-Request-Id", id},
@@ -81,7 +81,7 @@
                         {"Connection", "close"}};
     const SentRequest sent{id, tenant.name, static_cast<double>(prompt + output), route.repeatable, proxy};
     auto was_sent = std::make_shared<bool>(false);
-    HttpCall call{to, request_text("POST", std::string(route.path) + "x", route_host, fields, "{}"), client_patience,
+    HttpCall call{to, request_text("POST", std::string(route.path) + "x", route_host, fields, "{}"), client_timeout,
                   [this, sent, was_sent] {
                       *was_sent = true;
                       checker_.request_sent(sent, now_());
--- a/src/soak/clients.hpp
+++ b/src/soak/clients.hpp
@@ -16,10 +16,10 @@
 
 struct Tenant {
     std::string name, key;
-    TenantLimit limit;          // at first
-    double demand = 1;          // times its first rate
-    bool jumps = false;         // its demand is drawn anew every few seconds
-    bool limit_moves = false;   // the operator changes its limit
+    TenantLimit limit;             // at first
+    double demand = 1;             // times its first rate
+    bool varying_demand = false;   // its demand is drawn anew every few seconds
+    bool varying_limit = false;    // the operator changes its limit
 };
 
 // One that stays below its quota, and others that don't.
@@ -31,17 +31,17 @@
 constexpr const char* kept_key = "key-kept";
 
 // A route as clients use it and the operator configures it.
-struct RouteUse {
+struct ClientRoute {
     const char* path;
     const char* kind;
     const char* service;
     bool repeatable, streams;
     double weight;
 };
-constexpr RouteUse routes[] = {{"/plain/", "idempotent", "plain", true, false, 0.3},
-                               {"/once/", "non_idempotent", "plain", false, false, 0.3},
-                               {"/stream/", "streaming", "model", false, true, 0.4},
-                               {"/long/", "streaming", "model", true, true, 0}};   // of `KeptClients` only
+constexpr ClientRoute routes[] = {{"/plain/", "idempotent", "plain", true, false, 0.3},
+                                  {"/once/", "non_idempotent", "plain", false, false, 0.3},
+                                  {"/stream/", "streaming", "model", false, true, 0.4},
+                                  {"/long/", "streaming", "model", true, true, 0}};   // of `KeptClients` only
 constexpr const char* route_host = "soak.example";
 
 std::string new_request_id(lab::Chance& chance);
@@ -56,7 +56,7 @@
     struct Caller {
         const Tenant* tenant;
         double demand;
-        double drawn_until = 0;
+        double demand_until = 0;
         asio::steady_timer timer;
     };
     void next_request(Caller& caller);
--- a/src/soak/kept_clients.cpp
+++ b/src/soak/kept_clients.cpp
@@ -13,15 +13,15 @@
 
 using asio::ip::tcp;
 
-constexpr double mean_pause = 0.1;         // seconds between an answer and the next request
-constexpr double reconnect_after = 0.05;   // seconds
-constexpr double patience = 14;            // seconds for an answer
-constexpr double looked_at_after = 1.5;    // seconds behind an end without an answer: a reset has come by then
+constexpr double mean_request_pause = 0.1;   // seconds between an answer and the next request
+constexpr double reconnect_delay = 0.05;     // seconds
+constexpr double response_timeout = 14;      // seconds for an answer
+constexpr double reset_check_delay = 1.5;    // seconds behind an end without an answer: a reset has come by then
 constexpr int deadline_ms = 12000;
 constexpr int cost = 10;   // tokens
-constexpr RouteUse asked_for[] = {{"/plain/", "idempotent", "plain", true, false, 0.3},
-                                  {"/once/", "non_idempotent", "plain", false, false, 0.2},
-                                  {"/long/", "streaming", "model", true, true, 0.5}};
+constexpr ClientRoute kept_routes[] = {{"/plain/", "idempotent", "plain", true, false, 0.3},
+                                       {"/once/", "non_idempotent", "plain", false, false, 0.2},
+                                       {"/long/", "streaming", "model", true, true, 0.5}};
 
 }   // namespace
 
@@ -40,22 +40,22 @@
     void connect() {
         proxy_ = platform_.pick_proxy();
         socket_.async_connect(address_of(platform_.front(proxy_)), [this](asio::error_code error) {
-            if (error) return connect_again();
+            if (error) return reconnect();
             socket_.set_option(tcp::no_delay(true));
             send();
         });
     }
 
 private:
-    void connect_again() {
+    void reconnect() {
         asio::error_code ignored;
         socket_.close(ignored);
         http_.next();
-        after(timer_, reconnect_after + chance_.exponential(mean_pause), [this] { connect(); });
+        after(timer_, reconnect_delay + chance_.exponential(mean_request_pause), [this] { connect(); });
     }
 
     void send() {
-        const auto& route = pick();
+        const auto& route = pick_route();
         request_ = {new_request_id(chance_), kept_tenant, cost, route.repeatable, proxy_};
         streams_ = route.streams;
         const Fields fields{{"X-Request-Id", request_.id},
@@ -66,47 +66,47 @@
         http_.next();
         reader_ = {};
         checker_.request_sent(request_, now_());
-        after(timer_, patience, [this] { timed_out(); });
+        after(timer_, response_timeout, [this] { timed_out(); });
         asio::async_write(socket_, asio::buffer(text_), [this](asio::error_code error, size_t) {
             if (error) return unread();
             read();
         });
     }
 
-    const RouteUse& pick() {
+    const ClientRoute& pick_route() {
         double share = chance_.uniform();
-        for (const auto& route : asked_for) {
+        for (const auto& route : kept_routes) {
             if (share < route.weight) return route;
             share -= route.weight;
         }
-        return asked_for[0];
+        return kept_routes[0];
     }
 
     void read() {
         socket_.async_read_some(asio::buffer(buffer_), [this](asio::error_code error, size_t n) {
             if (error == asio::error::operation_aborted) return;
             http_.feed({buffer_.data(), n});
-            if (http_.done() && !http_.fault()) return answered();
+            if (http_.done() && !http_.fault()) return response_received();
             if (!error && !http_.fault()) return read();
             if (http_.begun()) return cut("in the middle of the answer");
             if (error != asio::error::eof) return unread();
-            after(timer_, looked_at_after, [this] { look_at_end(); });
+            after(timer_, reset_check_delay, [this] { check_for_reset(); });
         });
     }
 
-    void answered() {
+    void response_received() {
         const auto& reply = reader_.reply;
         checker_.response_received(request_.id,
                                    {reply.status, field_of(reply.fields, "X-Request-Id"),
                                     !field_of(reply.fields, "X-Server-Signature").empty(),
                                     is_complete_body(reply.body, request_.id, streams_)},
                                    now_());
-        if (!http_.keeps()) return connect_again();
-        after(timer_, chance_.exponential(mean_pause), [this] { send(); });
+        if (!http_.keeps()) return reconnect();
+        after(timer_, chance_.exponential(mean_request_pause), [this] { send(); });
     }
 
     // A reset that has come since makes the write fail.
-    void look_at_end() {
+    void check_for_reset() {
         asio::error_code error;
         socket_.write_some(asio::buffer("\n", 1), error);
         if (error) return unread();
@@ -117,13 +117,13 @@
 
     void cut(const char* how) {
         checker_.response_cut(request_.id, how, now_());
-        connect_again();
+        reconnect();
     }
 
     // The proxy has not read it: nothing was promised.
     void unread() {
         checker_.request_unread(request_.id, now_());
-        connect_again();
+        reconnect();
     }
 
     Checker& checker_;
--- a/src/soak/operator.cpp
+++ b/src/soak/operator.cpp
@@ -10,19 +10,19 @@
 namespace myrtleroute::soak {
 namespace {
 
-constexpr Span patience{1.5};               // for an answer
-constexpr double pause = 0.2;               // seconds before an order is sent again
-constexpr double soonest = 2, latest = 6;   // seconds between changes
-constexpr double soonest_in_series = 0.05, latest_in_series = 0.6;
-constexpr double least_factor = 0.4, most_factor = 2;   // of a limit that is moved, times the first one
-constexpr int most_redirects = 2;
+constexpr Span request_timeout{1.5};                                 // for an answer
+constexpr double retry_delay = 0.2;                                  // seconds before an order is sent again
+constexpr double min_change_interval = 2, max_change_interval = 6;   // seconds between changes
+constexpr double min_fast_interval = 0.05, max_fast_interval = 0.6;
+constexpr double min_factor = 0.4, max_factor = 2;   // of a limit that is moved, times the first one
+constexpr int max_redirects = 2;
 constexpr int timeout_ms = 3000, long_timeout_ms = 12000;   // of routes
-constexpr uint64_t most_version_step = 3;
+constexpr uint64_t max_version_step = 3;
 constexpr double patch_share = 0.5;   // of the orders that change limits alone
 
 std::string number(double value) { return std::to_string(static_cast<int64_t>(value)); }
 
-std::string route_json(const RouteUse& route) {
+std::string route_json(const ClientRoute& route) {
     const bool is_long = route.streams && route.repeatable;
     return R"({"name":"r","hostname":")" + std::string(route_host) + R"(","pathPrefix":")" + route.path +
            R"(","kind":")" + route.kind + R"(","service":")" + route.service + R"(","timeoutMs":)" +
@@ -85,36 +85,37 @@
     for (const auto& tenant : tenants()) limits_[tenant.name] = tenant.limit;
 }
 
-size_t Operator::another_control() { return static_cast<size_t>(chance_.below(static_cast<int>(controls_.size()))); }
+size_t Operator::random_control() { return static_cast<size_t>(chance_.below(static_cast<int>(controls_.size()))); }
 
 void Operator::start() {
-    if (stops_) return;
+    if (stopped_) return;
     for (const auto& tenant : tenants()) {
-        const double factor = chance_.between(least_factor, most_factor);
-        if (tenant.limit_moves && version_)
+        const double factor = chance_.between(min_factor, max_factor);
+        if (tenant.varying_limit && version_)
             limits_[tenant.name] = {std::floor(tenant.limit.rate * factor), std::floor(tenant.limit.burst * factor)};
     }
-    version_ += 1 + static_cast<uint64_t>(chance_.below(static_cast<int>(most_version_step)));
-    draw_order();
+    version_ += 1 + static_cast<uint64_t>(chance_.below(static_cast<int>(max_version_step)));
+    prepare_change();
     checker_.configuration_sent(version_, limits_, now_());
-    events_.note("configuration " + std::to_string(version_) + " is sent");
+    events_.log_event("configuration " + std::to_string(version_) + " is sent");
     send_again();
 }
 
-void Operator::draw_order() {
+void Operator::prepare_change() {
     const bool all_parts = pace_ == Pace::storm;
     bodies_[version_] = configuration_text(version_, limits_, all_parts);
     const bool patches = acknowledged_ > 0 && !all_parts && chance_.yes(patch_share);
     method_ = patches ? "PATCH" : "PUT";
-    order_ = patches ? patch_text(version_, limits_) : bodies_[version_];
+    request_body_ = patches ? patch_text(version_, limits_) : bodies_[version_];
 }
 
 void Operator::send(size_t control, int redirects) {
     const auto& to = controls_[control];
-    const auto text = request_text(method_, "/config", to.text(),
-                                   {{"If-Match", std::to_string(acknowledged_)}, {"Connection", "close"}}, order_);
-    start_call(context_, {to, text, patience, {}, [this, redirects](const HttpReply& reply) {
-                              answered(reply, redirects);
+    const auto text =
+        request_text(method_, "/config", to.text(),
+                     {{"If-Match", std::to_string(acknowledged_)}, {"Connection", "close"}}, request_body_);
+    start_call(context_, {to, text, request_timeout, {}, [this, redirects](const HttpReply& reply) {
+                              handle_response(reply, redirects);
                           }});
 }
 
@@ -127,10 +128,9 @@
     return {};
 }
 
-void Operator::answered(const HttpReply& reply, int redirects) {
+void Operator::handle_response(const HttpReply& reply, int redirects) {
     if (reply.status == 200) return acknowledged();
-    if (const auto leader = redirected(reply); leader && redirects < most_redirects)
-        return send(*leader, redirects + 1);
+    if (const auto leader = redirected(reply); leader && redirects < max_redirects) return send(*leader, redirects + 1);
     const bool refused = reply.status >= 400 && reply.status < 500 && reply.status != 408 && reply.status != 429;
     if (refused) {
         checker_.report(Rule::configuration, now_(),
@@ -138,13 +138,13 @@
                             " was refused: " + std::to_string(reply.status) + " " + reply.body);
         return;
     }
-    after(timer_, pause, [this] { send_again(); });
+    after(timer_, retry_delay, [this] { send_again(); });
 }
 
-double Operator::pause_between() {
+double Operator::change_interval() {
     switch (pace_) {
-        case Pace::calm: return chance_.between(soonest, latest);
-        case Pace::series: return chance_.between(soonest_in_series, latest_in_series);
+        case Pace::slow: return chance_.between(min_change_interval, max_change_interval);
+        case Pace::fast: return chance_.between(min_fast_interval, max_fast_interval);
         case Pace::storm: return 0;
     }
     return 0;
@@ -152,13 +152,13 @@
 
 void Operator::acknowledged() {
     acknowledged_ = version_;
-    events_.note("configuration " + std::to_string(version_) + " is acknowledged");
+    events_.log_event("configuration " + std::to_string(version_) + " is acknowledged");
     events_.acknowledged(version_);
-    after(timer_, pause_between(), [this] { start(); });
+    after(timer_, change_interval(), [this] { start(); });
 }
 
 void Operator::read_back(std::function<void()> done) {
-    stops_ = true;
+    stopped_ = true;
     read_done_ = std::move(done);
     timer_.cancel();
     read_again();
@@ -167,16 +167,16 @@
 void Operator::read(size_t control, int redirects) {
     const auto& to = controls_[control];
     const auto text = request_text("GET", "/config", to.text(), {{"Connection", "close"}}, "");
-    start_call(context_, {to, text, patience, {}, [this, redirects](const HttpReply& reply) {
+    start_call(context_, {to, text, request_timeout, {}, [this, redirects](const HttpReply& reply) {
                               const auto leader = redirected(reply);
-                              if (leader && redirects < most_redirects) return read(*leader, redirects + 1);
-                              if (reply.status == 200) return judge_reading(reply);
-                              after(timer_, pause, [this] { read_again(); });
+                              if (leader && redirects < max_redirects) return read(*leader, redirects + 1);
+                              if (reply.status == 200) return check_reading(reply);
+                              after(timer_, retry_delay, [this] { read_again(); });
                           }});
 }
 
 // What is read must be what was acknowledged last, or what was sent after it.
-void Operator::judge_reading(const HttpReply& reply) {
+void Operator::check_reading(const HttpReply& reply) {
     const auto document = nlohmann::json::parse(reply.body, nullptr, false);
     const auto read = std::find_if(bodies_.begin(), bodies_.end(),
                                    [&](const auto& known) { return nlohmann::json::parse(known.second) == document; });
--- a/src/soak/operator.hpp
+++ b/src/soak/operator.hpp
@@ -24,15 +24,15 @@
 // What the operator tells of its orders.
 struct OperatorEvents {
     std::function<void(uint64_t version)> acknowledged;
-    std::function<void(const std::string& text)> note;   // for the timeline
+    std::function<void(const std::string& text)> log_event;   // for the timeline
 };
 
 class Operator {
 public:
     // Changes every few seconds; several a second; one as soon as the last is acknowledged, in all parts.
-    enum class Pace { calm, series, storm };
+    enum class Pace { slow, fast, storm };
     Operator(asio::io_context& context, Checker& checker, std::vector<Endpoint> controls, uint64_t seed,
-             std::function<double()> now, OperatorEvents events, Pace pace = Pace::calm);
+             std::function<double()> now, OperatorEvents events, Pace pace = Pace::slow);
 
     void start();   // sends the first configuration, and later ones that move limits
     // Reads until an answer comes, and judges it. `done` is called once.
@@ -40,16 +40,16 @@
 
 private:
     void send(size_t control, int redirects);
-    void answered(const HttpReply& reply, int redirects);
-    void draw_order();   // the next version, whole or as a change of the one before
+    void handle_response(const HttpReply& reply, int redirects);
+    void prepare_change();   // the next version, whole or as a change of the one before
     void acknowledged();
-    double pause_between();   // changes, in seconds
+    double change_interval();   // changes, in seconds
     void read(size_t control, int redirects);
-    void judge_reading(const HttpReply& reply);
-    size_t another_control();
+    void check_reading(const HttpReply& reply);
+    size_t random_control();
     std::optional<size_t> redirected(const HttpReply& reply) const;
-    void send_again() { send(another_control(), 0); }
-    void read_again() { read(another_control(), 0); }
+    void send_again() { send(random_control(), 0); }
+    void read_again() { read(random_control(), 0); }
 
     asio::io_context& context_;
     Checker& checker_;
@@ -62,8 +62,8 @@
     Limits limits_;
     uint64_t version_ = 0, acknowledged_ = 0;   // sent and acknowledged last
     std::map<uint64_t, std::string> bodies_;    // whole, by version
-    std::string method_, order_;                // as the order that is sent goes over the wire
-    bool stops_ = false;                        // no further change
+    std::string method_, request_body_;         // as the order that is sent goes over the wire
+    bool stopped_ = false;                      // no further change
     std::function<void()> read_done_;
 };
 
--- a/src/soak/platform.hpp
+++ b/src/soak/platform.hpp
@@ -21,15 +21,15 @@
 
     // The proxy that a new connection goes to: by the weights of those that are in; of all, should none be.
     size_t pick_proxy();
-    const Endpoint& front(size_t proxy) const { return proxies_[proxy].at.front; }
+    const Endpoint& front(size_t proxy) const { return proxies_[proxy].addresses.front; }
 
 private:
     struct Proxy {
-        ProxyAddresses at;
-        double weight = 1;   // share of the clients whose home it is
-        int misses = 2;      // of /ready in a row; from two on it gets no clients
+        ProxyAddresses addresses;
+        double weight = 1;       // share of the clients whose home it is
+        int failed_checks = 2;   // of /ready in a row; from two on it gets no clients
     };
-    void ask_ready();
+    void check_readiness();
 
     asio::io_context& context_;
     lab::Chance chance_;
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -44,7 +44,7 @@
       start_(std::chrono::steady_clock::now()),
       fleet_(fleet_options(options_), addresses_,
              [this](const std::string& text) {
-                 note(text);
+                 log_event(text);
                  checker_.report(Rule::own_end, now(), text);
              }),
       timer_(context_),
@@ -69,16 +69,16 @@
         context_, checker_, std::move(controls), options_.seed, clock,
         OperatorEvents{[this](uint64_t version) { acknowledged_.emplace_back(version, now()); },
                        [this](const std::string& text) {
-                           note(text);
+                           log_event(text);
                        }},
         options_.storm     ? Operator::Pace::storm
-        : options_.planned ? Operator::Pace::series
-                           : Operator::Pace::calm);
+        : options_.planned ? Operator::Pace::fast
+                           : Operator::Pace::slow);
 }
 
 double Soak::now() const { return std::chrono::duration<double>(std::chrono::steady_clock::now() - start_).count(); }
 
-void Soak::note(const std::string& text) {
+void Soak::log_event(const std::string& text) {
     std::ostringstream line;
     line << std::fixed << std::setprecision(3) << std::setw(8) << now() << "  " << text << '\n';
     timeline_ += line.str();
@@ -164,7 +164,7 @@
         interrupted_ = true;
         context_.stop();
     });
-    note("starts");
+    log_event("starts");
     fleet_.start();
     operator_->start();
     platform_->start();
@@ -181,7 +181,8 @@
 void Soak::tick() {
     const double moment = now();
     latest_tick_ = std::max(latest_tick_, moment - ticked_);
-    if (moment - ticked_ > worth_noting) note("the soak itself was late by " + std::to_string(moment - ticked_) + " s");
+    if (moment - ticked_ > worth_noting)
+        log_event("the soak itself was late by " + std::to_string(moment - ticked_) + " s");
     ticked_ = moment;
     fleet_.tick(moment);
     proceed();
@@ -199,7 +200,7 @@
     const auto enter = [&](Phase phase, const char* text) {
         phase_ = phase;
         phase_since_ = now();
-        note(text);
+        log_event(text);
     };
     if (phase_ == Phase::starting) {
         if (serves()) {
@@ -234,7 +235,7 @@
 }
 
 void Soak::begin(const Fault& fault) {
-    note("begins: " + fault_text(fault));
+    log_event("begins: " + fault_text(fault));
     active_.push_back(&fault);
     for (const auto machine : fault.machines) strike(fault, machine);
 }
@@ -259,7 +260,7 @@
 }
 
 void Soak::end(const Fault& fault) {
-    note("ends: " + fault_text(fault));
+    log_event("ends: " + fault_text(fault));
     std::erase(active_, &fault);
     for (const auto machine : fault.machines) {
         if (fault.kind == FaultKind::pause_proxies) fleet_.pause(Role::proxy, machine, false);
--- a/src/soak/soak.hpp
+++ b/src/soak/soak.hpp
@@ -49,7 +49,7 @@
     enum class Phase { starting, faults, recovering, reading };
 
     double now() const;
-    void note(const std::string& text);
+    void log_event(const std::string& text);
     void open_relays();
     void open_hosts();
     void tick();
