--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -19,7 +19,7 @@
 using namespace myrtleroute::soak;
 namespace fs = std::filesystem;
 
-constexpr int held = 0, broke = 1, at_fault = 2, interrupted = 3;
+constexpr int invariants_held = 0, invariant_broken = 1, error_status = 2, interrupted_status = 3;
 
 struct Command {
     SoakOptions soak;
@@ -65,12 +65,12 @@
         fs::remove_all(directory);
     else
         std::cout << "  logs: " << directory.string() << std::endl;
-    if (outcome.interrupted) return interrupted;
-    return outcome.violations.empty() ? held : broke;
+    if (outcome.interrupted) return interrupted_status;
+    return outcome.violations.empty() ? invariants_held : invariant_broken;
 }
 
-volatile sig_atomic_t end_asked = 0;
-void ask_for_end(int) { end_asked = 1; }
+volatile sig_atomic_t stop_requested = 0;
+void request_stop(int) { stop_requested = 1; }
 
 // Plays seeds in processes of their own, some at a time.
 class Sweep {
@@ -79,12 +79,12 @@
 
     int run() {
         struct sigaction action {};   // interrupts waits
-        action.sa_handler = ask_for_end;
+        action.sa_handler = request_stop;
         ::sigaction(SIGINT, &action, nullptr);
         ::sigaction(SIGTERM, &action, nullptr);
         uint64_t next = command_.from;
         const uint64_t end = command_.from + command_.seeds;
-        while (!end_asked && (next < end || !running_.empty())) {
+        while (!stop_requested && (next < end || !running_.empty())) {
             if (next < end && running_.size() < command_.jobs)
                 start(next++);
             else
@@ -92,11 +92,11 @@
         }
         for (const auto& [pid, seed] : running_) ::kill(pid, SIGTERM);
         while (!running_.empty()) wait_for_one();
-        if (end_asked) return interrupted;
-        std::cout << command_.seeds << " seeds played, " << broken_.size() << " broken";
-        for (const auto seed : broken_) std::cout << ' ' << seed;
+        if (stop_requested) return interrupted_status;
+        std::cout << command_.seeds << " seeds played, " << failed_seeds_.size() << " broken";
+        for (const auto seed : failed_seeds_) std::cout << ' ' << seed;
         std::cout << std::endl;
-        return broken_.empty() ? held : broke;
+        return failed_seeds_.empty() ? invariants_held : invariant_broken;
     }
 
 private:
@@ -108,17 +108,17 @@
             return;
         }
         ::prctl(PR_SET_PDEATHSIG, SIGKILL);   // ends with the sweep, however that ends
-        if (::getppid() != sweep) ::_exit(at_fault);
+        if (::getppid() != sweep) ::_exit(error_status);
         command_.soak.seed = seed;
-        ::_exit(play(command_));
+        ::_exit(run_seed(command_));
     }
 
-    static int play(const Command& command) {
+    static int run_seed(const Command& command) {
         try {
             return ::run(command);
         } catch (const std::exception& fault) {
             std::cerr << "seed " << command.soak.seed << ": " << fault.what() << std::endl;
-            return at_fault;
+            return error_status;
         }
     }
 
@@ -126,12 +126,12 @@
         int status = 0;
         const auto ended = running_.extract(::waitpid(-1, &status, 0));
         if (ended.empty()) return;
-        if (!WIFEXITED(status) || WEXITSTATUS(status) != held) broken_.push_back(ended.mapped());
+        if (!WIFEXITED(status) || WEXITSTATUS(status) != invariants_held) failed_seeds_.push_back(ended.mapped());
     }
 
     Command command_;
     std::map<pid_t, uint64_t> running_;   // seeds
-    std::vector<uint64_t> broken_;
+    std::vector<uint64_t> failed_seeds_;
 };
 
 void add_common(CLI::App& app, Command& command) {
@@ -167,9 +167,9 @@
         command.soak.program = fs::absolute(command.soak.program).string();
         return one->parsed() ? run(command) : Sweep(command).run();
     } catch (const CLI::ParseError& fault) {
-        return app.exit(fault) ? at_fault : held;
+        return app.exit(fault) ? error_status : invariants_held;
     } catch (const std::exception& fault) {
         std::cerr << fault.what() << '\n';
-        return at_fault;
+        return error_status;
     }
 }
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -10,14 +10,14 @@
 namespace myrtleroute::soak {
 namespace {
 
-constexpr double tick_every = 0.01, worth_noting = 0.25;                     // seconds between ticks
-constexpr double start_within = 30, recover_within = 12, read_within = 12;   // seconds
-constexpr double served_span = 2.5, served_delay = 0.5;   // requests sent in this span, as they stand this much later
-constexpr size_t served_least = 8;                        // requests that such a span must hold
-constexpr double served_enough = 0.5;                     // share, of the modest tenant's
-constexpr double contact = 3, configuration_within = 2;   // seconds, as in the settings
-constexpr double longest_stop = 9;                        // from SIGTERM until the process is back
-constexpr double answer_loss = 0.5, subscription_loss = 0.1, host_loss = 0.33;
+constexpr double tick_interval = 0.01, late_tick_threshold = 0.25;                    // seconds between ticks
+constexpr double start_timeout = 30, recovery_timeout = 12, read_back_timeout = 12;   // seconds
+constexpr double served_window = 2.5, served_delay = 0.5;   // requests sent in this span, as they stand this much later
+constexpr size_t served_min_requests = 8;                   // requests that such a span must hold
+constexpr double served_min_share = 0.5;                    // share, of the modest tenant's
+constexpr double contact_timeout = 3, configuration_timeout = 2;   // seconds, as in the settings
+constexpr double max_stop_duration = 9;                            // from SIGTERM until the process is back
+constexpr double response_loss = 0.5, subscription_loss = 0.1, host_response_loss = 0.33;
 constexpr size_t hosts_of_service = 3;
 constexpr uint16_t host_port = 9000;
 
@@ -106,7 +106,7 @@
         relays_.push_back(std::make_unique<Relay>(context_, control,
                                                   RelayRules{{}, [this] {
                                                                  return is_active(FaultKind::control_answers_lost) &&
-                                                                        chance_.yes(answer_loss);
+                                                                        chance_.yes(response_loss);
                                                              }}));
     }
 }
@@ -129,7 +129,7 @@
                                checker_.request_ran(id, tenant, now());
                            },
                            [this] {
-                               return is_active(FaultKind::host_answers_lost) && chance_.yes(host_loss);
+                               return is_active(FaultKind::host_answers_lost) && chance_.yes(host_response_loss);
                            }}));
         }
 }
@@ -170,7 +170,7 @@
     platform_->start();
     clients_->start();
     kept_clients_->start();
-    ticked_ = now();
+    last_tick_ = now();
     tick();
     read_counters();
     context_.run();
@@ -180,22 +180,23 @@
 
 void Soak::tick() {
     const double moment = now();
-    latest_tick_ = std::max(latest_tick_, moment - ticked_);
-    if (moment - ticked_ > worth_noting)
-        log_event("the soak itself was late by " + std::to_string(moment - ticked_) + " s");
-    ticked_ = moment;
+    max_tick_delay_ = std::max(max_tick_delay_, moment - last_tick_);
+    if (moment - last_tick_ > late_tick_threshold)
+        log_event("the soak itself was late by " + std::to_string(moment - last_tick_) + " s");
+    last_tick_ = moment;
     fleet_.tick(moment);
-    proceed();
-    after(timer_, tick_every, [this] { tick(); });
+    update_phase();
+    after(timer_, tick_interval, [this] { tick(); });
 }
 
-bool Soak::serves() const {
-    const auto share = checker_.served_share(modest_tenant, std::max(phase_since_, now() - served_span - served_delay),
-                                             now() - served_delay, served_least);
-    return share.value_or(0) >= served_enough;
+bool Soak::is_serving() const {
+    const auto share =
+        checker_.served_share(modest_tenant, std::max(phase_since_, now() - served_window - served_delay),
+                              now() - served_delay, served_min_requests);
+    return share.value_or(0) >= served_min_share;
 }
 
-void Soak::proceed() {
+void Soak::update_phase() {
     const double since = now() - phase_since_;
     const auto enter = [&](Phase phase, const char* text) {
         phase_ = phase;
@@ -203,45 +204,46 @@
         log_event(text);
     };
     if (phase_ == Phase::starting) {
-        if (serves()) {
-            faults_at_ = now();
+        if (is_serving()) {
+            faults_start_ = now();
             return enter(Phase::faults, "it serves; faults begin");
         }
-        if (since < start_within) return;
+        if (since < start_timeout) return;
         checker_.report(Rule::recover, now(), "it does not serve after its start");
         return context_.stop();
     }
     if (phase_ == Phase::faults) {
-        const double at = now() - faults_at_;
-        while (begun_ < plan_.faults.size() && plan_.faults[begun_].at <= at) begin(plan_.faults[begun_++]);
+        const double at = now() - faults_start_;
+        while (faults_begun_ < plan_.faults.size() && plan_.faults[faults_begun_].at <= at)
+            begin_fault(plan_.faults[faults_begun_++]);
         for (const auto* fault : std::vector(active_))
-            if (fault->end() <= at) end(*fault);
-        if (begun_ == plan_.faults.size() && active_.empty() && at >= options_.seconds)
+            if (fault->end() <= at) end_fault(*fault);
+        if (faults_begun_ == plan_.faults.size() && active_.empty() && at >= options_.seconds)
             enter(Phase::recovering, "faults are over");
         return;
     }
     if (phase_ == Phase::recovering) {
-        const bool serving = serves();
-        if (!serving && since < recover_within + served_span + served_delay) return;
+        const bool serving = is_serving();
+        if (!serving && since < recovery_timeout + served_window + served_delay) return;
         if (!serving)
             checker_.report(Rule::recover, now(),
                             "a tenant within its quota is not served " + std::to_string(since) + " s after all faults");
         enter(Phase::reading, "the configuration is read back");
         return operator_->read_back([this] { context_.stop(); });
     }
-    if (since < read_within) return;
+    if (since < read_back_timeout) return;
     checker_.report(Rule::lost, now(), "no configuration could be read back");
     context_.stop();
 }
 
-void Soak::begin(const Fault& fault) {
+void Soak::begin_fault(const Fault& fault) {
     log_event("begins: " + fault_text(fault));
     active_.push_back(&fault);
-    for (const auto machine : fault.machines) strike(fault, machine);
+    for (const auto machine : fault.machines) apply_fault(fault, machine);
 }
 
-void Soak::strike(const Fault& fault, size_t machine) {
-    const double restart_at = faults_at_ + fault.end();
+void Soak::apply_fault(const Fault& fault, size_t machine) {
+    const double restart_at = faults_start_ + fault.end();
     switch (fault.kind) {
         case FaultKind::kill_proxies:
         case FaultKind::kill_every_proxy: return fleet_.kill(Role::proxy, machine, restart_at);
@@ -259,7 +261,7 @@
     }
 }
 
-void Soak::end(const Fault& fault) {
+void Soak::end_fault(const Fault& fault) {
     log_event("ends: " + fault_text(fault));
     std::erase(active_, &fault);
     for (const auto machine : fault.machines) {
@@ -276,7 +278,7 @@
         start_call(context_, {at, text, Span{0.8}, {}, [this, at](const HttpReply& reply) {
                                   if (reply.status != 200) return;
                                   for (const auto& line : violated_counters(reply.body))
-                                      if (counters_.insert(at.text() + line.substr(0, line.rfind(' '))).second)
+                                      if (reported_counters_.insert(at.text() + line.substr(0, line.rfind(' '))).second)
                                           checker_.report(Rule::counter, now(), at.text() + " tells " + line);
                               }});
     };
@@ -286,14 +288,15 @@
 }
 
 // A version is in force everywhere once nothing has been in trouble for a while, some time past its acknowledgement.
-void Soak::settle_limits() {
+void Soak::determine_limits_in_force() {
     std::vector<std::pair<double, double>> disturbances;
     for (const auto& fault : plan_.faults) {
         const bool stops = fault.kind == FaultKind::stop_proxies || fault.kind == FaultKind::stop_controls;
-        disturbances.emplace_back(faults_at_ + fault.at, faults_at_ + (stops ? fault.at + longest_stop : fault.end()));
+        disturbances.emplace_back(faults_start_ + fault.at,
+                                  faults_start_ + (stops ? fault.at + max_stop_duration : fault.end()));
     }
     for (const auto& [version, at] : acknowledged_)
-        if (const auto in_force = stable_since(disturbances, at + configuration_within, contact, now()))
+        if (const auto in_force = stable_since(disturbances, at + configuration_timeout, contact_timeout, now()))
             checker_.configuration_in_force(version, *in_force);
 }
 
@@ -301,7 +304,7 @@
     Outcome result;
     result.interrupted = interrupted_;
     if (!interrupted_) {
-        settle_limits();
+        determine_limits_in_force();
         checker_.finish();
     }
     result.violations = checker_.violations();
@@ -311,7 +314,7 @@
          << acknowledged_.size() << " configurations, " << checker_.requests() << " requests, " << checker_.served()
          << " served, " << checker_.cuts() << " cut, " << checker_.left_unread() << " left unread; most of the quota:";
     for (const auto& [tenant, peak] : checker_.peaks()) text << ' ' << tenant << ' ' << peak.share();
-    text << "; the soak itself was late by " << latest_tick_ << " s at most";
+    text << "; the soak itself was late by " << max_tick_delay_ << " s at most";
     result.summary = text.str();
     return result;
 }
--- a/src/soak/soak.hpp
+++ b/src/soak/soak.hpp
@@ -53,15 +53,15 @@
     void open_relays();
     void open_hosts();
     void tick();
-    void proceed();
-    void begin(const Fault& fault);
-    void end(const Fault& fault);
-    void strike(const Fault& fault, size_t machine);
+    void update_phase();
+    void begin_fault(const Fault& fault);
+    void end_fault(const Fault& fault);
+    void apply_fault(const Fault& fault, size_t machine);
     bool is_active(FaultKind kind) const;
     bool is_blocked(const InternalConnection& connection, Direction direction) const;
     std::optional<InternalConnection> identify(const std::string& json, size_t dialed) const;
-    bool serves() const;
-    void settle_limits();
+    bool is_serving() const;
+    void determine_limits_in_force();
     void read_counters();
     Outcome outcome();
 
@@ -83,11 +83,11 @@
     asio::steady_timer timer_, counter_timer_;
     asio::signal_set signals_;
     Phase phase_ = Phase::starting;
-    double phase_since_ = 0, faults_at_ = 0, ticked_ = 0, latest_tick_ = 0;
-    size_t begun_ = 0;   // faults of the plan
+    double phase_since_ = 0, faults_start_ = 0, last_tick_ = 0, max_tick_delay_ = 0;
+    size_t faults_begun_ = 0;   // faults of the plan
     std::vector<const Fault*> active_;
     std::vector<std::pair<uint64_t, double>> acknowledged_;   // versions, with the time
-    std::set<std::string> counters_;                          // that were above 0
+    std::set<std::string> reported_counters_;                 // that were above 0
     std::string timeline_;
     bool interrupted_ = false;
 };
