--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <sstream>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "lab/toml_table.hpp"
 
 namespace myrtleroute::lab {
@@ -25,14 +25,14 @@
     const Table table(path, t, {"kind", "at_s", "lasts_s", "who", "how"});
     const auto* kind = t.get("kind");
     const auto found = kind && kind->is_string() ? fault_named(**kind->as_string()) : std::nullopt;
-    if (!found) bad(path, kind ? kind->source() : t.source(), "kind must name a fault; `faults` lists them");
+    if (!found) fail_at(path, kind ? kind->source() : t.source(), "kind must name a fault; `faults` lists them");
     const auto whom = name_of(*found).whom;
     const int most = whom == Whom::server ? s.servers : whom == Whom::proxy ? s.proxies : 1;
     Fault f;
     f.kind = *found;
     f.at = {table.number("at_s", 0, 0, most_seconds)};
     f.lasts = {table.number("lasts_s", 1, 0, most_seconds)};
-    f.who = table.whole("who", 0, 0, most - 1);
+    f.who = table.integer("who", 0, 0, most - 1);
     f.how = table.number("how", 0.5, 0, 1);
     return f;
 }
@@ -48,14 +48,14 @@
 }
 
 Scenario draw(uint64_t seed) {
-    Chance chance(seed, 0x5343454e);
+    RandomStream chance(seed, 0x5343454e);
     Scenario s;
     s.seed = seed;
     // From idle to a little more than the servers can do.
-    s.calls_a_second = chance.yes(0.2) ? chance.between(0.5, 8) : chance.between(8, 130) * chance.between(0.3, 2);
-    s.rough = chance.yes(0.6) ? chance.between(0.05, 1) : 0;
+    s.calls_a_second = chance.bernoulli(0.2) ? chance.between(0.5, 8) : chance.between(8, 130) * chance.between(0.3, 2);
+    s.rough = chance.bernoulli(0.6) ? chance.between(0.05, 1) : 0;
     // Mostly three to fourteen faults, a third of them upon one before; on one day in twenty-five every kind.
-    const bool all = chance.yes(0.04);
+    const bool all = chance.bernoulli(0.04);
     const int count = all ? kinds : 3 + chance.below(12);
     for (int i = 0; i < count; ++i) {
         Fault f;
@@ -65,7 +65,7 @@
         f.at = {chance.between(1, s.lasts.s - 4)};
         f.lasts = {std::min(chance.between(0.3, 10), s.lasts.s - f.at.s)};
         f.how = chance.uniform();
-        if (!s.faults.empty() && chance.yes(0.35)) {
+        if (!s.faults.empty() && chance.bernoulli(0.35)) {
             const auto& other = s.faults[static_cast<size_t>(chance.below(static_cast<int>(s.faults.size())))];
             f.at = {other.at.s + chance.between(0, other.lasts.s)};
             f.lasts = {std::min(f.lasts.s, s.lasts.s - f.at.s)};
@@ -75,17 +75,17 @@
     }
     // One day in twelve is a crowd's: many proxies with few calls each, and servers that come back cold, which
     // each of them would find idle.
-    Chance crowd(seed, 0x43524f57);
-    if (crowd.yes(1.0 / 12)) {
+    RandomStream crowd(seed, 0x43524f57);
+    if (crowd.bernoulli(1.0 / 12)) {
         s.proxies = 24 + crowd.below(25);
         s.calls_a_second = crowd.between(3, 16);
         for (const auto kind : {FaultKind::dies, FaultKind::replaced})
             s.faults.push_back({kind, {crowd.between(2, 15)}, {crowd.between(0.5, 4)}, crowd.below(s.servers), crowd.uniform()});
     }
     // One day in six only draining binds, and on most of these the list is wrong for a time.
-    Chance lists(seed, 0x4c495354);
-    s.drain_alone = lists.yes(1.0 / 6);
-    for (int i = 0; s.drain_alone && i < 2 && lists.yes(0.8); ++i)
+    RandomStream lists(seed, 0x4c495354);
+    s.drain_alone = lists.bernoulli(1.0 / 6);
+    for (int i = 0; s.drain_alone && i < 2 && lists.bernoulli(0.8); ++i)
         s.faults.push_back({FaultKind::wrong_list, {lists.between(1, 22)}, {lists.between(0.5, 8)}, 0, lists.uniform()});
     std::stable_sort(s.faults.begin(), s.faults.end(), [](auto& a, auto& b) { return a.at < b.at; });
     return s;
@@ -97,29 +97,29 @@
     Scenario s;
     const auto* seed = t.get("seed");
     if (!seed || !seed->is_integer() || **seed->as_integer() < 0)
-        bad(path, seed ? seed->source() : t.source(), "seed must be a whole number of 0 or more");
+        fail_at(path, seed ? seed->source() : t.source(), "seed must be a whole number of 0 or more");
     s.seed = static_cast<uint64_t>(**seed->as_integer());
     s.lasts = {table.number("lasts_s", s.lasts.s, 0.1, most_seconds)};
-    s.proxies = table.whole("proxies", s.proxies, 1, most_proxies);
-    s.servers = table.whole("servers", s.servers, 1, most_servers);
+    s.proxies = table.integer("proxies", s.proxies, 1, most_proxies);
+    s.servers = table.integer("servers", s.servers, 1, most_servers);
     s.calls_a_second = table.number("calls_per_s", s.calls_a_second, 0, most_rate);
     s.rough = table.number("rough", s.rough, 0, 1);
     if (const auto* alone = t.get("drain_alone")) {
-        if (!alone->is_boolean()) bad(path, alone->source(), "drain_alone must be true or false");
+        if (!alone->is_boolean()) fail_at(path, alone->source(), "drain_alone must be true or false");
         s.drain_alone = **alone->as_boolean();
     }
     if (const auto* ranges = t.get("left_out")) {
-        if (!ranges->is_array()) bad(path, ranges->source(), "left_out must be a list of [first, last]");
+        if (!ranges->is_array()) fail_at(path, ranges->source(), "left_out must be a list of [first, last]");
         for (const auto& node : *ranges->as_array()) {
             const auto* range = node.as_array();
             const auto first = range && range->size() == 2 ? (*range)[0].value<int64_t>() : std::nullopt;
             const auto last = first ? (*range)[1].value<int64_t>() : std::nullopt;
-            if (!last || *first < 0 || *last < *first) bad(path, node.source(), "must be [first, last]");
+            if (!last || *first < 0 || *last < *first) fail_at(path, node.source(), "must be [first, last]");
             s.left_out.emplace_back(*first, *last);
         }
     }
     if (const auto* faults = t.get("fault")) {
-        if (!faults->is_array_of_tables()) bad(path, faults->source(), "fault must be tables: [[fault]]");
+        if (!faults->is_array_of_tables()) fail_at(path, faults->source(), "fault must be tables: [[fault]]");
         for (const auto& node : *faults->as_array()) s.faults.push_back(read_fault(path, *node.as_table(), s));
     }
     return s;
--- a/src/lab/virtual_home.hpp
+++ b/src/lab/virtual_system.hpp
@@ -5,21 +5,21 @@
 #include <map>
 
 #include "lab/net.hpp"
-#include "run/home.hpp"
+#include "run/system.hpp"
 
 namespace myrtleroute::lab {
 
-class VirtualHome : public run::Home, public Ear {
+class VirtualSystem : public run::System, public SocketObserver {
 public:
-    VirtualHome(Queue& queue, Net& net, Machine& machine, std::function<void()> wakened)
+    VirtualSystem(Queue& queue, Net& net, Machine& machine, std::function<void()> wakened)
         : queue_(queue), net_(net), machine_(machine), wakened_(std::move(wakened)) {}
 
     // For the world.
     std::map<std::string, std::string> variables, files;
     static constexpr size_t rlimit = 256;
     size_t descriptors = rlimit;                // that the process may hold now: less if others are open
-    bool sleeps() const { return sleeps_; }     // after a round: nothing to do before `until`
-    Time until() const { return until_; }
+    bool is_waiting() const { return is_waiting_; }     // after a round: nothing to do before `until`
+    Time waits_until() const { return until_; }
     void signal(int number);
     void end_process();                         // as the system does when it is gone
     size_t open() const { return open_; }       // descriptors that are held
@@ -31,24 +31,24 @@
     // For the proxy.
     Time now() override { return queue_.now(); }
     double unix_time() override;
-    int wait(pollfd* polled, size_t n, int ms) override;
-    int listen_at(const sockaddr_in& at) override;
-    int connect_to(const sockaddr_in& at, bool& at_once) override;
+    int poll(pollfd* polled, size_t n, int ms) override;
+    int listen(const sockaddr_in& at) override;
+    int connect(const sockaddr_in& at, bool& at_once) override;
     int accept(int fd) override;
-    int error_of(int fd) override;
+    int connect_error(int fd) override;
     ssize_t read(int fd, const iovec* parts, int n) override;
     ssize_t write(int fd, const iovec* parts, int n) override;
-    bool still_quiet(int fd) override;
+    bool is_idle(int fd) override;
     bool has_unread(int fd) override;
-    void end_sending(int fd) override;
+    void shutdown_write(int fd) override;
     void close(int fd) override;
-    int hear_signals() override;
+    int watch_signals() override;
     int next_signal(int fd) override;
-    size_t most_descriptors() override { return rlimit; }
-    const char* variable(const char* name) override;
-    std::optional<std::string> file(const std::string& path) override;
+    size_t max_descriptors() override { return rlimit; }
+    const char* environment_variable(const char* name) override;
+    std::optional<std::string> read_file(const std::string& path) override;
 
-    void heard(Socket&) override { wakened_(); }
+    void socket_changed(Socket&) override { wakened_(); }
 
 private:
     int take(Handle socket);
@@ -63,7 +63,7 @@
     std::deque<int> signals_;
     int signal_fd_ = -1;
     size_t open_ = 0;
-    bool sleeps_ = false;
+    bool is_waiting_ = false;
     Time until_;
 };
 
--- a/src/rig/relay.hpp
+++ b/src/rig/relay.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <unordered_map>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "rig/part.hpp"
 #include "rig/stream.hpp"
 
@@ -35,10 +35,10 @@
     void told(const std::string& word, std::istringstream& more) override;
     void woken(uint64_t cookie) override;
     void finish() override;
-    void came(memory::Connection& c) override;
-    void went(memory::Connection& c) override;
-    void broke(memory::Connection& c, int error) override;
-    void due(memory::Connection& c) override;
+    void on_readable(memory::Connection& c) override;
+    void on_written(memory::Connection& c) override;
+    void on_error(memory::Connection& c, int error) override;
+    void on_timer(memory::Connection& c) override;
 
     void open(Kind kind, uint16_t to, Backend& backend);
     void accept(Door& door);
@@ -55,7 +55,7 @@
     bool mine(const Link& link) const;
 
     int number_, of_;
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     std::map<int, Rule> rules_;
     uint64_t rules_seen_ = 1;
     std::map<std::pair<int, int>, Backend> backends_;   // by kind and party
--- a/src/roles/proxy/admission.cpp
+++ b/src/roles/proxy/admission.cpp
@@ -39,7 +39,7 @@
 leases::Decision Admission::decide(const Request& request) {
     if (!request.tenant || request.tenant->rate_per_second <= 0) return {};
     const auto decision = leases_.acquire(request.tenant->name, cost_of(request), request.id,
-                                          max_wait_for(*request.route), context_.home.now());
+                                          max_wait_for(*request.route), context_.system.now());
     if (decision.verdict == leases::Verdict::granted) note_granted(request);
     return decision;
 }
@@ -56,7 +56,7 @@
     ask();
     if (!leases_.has_waiting() || timer_at_ > context_.now()) return;
     timer_at_ = leases_.next_deadline();
-    context_.loop.wake(timer_at_, cookie);
+    context_.loop.schedule(timer_at_, cookie);
 }
 
 void Admission::withdraw(const Request& request) { leases_.cancel(request.id); }
@@ -83,18 +83,18 @@
 }
 
 void Admission::apply(const leases::LeaseReply& reply) {
-    leases_.apply(reply, context_.home.now());
+    leases_.apply(reply, context_.system.now());
     deliver_decisions();
 }
 
 void Admission::on_timer() {
-    leases_.tick(context_.home.now());
+    leases_.tick(context_.system.now());
     deliver_decisions();
 }
 
 void Admission::ask() {
-    if (const auto ask = leases_.next_request(context_.home.now())) events_.ask(*ask);
-    if (leases_.is_expedited()) context_.loop.wake(context_.now() + urgent_ask_interval, cookie);
+    if (const auto ask = leases_.next_request(context_.system.now())) events_.ask(*ask);
+    if (leases_.is_expedited()) context_.loop.schedule(context_.now() + urgent_ask_interval, cookie);
 }
 
 void Admission::deliver_decisions() {
--- a/src/roles/proxy/front.cpp
+++ b/src/roles/proxy/front.cpp
@@ -10,8 +10,8 @@
 namespace myrtleroute::proxy {
 namespace {
 
+using memory::CloseReason;
 using memory::Connection;
-using memory::Why;
 
 constexpr size_t max_in = 64 * 1024, max_out = 2 << 20;
 constexpr size_t backlog_limit = 256 * 1024;   // output bytes pending for a client before its host is throttled
@@ -61,12 +61,12 @@
 }
 
 int RequestReader::field(std::string_view name, std::string_view value) {
-    if (!wire::of_one_connection(name)) fields.emplace_back(name, value);
+    if (!wire::is_hop_by_hop(name)) fields.emplace_back(name, value);
     return 0;
 }
 
 struct Frontend::Listener : Connection {
-    Listener(memory::Owner& by, int fd, bool for_probes) : Connection(by, fd, 1, 1), probes(for_probes) {
+    Listener(memory::ConnectionHandler& by, int fd, bool for_probes) : Connection(by, fd, 1, 1), probes(for_probes) {
         listens = true;
     }
     std::string name() const override { return "listener"; }
@@ -80,16 +80,16 @@
       read_requests_are_answered_(context.invariants.named("read_requests_are_answered")) {}
 
 bool Frontend::open(std::string& fault) {
-    const auto listen_at = [&](const char* key, const std::optional<Endpoint>& at, bool probes) -> Listener* {
-        const auto address = at ? wire::read_endpoint(at->text()) : std::nullopt;
-        const int fd = address ? context_.home.listen_at(*address) : -1;
-        if (fd >= 0) return &context_.loop.adopt(std::make_unique<Listener>(*this, fd, probes));
+    const auto listen = [&](const char* key, const std::optional<Endpoint>& at, bool probes) -> Listener* {
+        const auto address = at ? wire::parse_endpoint(at->text()) : std::nullopt;
+        const int fd = address ? context_.system.listen(*address) : -1;
+        if (fd >= 0) return &context_.loop.add(std::make_unique<Listener>(*this, fd, probes));
         fault = std::string(key) + ": " +
                 (at ? "can't listen at " + at->text() + ": " + std::strerror(errno) : "is missing");
         return nullptr;
     };
-    client_listener_ = listen_at("listen.front", context_.settings.front, false);
-    if (client_listener_) probe_listener_ = listen_at("listen.ready", context_.settings.ready, true);
+    client_listener_ = listen("listen.front", context_.settings.front, false);
+    if (client_listener_) probe_listener_ = listen("listen.ready", context_.settings.ready, true);
     return client_listener_ && probe_listener_;
 }
 
@@ -100,29 +100,31 @@
 void Frontend::accept(Listener& listener) {
     for (int n = 0; n < max_accepts_per_round || listeners_closed_; ++n) {
         const bool room = context_.loop.connections() < context_.max_connections();
-        const int fd = room ? context_.home.accept(listener.fd) : -1;
+        const int fd = room ? context_.system.accept(listener.fd) : -1;
         if (fd < 0) {
             if (room && (errno == EINTR || errno == ECONNABORTED)) continue;
             const bool later = !room || (errno != EAGAIN && errno != EWOULDBLOCK);
             if (later && !listeners_closed_) {
-                context_.loop.listen_to(listener, false);
-                context_.loop.set(listener, context_.now() + accept_retry_delay);
+                context_.loop.poll_for_input(listener, false);
+                context_.loop.set_timer(listener, context_.now() + accept_retry_delay);
             }
             return;
         }
-        auto& client = context_.loop.adopt(std::make_unique<Client>(*this, fd, max_in, max_out, listener.probes));
+        auto& client = context_.loop.add(std::make_unique<Client>(*this, fd, max_in, max_out, listener.probes));
         clients_.insert(&client);
         ++open_connections_;
         end_response(client);
     }
 }
 
-void Frontend::came(Connection& connection) {
+void Frontend::on_readable(Connection& connection) {
     if (is_listener(connection)) return accept(static_cast<Listener&>(connection));
     auto& client = static_cast<Client&>(connection);
     // Resets the connection because of the unread bytes.
-    if (client.lingers && client.listens) return end(client, Why::told_to_close);
-    if (client.ended || client.error) return end(client, client.ended ? Why::peer_closed : Why::peer_reset);
+    if (client.lingers && client.listens)
+        return end(client, CloseReason::told_to_close);
+    if (client.ended || client.error)
+        return end(client, client.ended ? CloseReason::peer_closed : CloseReason::peer_reset);
     if (client.lingers) return client.in.drop(client.in.size());
     read(client);
 }
@@ -134,25 +136,25 @@
 // A connection may predate the configuration: each request is read with the limits in force when it starts.
 void Frontend::begin_reading(Client& client) {
     const auto limits = this->limits();
-    client.http = wire::HttpMachine(wire::HttpMachine::Side::ask, client.reader,
-                                    {limits.header_bytes, limits.header_bytes, limits.body_bytes});
-    context_.loop.set(client, context_.now() + limits.header_timeout);
+    client.http = wire::HttpParser(wire::HttpParser::Side::request, client.reader,
+                                   {limits.header_bytes, limits.header_bytes, limits.body_bytes});
+    context_.loop.set_timer(client, context_.now() + limits.header_timeout);
 }
 
 void Frontend::read(Client& client) {
     while (client.open() && !client.busy && !client.close_after_response && !client.in.empty()) {
-        const bool fresh = !client.http.begun(), in_head = !client.reader.head_done;
+        const bool fresh = !client.http.started(), in_head = !client.reader.head_done;
         if (fresh) begin_reading(client);
         client.in.drop(client.http.feed(client.in.front()));
-        if (in_head && client.reader.head_done) context_.loop.set(client, context_.now() + body_timeout);
+        if (in_head && client.reader.head_done) context_.loop.set_timer(client, context_.now() + body_timeout);
         if (client.http.fault()) {
             client.close_after_response = client.discards_body = true;
             begin_request(client);
             refuse(client, client.http.fault());
         } else if (client.http.done()) {
             dispatch(client);
-        } else if (client.http.wants_continue() && client.in.empty()) {
-            client.http.continued();
+        } else if (client.http.expects_continue() && client.in.empty()) {
+            client.http.continue_sent();
             client.out.push("HTTP/1.1 100 Continue\r\n\r\n");
             context_.loop.flush(client);
         }
@@ -165,9 +167,9 @@
 }
 
 void Frontend::dispatch(Client& client) {
-    context_.loop.clear(client);
+    context_.loop.clear_timer(client);
     begin_request(client);
-    client.close_after_response = client.close_after_response || stopping_ || !client.http.keeps();
+    client.close_after_response = client.close_after_response || stopping_ || !client.http.keeps_alive();
     if (client.is_probe) return refuse(client, events_.ready() ? 200 : 503);
     if (stopping_ && context_.now() > requests_end_) return refuse(client, 503, retry_elsewhere_after);
     events_.request(client, client.reader);
@@ -230,7 +232,7 @@
 // one.
 void Frontend::abort_response(Client& client) {
     client.request = nullptr;
-    end(client, Why::bad_answer);
+    end(client, CloseReason::bad_answer);
 }
 
 bool Frontend::is_backlogged(const Client& client) const { return client.out.size() > backlog_limit; }
@@ -242,12 +244,12 @@
     client.idle_since = context_.now();
     client.http.next();
     client.reader.next();
-    context_.loop.set(client, context_.now() + write_timeout);
+    context_.loop.set_timer(client, context_.now() + write_timeout);
     context_.loop.flush(client);
-    if (client.open() && client.out.empty()) went(client);
+    if (client.open() && client.out.empty()) on_written(client);
 }
 
-void Frontend::went(Connection& connection) {
+void Frontend::on_written(Connection& connection) {
     auto& client = static_cast<Client&>(connection);
     if (client.busy) {
         if (client.request) events_.drained(*client.request);
@@ -257,11 +259,11 @@
     // A response whose head was sent before the shutdown did not announce a close. Once the listeners are closed
     // the connection takes no more requests, except one that has already arrived.
     const bool surplus =
-        listeners_closed_ && !client.http.begun() && client.in.empty() && context_.home.still_quiet(client.fd);
+        listeners_closed_ && !client.http.started() && client.in.empty() && context_.system.is_idle(client.fd);
     if (client.close_after_response) return half_close(client, ConnectionEnd::last_answer);
     if (surplus) return half_close(client, ConnectionEnd::stopping);
     const Span idle_time = client.announced_idle > Span{} ? client.announced_idle : idle_limit();
-    context_.loop.set(client, context_.now() + (client.is_probe ? probe_idle_timeout : idle_time + congestion_delay));
+    context_.loop.set_timer(client, context_.now() + (client.is_probe ? probe_idle_timeout : idle_time + congestion_delay));
     if (!client.in.empty()) read(client);
 }
 
@@ -275,55 +277,55 @@
     client.half_closed_at = context_.now();
     client.lingers = client.close_after_response = true;
     client.listens = cause != ConnectionEnd::last_answer;
-    client.deaf = !client.discards_body && !client.listens;
+    client.read_paused = !client.discards_body && !client.listens;
     client.in.drop(client.in.size());
-    context_.home.end_sending(client.fd);
-    context_.loop.set(client, context_.now() + linger);
+    context_.system.shutdown_write(client.fd);
+    context_.loop.set_timer(client, context_.now() + linger);
     context_.loop.flush(client);
 }
 
-void Frontend::broke(Connection& connection, int) {
-    if (!is_listener(connection)) end(static_cast<Client&>(connection), Why::peer_reset);
+void Frontend::on_error(Connection& connection, int) {
+    if (!is_listener(connection)) end(static_cast<Client&>(connection), CloseReason::peer_reset);
 }
 
-void Frontend::due(Connection& connection) {
-    if (is_listener(connection)) return context_.loop.listen_to(connection, true);
+void Frontend::on_timer(Connection& connection) {
+    if (is_listener(connection)) return context_.loop.poll_for_input(connection, true);
     auto& client = static_cast<Client&>(connection);
-    if (client.lingers) return end(client, Why::told_to_close);
-    if (!client.out.empty()) return end(client, Why::unread);
-    if (client.http.begun()) {
+    if (client.lingers) return end(client, CloseReason::told_to_close);
+    if (!client.out.empty()) return end(client, CloseReason::unread);
+    if (client.http.started()) {
         client.close_after_response = client.discards_body = true;
         begin_request(client);
         return refuse(client, 408);
     }
-    if (!context_.home.still_quiet(client.fd)) return context_.loop.set(client, context_.now() + linger);
+    if (!context_.system.is_idle(client.fd)) return context_.loop.set_timer(client, context_.now() + linger);
     half_close(client, ConnectionEnd::idle);
 }
 
-void Frontend::end(Client& client, Why why) {
+void Frontend::end(Client& client, CloseReason why) {
     if (!client.open()) return;
     report_end(client, why);
     auto* request = std::exchange(client.request, nullptr);
     clients_.erase(&client);
     --open_connections_;
-    context_.loop.end(client, why);
+    context_.loop.close(client, why);
     if (request) events_.client_left(*request);
 }
 
 // Called before the connection is closed.
-void Frontend::report_end(Client& client, Why why) {
+void Frontend::report_end(Client& client, CloseReason why) {
     if (client.is_probe) return;
-    const bool by_client = why == Why::peer_closed || why == Why::peer_reset;
-    const auto cause = client.lingers           ? client.half_close_cause
-                       : by_client              ? ConnectionEnd::client_left
-                       : why == Why::bad_answer ? ConnectionEnd::answer_cut
-                                                : ConnectionEnd::answer_unread;
+    const bool by_client = why == CloseReason::peer_closed || why == CloseReason::peer_reset;
+    const auto cause = client.lingers                   ? client.half_close_cause
+                       : by_client                      ? ConnectionEnd::client_left
+                       : why == CloseReason::bad_answer ? ConnectionEnd::answer_cut
+                                                        : ConnectionEnd::answer_unread;
     report_.connection_ended(cause);
-    if (client.lingers && context_.home.has_unread(client.fd))
+    if (client.lingers && context_.system.has_unread(client.fd))
         report_.closed_over_unread(cause, context_.now() - client.half_closed_at,
                                    client.half_closed_at - client.idle_since, context_.now());
     if (!client.busy) return;
-    read_requests_are_answered_.check(by_client || why == Why::bad_answer, [&] {
+    read_requests_are_answered_.check(by_client || why == CloseReason::bad_answer, [&] {
         return "a client connection ended during its request: " + std::string(memory::code(why));
     });
     report_.request_ended(by_client ? RequestEnd::client_left : RequestEnd::cut);
@@ -338,12 +340,12 @@
     listeners_closed_ = true;
     if (client_listener_) {
         accept(*client_listener_);
-        context_.loop.end(*std::exchange(client_listener_, nullptr), Why::stopping);
+        context_.loop.close(*std::exchange(client_listener_, nullptr), CloseReason::stopping);
     }
     const auto clients = clients_;
     for (auto* client : clients)
-        if (!client->busy && !client->http.begun() && !client->lingers && client->out.empty() &&
-            context_.home.still_quiet(client->fd))
+        if (!client->busy && !client->http.started() && !client->lingers && client->out.empty() &&
+            context_.system.is_idle(client->fd))
             half_close(*client, ConnectionEnd::stopping);
 }
 
--- a/src/roles/proxy/subscriber.cpp
+++ b/src/roles/proxy/subscriber.cpp
@@ -62,7 +62,7 @@
     no_quorum_since_ = long_ago;
 }
 
-void Subscriber::leave(memory::Why why, Time now) {
+void Subscriber::leave(memory::CloseReason why, Time now) {
     outputs_.push_back(CloseLink{why});
     failed(now);
 }
@@ -90,7 +90,7 @@
 void Subscriber::move(const messages::ControlNode& to, Time now) {
     const auto& node = add_or_update(to);
     if (to.peer == at_ || now - node.failed < failed_retry_after) return;
-    outputs_.push_back(CloseLink{memory::Why::told_to_close});
+    outputs_.push_back(CloseLink{memory::CloseReason::told_to_close});
     no_quorum_since_ = long_ago;
     open(to.peer, now);
 }
@@ -98,16 +98,16 @@
 void Subscriber::tick(Time now) {
     if (link_ == Link::opening && now - last_received_ > connect_timeout_) {
         connect_timeout_ = std::min(connect_timeout_ * backoff_factor, max_connect_timeout);
-        leave(memory::Why::silent, now);
+        leave(memory::CloseReason::silent, now);
     }
-    if (link_ == Link::open && now - last_received_ > silence_timeout) leave(memory::Why::silent, now);
+    if (link_ == Link::open && now - last_received_ > silence_timeout) leave(memory::CloseReason::silent, now);
     const bool without_quorum = no_quorum_since_ > long_ago && now - no_quorum_since_ > no_quorum_timeout_;
     if (link_ != Link::none && without_quorum) {
         nodes_[at_].failed = nodes_[at_].lost_quorum_at = now;
         const auto* other = choose(now);
         if (other && other->node.peer != at_) {
             no_quorum_timeout_ = std::min(no_quorum_timeout_ * backoff_factor, max_no_quorum_timeout);
-            leave(memory::Why::told_to_close, now);
+            leave(memory::CloseReason::told_to_close, now);
         }
     }
     if (link_ != Link::none) return;
--- a/src/roles/proxy/subscriber.hpp
+++ b/src/roles/proxy/subscriber.hpp
@@ -23,7 +23,7 @@
 };
 // Close the connection; the driver does not report the end.
 struct CloseLink {
-    memory::Why why = memory::Why::told_to_close;
+    memory::CloseReason why = memory::CloseReason::told_to_close;
 };
 // A message received from the control node.
 struct MessageReceived {
@@ -68,7 +68,7 @@
     Node* choose(Time now);
     int distance(const Node& node, Time now) const;
     bool is_suspected(const std::string& zone, Time now) const;
-    void leave(memory::Why why, Time now);
+    void leave(memory::CloseReason why, Time now);
     Node& add_or_update(const messages::ControlNode& info);
     void evict_oldest();
     void track_quorum(const messages::FleetStatus& fleet, Time now);
--- a/src/soak/plan.cpp
+++ b/src/soak/plan.cpp
@@ -4,7 +4,7 @@
 #include <iomanip>
 #include <sstream>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 
 namespace myrtleroute::soak {
 namespace {
@@ -78,7 +78,7 @@
     double add_episode(double at) {
         const int count = 2 + chance_.below(2);
         double end = at;
-        double pause = chance_.yes(0.5) ? chance_.between(0.3, 2) : chance_.between(4, 7);
+        double pause = chance_.bernoulli(0.5) ? chance_.between(0.3, 2) : chance_.between(4, 7);
         for (int i = 0; i < count; ++i) {
             auto fault = random_fault(at + (i ? chance_.between(0, max_start_gap) : 0));
             if (fault.end() > length_) fault.duration = length_ - fault.at;
@@ -96,7 +96,8 @@
         fault.at = at;
         const auto range = duration_range(fault.kind);
         fault.duration = chance_.between(range.min, range.max);
-        if (is_cut(fault.kind) && chance_.yes(0.5)) fault.side = chance_.yes(0.5) ? CutSide::inward : CutSide::outward;
+        if (is_cut(fault.kind) && chance_.bernoulli(0.5))
+            fault.side = chance_.bernoulli(0.5) ? CutSide::inward : CutSide::outward;
         if (!affects_connections(fault.kind)) fault.machines = choose_machines(fault.kind);
         return fault;
     }
@@ -125,7 +126,7 @@
         });
     }
 
-    lab::Chance chance_;
+    lab::RandomStream chance_;
     FleetSize size_;
     double length_;
     std::vector<Fault> faults_;
@@ -148,7 +149,7 @@
 }
 
 Plan generate_planned_work(uint64_t seed, FleetSize size, double length) {
-    lab::Chance chance(seed, plan_stream);
+    lab::RandomStream chance(seed, plan_stream);
     Plan plan{seed, {}};
     const auto add_series = [&](FaultKind kind, size_t among, int max_together, double min_gap, double max_gap) {
         auto machine = static_cast<size_t>(chance.below(static_cast<int>(among)));
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -98,7 +98,7 @@
                            return is_blocked(connection, direction);
                        },
                        [this] {
-                           return is_active(FaultKind::subscriptions_reset) && chance_.yes(subscription_loss);
+                           return is_active(FaultKind::subscriptions_reset) && chance_.bernoulli(subscription_loss);
                        }}));
         RelayOptions control;
         control.at = addresses_.control(machine);
@@ -106,7 +106,7 @@
         relays_.push_back(std::make_unique<Relay>(context_, control,
                                                   RelayRules{{}, [this] {
                                                                  return is_active(FaultKind::control_answers_lost) &&
-                                                                        chance_.yes(response_loss);
+                                                                        chance_.bernoulli(response_loss);
                                                              }}));
     }
 }
@@ -129,7 +129,7 @@
                                checker_.request_ran(id, tenant, now());
                            },
                            [this] {
-                               return is_active(FaultKind::host_answers_lost) && chance_.yes(host_response_loss);
+                               return is_active(FaultKind::host_answers_lost) && chance_.bernoulli(host_response_loss);
                            }}));
         }
 }
