--- a/src/soak/hosts.cpp
+++ b/src/soak/hosts.cpp
@@ -14,9 +14,9 @@
 
 using asio::ip::tcp;
 
-constexpr double min_response_delay = 0.005, max_response_delay = 0.06;   // seconds; for an event of a stream as well
-constexpr double max_event_delay = 1.25;                                  // of a long stream
-constexpr std::string_view long_streams = "/long/";                       // their path
+constexpr double min_response_delay = 0.005, max_response_delay = 0.06;   // seconds, also before each event of a stream
+constexpr double max_event_delay = 1.25;                                  // seconds, before each event of a long stream
+constexpr std::string_view long_streams = "/long/";                       // path prefix of long streams
 constexpr size_t max_request_body = 1 << 20;
 constexpr const char* body_end = " end\n";
 
@@ -62,7 +62,7 @@
     return body == whole;
 }
 
-// A connection of a proxy; one request at a time.
+// A connection from a proxy; it serves one request at a time.
 class Host::Connection : public std::enable_shared_from_this<Connection> {
 public:
     Connection(tcp::socket socket, Host& host)
@@ -102,7 +102,7 @@
         request_id_ = field_of(reader_.fields, "X-Request-Id");
         host_.events_.request_started(request_id_, field_of(reader_.fields, "X-Tenant-Id"));
         set_running(true);
-        // A stream may go on at this host behind the last event that the client has.
+        // This host may continue a stream after the last event that the client has received.
         last_event_ = wire::parse_integer<int>(field_of(reader_.fields, "Last-Event-Id")).value_or(0);
         after_random_delay([this] {
             if (host_.options_.streams) return begin_stream();
@@ -121,7 +121,7 @@
         write(chunk(event(request_id_, ++last_event_)), [this] { after_random_delay([this] { next_event(); }); });
     }
 
-    // The work is done; unless the answer is lost it is sent.
+    // The request is finished: sends the response, or resets the connection if the response is to be dropped.
     template <class Send>
     void finish(Send send) {
         set_running(false);
@@ -142,7 +142,7 @@
                std::to_string(host_.running_) + "}";
     }
 
-    // The status line and fields of an answer, with the empty line.
+    // Status line and header fields of a response, with the empty line after them.
     std::string head(int status, const std::string& more) const {
         const auto& options = host_.options_;
         std::string text = "HTTP/1.1 " + std::to_string(status) + " Answer\r\nX-Instance-Id: " + options.id +
@@ -164,7 +164,7 @@
         asio::async_write(socket_, asio::buffer(out_),
                           [self = shared_from_this(), then](asio::error_code error, size_t) {
                               if (!error) return then();
-                              self->set_running(false);   // the proxy has gone: a stream is given up
+                              self->set_running(false);   // the proxy has disconnected: the stream is abandoned
                               reset(self->socket_);
                           });
     }
@@ -180,8 +180,8 @@
     wire::HttpParser http_;
     std::array<char, 8192> buffer_{};
     std::string unread_, out_, request_id_;
-    int last_event_ = 0;     // that was sent last
-    bool counted_ = false;   // a request is worked on
+    int last_event_ = 0;     // number of the last event sent
+    bool counted_ = false;   // the current request is counted in Host::running_
 };
 
 Host::Host(asio::io_context& context, HostOptions options, HostEvents events)
@@ -212,7 +212,7 @@
     after(timer_, options_.heartbeat * chance_.between(0.9, 1.1), [this] { send_heartbeats(); });
 }
 
-// A heartbeat; where it is not acknowledged, the next control node is told.
+// Sends a heartbeat; if it is not acknowledged, tries the next control node, up to `tries` nodes in all.
 void Host::send_heartbeat(size_t control, size_t tries) {
     const auto body = R"({"service":")" + options_.service + R"(","address":")" + options_.address.text() +
                       R"(","zone":")" + options_.zone + R"(","version":"v1","state":"ready","coldRemainingMs":0,)" +
--- a/src/soak/hosts.hpp
+++ b/src/soak/hosts.hpp
@@ -1,4 +1,5 @@
-// Stand-in hosts: they tell control nodes of themselves, run requests and answer them, and say what they have run.
+// Simulated hosts: they send heartbeats to control nodes, run requests, respond to them and report each request that
+// runs.
 #pragma once
 #include <asio.hpp>
 
@@ -12,32 +13,32 @@
 
 namespace myrtleroute::soak {
 
-// What a host calls and asks for.
+// Callbacks of a host.
 struct HostEvents {
     std::function<void(const std::string& request_id, const std::string& tenant)>
-        request_started;                    // it begins work on a request
-    std::function<bool()> drops_response;   // the answer that it has just made is lost by a reset
+        request_started;                    // the host starts to run a request
+    std::function<bool()> drops_response;   // whether to reset the connection instead of sending the finished response
 };
 
 struct HostOptions {
-    std::string id;   // of this start of the host
+    std::string id;   // of this run of the host process (instance id)
     std::string service, zone;
-    bool streams = false;     // it answers by events, else by one body
-    int capacity = 64;        // requests at once
+    bool streams = false;     // it responds with a stream of events, otherwise with one body
+    int capacity = 64;        // concurrent requests
     double heartbeat = 1.2;   // seconds between heartbeats
     Endpoint address;
-    std::vector<Endpoint> controls;   // who takes heartbeats
-    uint64_t seed = 1;                // of how long answers take
+    std::vector<Endpoint> controls;   // control nodes that accept heartbeats
+    uint64_t seed = 1;                // of the random response delays
 };
 
-// The number of events of the stream that answers a request; its body says it as well.
+// The number of events in the streamed response to a request. The events are numbered from 1.
 constexpr int events_per_stream = 5;
-// Whether the body is all that a host sends for the request.
+// Whether the body is exactly what a host sends for the request.
 bool is_complete_body(const std::string& body, const std::string& request_id, bool streams);
 
 class Host {
 public:
-    // Listens at once; throws asio::system_error where it can't.
+    // Starts listening; throws asio::system_error on failure.
     Host(asio::io_context& context, HostOptions options, HostEvents events);
 
 private:
@@ -52,7 +53,7 @@
     lab::RandomStream chance_;
     asio::ip::tcp::acceptor acceptor_;
     asio::steady_timer timer_;
-    size_t control_ = 0;   // that took the last heartbeat
+    size_t control_ = 0;   // control node that received the last heartbeat
     uint64_t sequence_ = 0;
     int running_ = 0;
 };
--- a/src/soak/http_call.hpp
+++ b/src/soak/http_call.hpp
@@ -1,4 +1,4 @@
-// One HTTP request on a connection of its own, as the stand-ins of clients, hosts and the operator send them.
+// Sends one HTTP request on a new connection; used by the simulated clients, hosts and operator.
 #pragma once
 #include <asio.hpp>
 
@@ -16,16 +16,16 @@
 
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-// The value of the field, empty where there is none.
+// The value of the field, empty if it is absent.
 std::string field_of(const Fields& fields, std::string_view name);
 
 struct HttpReply {
-    int status = 0;   // 0: no whole answer has come
+    int status = 0;   // 0: no complete response was received
     Fields fields;
     std::string body;
 };
 
-// Collects an answer.
+// Collects a parsed response.
 struct ResponseReader : wire::HttpHandler {
     int start(std::string_view version, std::string_view code, std::string_view reason) override;
     int field(std::string_view name, std::string_view value) override;
@@ -35,18 +35,18 @@
 
 struct HttpCall {
     Endpoint to;
-    std::string text;                      // the request as it goes over the wire
-    Span timeout{1};                       // from the connect to the end of the answer
-    std::function<void()> on_sending;      // the connection is up, the first byte is about to go; may be empty
-    std::function<void(HttpReply)> done;   // called once
+    std::string text;                      // the serialized request
+    Span timeout{1};                       // from the start of the connect to the end of the response
+    std::function<void()> on_sending;      // called when connected, before the first byte is sent; may be empty
+    std::function<void(HttpReply)> done;   // called exactly once
 };
 void start_call(asio::io_context& context, HttpCall call);
 
-// A request with a body: the head's lines end in CRLF; Host and Content-Length are added.
+// Serializes a request with a body, with CRLF line ends; adds the fields Host and Content-Length.
 std::string request_text(const std::string& method, const std::string& target, const std::string& host,
                          const Fields& fields, const std::string& body);
 
 asio::ip::tcp::endpoint address_of(const Endpoint& endpoint);
-void reset(asio::ip::tcp::socket& socket);   // closes it so that the other end sees a reset
+void reset(asio::ip::tcp::socket& socket);   // closes the socket so that the peer receives a reset (RST)
 
 }   // namespace myrtleroute::soak
--- a/src/soak/plan.cpp
+++ b/src/soak/plan.cpp
@@ -9,14 +9,14 @@
 namespace myrtleroute::soak {
 namespace {
 
-constexpr uint64_t plan_stream = 0x706c616e;   // of draws, beside those of clients and hosts
+constexpr uint64_t plan_stream = 0x706c616e;   // random stream id, distinct from those of clients and hosts
 constexpr double first_fault = 1, min_duration = 0.3, max_start_gap = 1;
 
 struct DurationRange {
     double min, max;   // seconds
 };
 
-// How long a fault of the kind lasts.
+// Range of the durations of faults of this kind.
 DurationRange duration_range(FaultKind kind) {
     switch (kind) {
         case FaultKind::kill_every_proxy:
@@ -35,7 +35,7 @@
     return kind == FaultKind::cut_machines || kind == FaultKind::cut_controls || kind == FaultKind::cut_proxies;
 }
 
-// Told to the processes in a moment, and over.
+// A single signal without a duration.
 bool is_instantaneous(FaultKind kind) { return kind == FaultKind::hang_up_every_process; }
 
 bool affects_every_machine(FaultKind kind) {
@@ -48,7 +48,7 @@
            kind == FaultKind::host_answers_lost;
 }
 
-// How many machines, from the first, have what the kind of fault strikes.
+// Number of machines, counted from the first, that this kind of fault can affect.
 size_t candidate_count(FaultKind kind, FleetSize size) {
     switch (kind) {
         case FaultKind::kill_controls:
@@ -74,7 +74,7 @@
     }
 
 private:
-    // Two or three faults that overlap. Returns when the next episode begins.
+    // Adds two or three overlapping faults. Returns the start time of the next episode.
     double add_episode(double at) {
         const int count = 2 + chance_.below(2);
         double end = at;
@@ -83,7 +83,7 @@
             auto fault = random_fault(at + (i ? chance_.between(0, max_start_gap) : 0));
             if (fault.end() > length_) fault.duration = length_ - fault.at;
             if (fault.duration < min_duration || !is_tolerated(fault)) continue;
-            if (fault.kind == FaultKind::wipe_control) pause = std::max(pause, catch_up);
+            if (fault.kind == FaultKind::wipe_control) pause = std::max(pause, catch_up_time);
             end = std::max(end, fault.end());
             faults_.push_back(std::move(fault));
         }
@@ -116,12 +116,13 @@
         return machines;
     }
 
-    // A lost disk and another control node out of order, at once or shortly after each other, are one loss too many.
+    // An erased data directory together with a fault of another control node, at the same time or within `catch_up_time`
+    // seconds, exceeds the tolerance of one machine.
     bool is_tolerated(const Fault& fault) const {
         if (!affects_control(fault, size_.controls)) return true;
         return std::none_of(faults_.begin(), faults_.end(), [&](const Fault& other) {
             const bool wipes = other.kind == FaultKind::wipe_control || fault.kind == FaultKind::wipe_control;
-            const bool near = fault.at < other.end() + catch_up && other.at < fault.end() + catch_up;
+            const bool near = fault.at < other.end() + catch_up_time && other.at < fault.end() + catch_up_time;
             return wipes && near && affects_control(other, size_.controls);
         });
     }
@@ -194,8 +195,7 @@
         return false;
     }
     if (from_inside == to_inside) return false;
-    const bool leaves =
-        (direction == Direction::forward) == from_inside;   // the bytes come from a machine that is named
+    const bool leaves = (direction == Direction::forward) == from_inside;   // the bytes come from an affected machine
     return cut.side == CutSide::both || (cut.side == CutSide::outward) == leaves;
 }
 
--- a/src/soak/relay.cpp
+++ b/src/soak/relay.cpp
@@ -18,7 +18,7 @@
 
 }   // namespace
 
-// A connection that was accepted, and the one that carries it on.
+// An accepted connection and the connection to the node that it is forwarded to.
 class Relay::ConnectionPair : public std::enable_shared_from_this<ConnectionPair> {
 public:
     ConnectionPair(tcp::socket client, asio::io_context& context, const RelayOptions& options, const RelayRules& rules)
@@ -40,12 +40,12 @@
     }
 
 private:
-    // What goes one way.
+    // State of one direction.
     struct Pipe {
         std::array<char, 16384> buffer{};
-        std::string pending;   // has come and has not been passed on
-        bool ended = false;    // nothing comes behind it
-        bool done = false;     // and the other side knows
+        std::string pending;   // received and not yet forwarded
+        bool ended = false;    // the source has closed its side
+        bool done = false;     // the end was forwarded to the target
         std::optional<asio::steady_timer> timer;
         std::chrono::steady_clock::time_point pending_since{};
     };
@@ -125,7 +125,7 @@
     const RelayOptions& options_;
     const RelayRules& rules_;
     tcp::socket client_, node_;
-    std::array<Pipe, 2> pipes_;   // by way
+    std::array<Pipe, 2> pipes_;   // by direction
     messages::FrameReader first_frame_;
     std::optional<InternalConnection> connection_;
     bool identified_ = false, closed_ = false;
--- a/src/soak/relay.hpp
+++ b/src/soak/relay.hpp
@@ -1,6 +1,6 @@
-// A relay before a port of a control node: it listens where the node is reached by others, and forwards to where it
-// listens itself. Bytes that a cut holds up wait; as a system gives up data that nobody acknowledges, the relay resets a
-// connection whose bytes have waited for `given_up_after`.
+// A TCP relay in front of a port of a control node: it listens on the node's advertised address and forwards to the
+// address on which the node listens. Bytes that a cut blocks are buffered. Like an operating system that gives up on
+// unacknowledged data, the relay resets a connection whose bytes have been blocked for `blocked_data_timeout`.
 #pragma once
 #include <asio.hpp>
 
@@ -15,22 +15,22 @@
 
 constexpr std::chrono::milliseconds blocked_data_timeout{1500};
 
-// What befalls connections at this moment.
+// The faults that currently affect connections.
 struct RelayRules {
-    std::function<bool(const InternalConnection&, Direction)> is_blocked;   // the bytes that go this way wait
-    std::function<bool()> resets_response;   // asked for each piece that comes back: the connection is reset
+    std::function<bool(const InternalConnection&, Direction)> is_blocked;   // bytes in this direction are held back
+    std::function<bool()> resets_response;   // called for each piece of data sent backward; true resets the connection
 };
 
 struct RelayOptions {
     Endpoint at, to;
-    // Tells from the first frame on a connection who has dialed; empty for ports that don't carry frames, which no cut
-    // concerns.
+    // Identifies the node that opened a connection from its first frame. Empty for ports that do not carry frames; cuts
+    // do not affect those.
     std::function<std::optional<InternalConnection>(const std::string& json)> identify;
 };
 
 class Relay {
 public:
-    // Listens at once; throws asio::system_error where it can't.
+    // Starts listening; throws asio::system_error on failure.
     Relay(asio::io_context& context, RelayOptions options, RelayRules rules);
 
 private:
--- a/src/soak/timing.hpp
+++ b/src/soak/timing.hpp
@@ -1,4 +1,4 @@
-// Timers of the soak's stand-ins, in seconds.
+// Timer helpers of the soak; times are in seconds.
 #pragma once
 #include <asio.hpp>
 
@@ -11,7 +11,7 @@
     return std::chrono::duration_cast<std::chrono::nanoseconds>(std::chrono::duration<double>(seconds));
 }
 
-// Calls `then` after so many seconds, unless the timer is set anew or ends before.
+// Calls `then` after the given number of seconds, unless the timer is set again, cancelled or destroyed before.
 template <class Then>
 void after(asio::steady_timer& timer, double seconds, Then then) {
     timer.expires_after(nanoseconds(seconds));
--- a/tests/system/soak_test.cpp
+++ b/tests/system/soak_test.cpp
@@ -1,4 +1,4 @@
-// Parts of the soak by themselves: its plan, its counting and judging. Nothing here sleeps or opens a socket.
+// Unit tests of the soak: fault plans, the checker and the quota check. Nothing here sleeps or opens a socket.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -26,7 +26,8 @@
 
 bool overlap(const Fault& a, const Fault& b) { return a.at < b.end() && b.at < a.end(); }
 
-// The greatest share of what is allowed, by adding up each window that begins on the grid.
+// Reference implementation: the highest share of the allowed cost, by summing each window that starts on a whole
+// second.
 double reference_peak_share(const std::vector<QuotaUse>& uses, const std::vector<QuotaLimit>& limits,
                             const QuotaBounds& bounds, int first, int last) {
     double max_share = 0;
@@ -53,7 +54,7 @@
 
 }   // namespace
 
-TEST_CASE("a process handles a signal that it catches, ignores or holds back, and no other") {
+TEST_CASE("a process survives a signal only if it catches, ignores or blocks it") {
     const std::string before_main =
         "Name:\tmyrtlerouted\nSigQ:\t1/2\nSigBlk:\t0000000000000000\n"
         "SigIgn:\t0000000000000000\nSigCgt:\t0000000180000000\n";
@@ -73,7 +74,7 @@
     CHECK_FALSE(handles_signal("", SIGHUP));
 }
 
-TEST_CASE("a change of the tenants alone makes the whole of the next version") {
+TEST_CASE("a patch of the tenants gives the same document as the whole next version") {
     Limits before, after;
     for (const auto& tenant : tenants()) {
         before[tenant.name] = tenant.limit;
@@ -85,12 +86,12 @@
     CHECK(nlohmann::json::parse(result.document) == nlohmann::json::parse(configuration_text(5, after)));
 }
 
-TEST_CASE("a seed gives one plan, another seed another") {
+TEST_CASE("the same seed gives the same fault plan, another seed a different one") {
     CHECK(generate_plan(7, {}, run_length).faults == generate_plan(7, {}, run_length).faults);
     CHECK(generate_plan(7, {}, run_length).faults != generate_plan(8, {}, run_length).faults);
 }
 
-TEST_CASE("every kind of fault is drawn, most overlap, and none outlasts the run") {
+TEST_CASE("plans contain every kind of fault, most faults overlap, and none outlasts the run") {
     std::vector<size_t> drawn(static_cast<size_t>(FaultKind::kinds));
     size_t faults = 0, overlapping = 0;
     for (uint64_t seed = 1; seed <= seed_count; ++seed) {
@@ -109,21 +110,21 @@
     CHECK(overlapping > faults * 2 / 3);
 }
 
-TEST_CASE("a disk is lost only while the other control nodes are well and have caught up") {
+TEST_CASE("a data directory is erased only while the other control nodes have no fault and have caught up") {
     for (uint64_t seed = 1; seed <= seed_count; ++seed) {
         const auto plan = generate_plan(seed, {}, run_length);
         for (const auto& wipe : plan.faults) {
             if (wipe.kind != FaultKind::wipe_control) continue;
             CHECK(wipe.machines.size() == 1);
             for (const auto& other : plan.faults) {
-                const bool near = other.at < wipe.end() + catch_up && wipe.at < other.end() + catch_up;
+                const bool near = other.at < wipe.end() + catch_up_time && wipe.at < other.end() + catch_up_time;
                 CHECK_FALSE((&other != &wipe && near && affects_control(other, FleetSize{}.controls)));
             }
         }
     }
 }
 
-TEST_CASE("planned work is stops one after the other, that overlap, and reloads; the same for a seed") {
+TEST_CASE("planned work consists of stops in series and reloads only, and is the same for the same seed") {
     constexpr FleetSize size{4, 8};
     CHECK(generate_planned_work(7, size, run_length).faults == generate_planned_work(7, size, run_length).faults);
     for (uint64_t seed = 1; seed <= seed_count; ++seed) {
@@ -146,7 +147,7 @@
     }
 }
 
-TEST_CASE("a cut holds up what passes between its machines and the others, on its sides") {
+TEST_CASE("a cut blocks bytes between its machines and the others, only in its directions") {
     const InternalConnection in{false, 0, 1}, out{false, 1, 0}, beside{false, 2, 3}, of_proxy{true, 1, 0},
         own_proxy{true, 1, 1};
     const Fault machines{FaultKind::cut_machines, 0, 1, {1}, CutSide::both};
@@ -174,7 +175,7 @@
     CHECK_FALSE(blocks(Fault{FaultKind::kill_proxies, 0, 1, {1}, CutSide::both}, in, Direction::forward));
 }
 
-TEST_CASE("the count of windows agrees with adding each of them up") {
+TEST_CASE("the peak usage equals that of the reference implementation") {
     lab::RandomStream chance(1, 1);
     const QuotaBounds bounds{8, 0.1, 3};
     for (int round = 0; round < 300; ++round) {
@@ -185,7 +186,7 @@
         }
         std::vector<QuotaLimit> limits{{5, 4, -100, 100}};
         for (int i = 0; i < 3; ++i) {
-            const double from = chance.below(40) + 0.5;   // off the grid: at a moment itself either side would do
+            const double from = chance.below(40) + 0.5;   // not a whole second, where either result would be right
             limits.push_back({1.0 + chance.below(12), 4, from, from + chance.below(20)});
         }
         const auto peak = peak_usage(uses, limits, bounds);
@@ -193,7 +194,7 @@
     }
 }
 
-TEST_CASE("what was sent before a window or runs after it does not count in it") {
+TEST_CASE("a request sent before a window or run after it does not count in it") {
     const QuotaBounds bounds{8, 0, 0};
     const std::vector<QuotaLimit> limits{{1, 0, 0, 1000}};
     CHECK_FALSE(peak_usage({{10, 19, 100}}, limits, bounds).is_exceeded());
@@ -202,7 +203,7 @@
     CHECK(peak_usage({{10, 11, 5}, {18, 18, 4}}, limits, bounds).is_exceeded());
 }
 
-TEST_CASE("the higher limit holds until every proxy must have the lower one") {
+TEST_CASE("a lowered limit is enforced only from when every proxy must have it") {
     Checker checker({8, 0, 0});
     const auto play = [&](const std::string& id, double at, double cost) {
         checker.request_sent({id, "t", cost, true}, at);
@@ -225,7 +226,7 @@
     CHECK_FALSE(has(checker, Rule::quota));
 }
 
-TEST_CASE("a configuration is in force once all has been calm since its acknowledgement") {
+TEST_CASE("a configuration is in force once no fault has been active for a while after its acknowledgement") {
     const std::vector<std::pair<double, double>> disturbances{{4, 9}, {8, 10}, {20, 21}};
     CHECK(stable_since(disturbances, 5, 3, 100) == 13);
     CHECK(stable_since(disturbances, 14, 3, 100) == 14);
@@ -233,18 +234,18 @@
     CHECK_FALSE(stable_since(disturbances, 21, 3, 23));
 }
 
-TEST_CASE("requests are judged by what hosts have run and what clients have got") {
+TEST_CASE("the checker reports requests that run twice, run after a refusal or were never sent, and wrong responses") {
     Checker checker({8, 0, 1000});
     checker.configuration_sent(1, {{"t", {100, 0}}}, 0);
     checker.request_sent({"a", "t", 10, false}, 1);
-    SUBCASE("sound") {
+    SUBCASE("a correct response") {
         checker.request_ran("a", "t", 1);
         checker.response_received("a", valid_response, 2);
         checker.finish();
         CHECK(checker.violations().empty());
         CHECK(checker.served_share("t", 0, 2, 1) == 1);
     }
-    SUBCASE("it runs twice") {
+    SUBCASE("a request that must not be repeated runs twice") {
         checker.request_ran("a", "t", 1), checker.request_ran("a", "t", 2);
         CHECK(has(checker, Rule::twice));
     }
@@ -253,42 +254,43 @@
         checker.request_ran("b", "t", 1), checker.request_ran("b", "t", 2);
         CHECK(checker.violations().empty());
     }
-    SUBCASE("it is refused and runs") {
+    SUBCASE("a refused request runs") {
         checker.response_received("a", {429, "", false, false}, 2);
         checker.request_ran("a", "t", 3);
         checker.finish();
         CHECK(has(checker, Rule::refused));
     }
-    SUBCASE("the answer is another request's") {
+    SUBCASE("the response belongs to another request") {
         checker.request_ran("a", "t", 1);
         checker.response_received("a", {200, "b", true, true}, 2);
         CHECK(has(checker, Rule::mixed));
     }
-    SUBCASE("the body is not whole") {
+    SUBCASE("the body is incomplete") {
         checker.request_ran("a", "t", 1);
         checker.response_received("a", {200, "a", true, false}, 2);
         CHECK(has(checker, Rule::mixed));
     }
-    SUBCASE("no host has signed it") {
+    SUBCASE("the response has no host signature") {
         checker.request_ran("a", "t", 1);
         checker.response_received("a", {200, "a", false, true}, 2);
         CHECK(has(checker, Rule::mixed));
     }
-    SUBCASE("no host has run it") {
+    SUBCASE("a request has a response but no host has run it") {
         checker.response_received("a", valid_response, 2);
         CHECK(has(checker, Rule::mixed));
     }
-    SUBCASE("it runs as another tenant's") {
+    SUBCASE("a request runs as one of another tenant") {
         checker.request_ran("a", "u", 1);
         CHECK(has(checker, Rule::unasked));
     }
-    SUBCASE("nobody has sent it") {
+    SUBCASE("a request runs that no client has sent") {
         checker.request_ran("c", "t", 1);
         CHECK(has(checker, Rule::unasked));
     }
 }
 
-TEST_CASE("under planned work alone a request that was read is answered, and one that was left unread has not run") {
+TEST_CASE(
+    "under planned work a request that was read but not answered is lost, and so is one left unread that has run") {
     for (const bool planned : {false, true}) {
         CAPTURE(planned);
         for (const std::string how : {"answered", "cut", "unread", "unread and run"}) {
@@ -297,7 +299,7 @@
             checker.request_sent({"a", "t", 10, true}, 1);
             if (how != "unread") checker.request_ran("a", "t", 1);
             if (how == "answered") checker.response_received("a", valid_response, 2);
-            if (how == "cut") checker.response_cut("a", "with no answer", 2);
+            if (how == "cut") checker.response_cut("a", "with no response", 2);
             if (how.starts_with("unread")) checker.request_unread("a", 2);
             CHECK(has(checker, Rule::lost) == (planned && (how == "cut" || how == "unread and run")));
             CHECK(checker.cuts() == (how == "cut"));
@@ -306,7 +308,7 @@
     }
 }
 
-TEST_CASE("counters of broken invariants are found by their names") {
+TEST_CASE("counters of invariant violations are found by name if they are above 0") {
     const std::string text =
         "# TYPE quota_violations_total counter\nquota_violations_total{tenant=\"a b\"} 0\nrequests_total 7\n"
         "order_violations_total 2\nquota_violations_total{tenant=\"c\"} 1.0\n";
@@ -315,7 +317,7 @@
     CHECK(violated_counters("").empty());
 }
 
-TEST_CASE("the operator's configurations are sound") {
+TEST_CASE("the operator's configurations are valid") {
     Limits limits;
     for (const auto& tenant : tenants()) limits[tenant.name] = tenant.limit;
     const auto checked = configuration::read_configuration(configuration_text(3, limits));
@@ -327,7 +329,7 @@
     for (size_t i = 0; i < read.routes.size(); ++i) CHECK(read.routes[i].is_retryable() == routes[i].repeatable);
 }
 
-TEST_CASE("a body is a host's only if it is whole and of the request") {
+TEST_CASE("a body is accepted only if it is complete and belongs to the request") {
     CHECK(is_complete_body("r end\n", "r", false));
     CHECK_FALSE(is_complete_body("r en", "r", false));
     std::string events;
