--- a/src/soak/checker.cpp
+++ b/src/soak/checker.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr double never = 1e18;
-constexpr size_t max_violations = 200;   // told of one run
+constexpr size_t max_violations = 200;   // reported for one run
 
 bool is_success(int status) { return status >= 200 && status < 300; }
 
-// Statuses that promise that a request has not run and never will.
+// Whether the status guarantees that the request has not run and never will.
 bool promises_not_run(int status) { return status == 429 || status == 503 || status == 408 || status == 421; }
 
 }   // namespace
@@ -38,12 +38,15 @@
 
 void Checker::request_ran(const std::string& id, const std::string& tenant, double now) {
     const auto known = by_id_.find(id);
-    if (known == by_id_.end()) return report(Rule::unasked, now, "a host ran '" + id + "', which no client sent");
+    if (known == by_id_.end())
+        return report(Rule::unasked, now, "a host ran request '" + id + "', which no client sent");
     auto& request = requests_[known->second];
     request.runs.push_back(now);
     if (tenant != request.sent.tenant)
-        report(Rule::unasked, now, id + " of " + request.sent.tenant + " ran as one of '" + tenant + "'");
-    if (request.runs.size() > 1 && !request.sent.repeatable) report(Rule::twice, now, id + " ran again");
+        report(Rule::unasked, now,
+               "request " + id + " of tenant " + request.sent.tenant + " ran as a request of tenant '" + tenant + "'");
+    if (request.runs.size() > 1 && !request.sent.repeatable)
+        report(Rule::twice, now, "request " + id + " ran more than once");
 }
 
 void Checker::response_received(const std::string& id, const ReceivedResponse& answer, double now) {
@@ -52,11 +55,11 @@
     request.answered_at = now;
     if (!is_success(answer.status)) return;
     ++served_;
-    const std::string of = " answer of " + id;
-    if (!answer.signed_by_host) report(Rule::mixed, now, "no host's signature in the" + of);
-    if (answer.id != id) report(Rule::mixed, now, "'" + answer.id + "' is the id in the" + of);
-    if (!answer.body_matches) report(Rule::mixed, now, "another body than the host's in the" + of);
-    if (request.runs.empty()) report(Rule::mixed, now, "no host ran what led to the" + of);
+    const std::string of = " response to request " + id;
+    if (!answer.signed_by_host) report(Rule::mixed, now, "no host signature in the" + of);
+    if (answer.id != id) report(Rule::mixed, now, "request id '" + answer.id + "' in the" + of);
+    if (!answer.body_matches) report(Rule::mixed, now, "the body differs from that of the host in the" + of);
+    if (request.runs.empty()) report(Rule::mixed, now, "no host ran the request before the" + of);
 }
 
 void Checker::response_cut(const std::string& id, const char* how, double now) {
@@ -65,7 +68,7 @@
     ++cuts_;
     if (!planned_only_) return;
     report(Rule::lost, now,
-           id + ", sent to machine " + std::to_string(request.sent.proxy) + " " +
+           "request " + id + ", sent to machine " + std::to_string(request.sent.proxy) + " " +
                std::to_string(now - request.sent_at) + " s before, was cut " + how);
 }
 
@@ -74,7 +77,7 @@
     request.answered_at = now;
     ++unread_;
     if (!planned_only_ || request.runs.empty()) return;
-    report(Rule::lost, now, id + " has run, and its connection was reset");
+    report(Rule::lost, now, "request " + id + " was run, but its connection was reset without a response");
 }
 
 void Checker::configuration_sent(uint64_t version, const Limits& limits, double now) {
@@ -86,7 +89,7 @@
         if (known.number == version) known.in_force = in_force;
 }
 
-// A limit ends as soon as a later version must be in force everywhere.
+// A limit ends when a later version must be in force on every proxy.
 std::vector<QuotaLimit> Checker::limits_of(const std::string& tenant) const {
     std::vector<QuotaLimit> limits;
     double until = never;
@@ -106,16 +109,17 @@
     const auto peak = peaks_[tenant] = peak_usage(uses, limits_of(tenant), bounds_);
     if (!peak.is_exceeded()) return;
     std::ostringstream text;
-    text << std::fixed << std::setprecision(0) << tenant << " was granted " << peak.granted << " in " << bounds_.window
-         << " s from " << std::setprecision(3) << peak.from << " on, " << std::setprecision(0) << peak.allowed
-         << " were allowed (" << std::setprecision(1) << (peak.share() - 1) * 100 << "% over)";
+    text << std::fixed << std::setprecision(0) << "tenant " << tenant << " was granted " << peak.granted << " in "
+         << bounds_.window << " s from " << std::setprecision(3) << peak.from << " on, " << std::setprecision(0)
+         << peak.allowed << " were allowed (" << std::setprecision(1) << (peak.share() - 1) * 100 << "% over)";
     report(Rule::quota, peak.from, text.str());
 }
 
 void Checker::check_refused(const Request& request) {
     if (request.sent.repeatable || request.runs.empty() || !promises_not_run(request.status)) return;
-    report(Rule::refused, request.answered_at,
-           request.sent.id + " was answered " + std::to_string(request.status) + " and has run");
+    report(
+        Rule::refused, request.answered_at,
+        "request " + request.sent.id + " was answered with status " + std::to_string(request.status) + " but was run");
 }
 
 void Checker::finish() {
--- a/src/soak/fleet.cpp
+++ b/src/soak/fleet.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr double stop_grace = 8;        // seconds from SIGTERM to SIGKILL
-constexpr double restart_delay = 0.2;   // of a process that has ended
-constexpr double exec_delay = 0.1;      // from its start: it is no copy of the soak any more
+constexpr double restart_delay = 0.2;   // seconds from the end of a process to its next start
+constexpr double exec_delay = 0.1;      // seconds after the start; until exec the process is still a copy of the soak
 constexpr size_t max_seed_nodes = 3;
 constexpr size_t machine_group = 0, advertised_group = 1, host_group = 2;
 constexpr uint16_t lock_port = 7499;
@@ -41,7 +41,7 @@
         if (!error) return;
         lock_.close();
     }
-    throw std::runtime_error("no block of loopback addresses is free");
+    throw std::runtime_error("no free block of loopback addresses in 127.20.0.0 to 127.219.255.255");
 }
 
 std::string Addresses::at(size_t group, size_t number) const {
@@ -78,7 +78,7 @@
                          [&](const auto& p) { return p.role == role && p.machine == machine; });
 }
 
-// The file of the process as it stands at this start: only the very first one is a bootstrap.
+// The settings file for this start of the process; only the first start of the fleet bootstraps the cluster.
 std::string Fleet::settings(const Process& process) const {
     const auto ip = addresses_.machine(process.machine);
     const auto listen = [&](const char* what, uint16_t port) {
@@ -117,8 +117,8 @@
     return false;
 }
 
-// A signal that comes before the program has got as far as to handle it would end the process, however long that takes on a
-// busy machine; a service manager waits for its word that it is ready.
+// A signal that arrives before the program has installed its handler would terminate the process, and on a busy machine
+// that can take any length of time. A service manager avoids this by waiting for the readiness notification.
 bool Fleet::can_handle(const Process& process, int signal, double now) {
     if (!process.pid || now < process.started_at + exec_delay) return false;
     std::ifstream file("/proc/" + std::to_string(process.pid) + "/status");
@@ -193,7 +193,7 @@
     if (can_handle(reloaded, SIGHUP, now)) ::kill(reloaded.pid, SIGHUP);
 }
 
-// The disk is emptied once nothing writes to it any more.
+// Erases the data directory after the process has ended, so that nothing writes to it any more.
 void Fleet::wipe(size_t machine, double restart_at) {
     kill(Role::control, machine, restart_at);
     auto& wiped = process(Role::control, machine);
--- a/src/soak/fleet.hpp
+++ b/src/soak/fleet.hpp
@@ -1,5 +1,5 @@
-// The processes of the fleet under test: their settings files, starts, pauses and ends. Each process is ended by its id,
-// and with the soak itself, however that ends.
+// The processes of the fleet under test: writes their settings files, starts, pauses, stops and kills them. Each
+// process is signalled by its process id, and is killed when the soak process ends, for whatever reason.
 #pragma once
 #include <asio.hpp>
 #include <sys/types.h>
@@ -17,10 +17,10 @@
 
 enum class Role { control, proxy };
 
-// A block of loopback addresses that no other run has; held as long as this lives.
+// A block of loopback addresses that no other run uses; reserved for the lifetime of the object.
 class AddressBlock {
 public:
-    // Throws std::runtime_error where none is free.
+    // Throws std::runtime_error if no block is free.
     explicit AddressBlock(asio::io_context& context);
     int number() const { return number_; }
 
@@ -29,16 +29,16 @@
     int number_ = 0;
 };
 
-// Addresses of a run: everything under 127.BLOCK is its own, so that several runs fit on one machine.
+// Addresses of a run: it uses 127.BLOCK.*.* alone, so that several runs can share a machine.
 class Addresses {
 public:
-    // `relayed`: control nodes are reached by way of relays, else where they listen.
+    // `relayed`: other processes reach control nodes through relays, otherwise directly at their listening addresses.
     Addresses(int block, size_t controls, bool relayed = true)
         : block_(block), controls_(controls), relayed_(relayed) {}
-    std::string machine(size_t number) const;      // where its processes listen
-    std::string advertised(size_t number) const;   // where its relays listen
-    std::string host(size_t number) const;         // of a stand-in host
-    Endpoint control(size_t machine) const;        // as hosts and the operator know it
+    std::string machine(size_t number) const;      // where the machine's processes listen
+    std::string advertised(size_t number) const;   // where the machine's relays listen
+    std::string host(size_t number) const;         // of a simulated host
+    Endpoint control(size_t machine) const;        // that hosts and the operator connect to
     Endpoint metrics(Role role, size_t machine) const;
     size_t controls() const { return controls_; }
 
@@ -53,41 +53,43 @@
 
 struct FleetOptions {
     std::string program;     // myrtlerouted
-    std::string directory;   // for settings, logs and disks
+    std::string directory;   // for settings files, logs and data directories
     FleetSize size;
     double quota_over = 0.1, quota_slack = 50000, quota_window = 8;
 };
 
-// Whether a process whose /proc/PID/status this is handles, ignores or holds back that signal; else it would be ended by it.
+// Whether the process with this text of /proc/PID/status handles, ignores or blocks the signal; otherwise the signal
+// would terminate it.
 bool handles_signal(std::string_view status, int number);
 
 class Fleet {
 public:
-    // `own_end`: a process has ended that nobody was to end.
+    // `on_unexpected_exit` is called with a description when a process ends without being told to, or with an
+    // unexpected status.
     Fleet(FleetOptions options, Addresses addresses, std::function<void(const std::string&)> on_unexpected_exit);
     ~Fleet() { kill_all(); }
     Fleet(const Fleet&) = delete;
     Fleet& operator=(const Fleet&) = delete;
 
     void start();
-    void tick(double now);   // reaps, and starts what is due; every few milliseconds
-    void kill_all();         // kills every process and waits for it
+    void tick(double now);   // reaps processes and starts those that are due; call it every few milliseconds
+    void kill_all();         // kills all processes and waits for them
 
-    void kill(Role role, size_t machine, double restart_at);   // SIGKILL; started again at `back_at`
-    void stop(Role role, size_t machine, double now);          // SIGTERM, SIGKILL after the grace
+    void kill(Role role, size_t machine, double restart_at);   // SIGKILL; restarted at `restart_at`
+    void stop(Role role, size_t machine, double now);          // SIGTERM, then SIGKILL after the grace period
     void pause(Role role, size_t machine, bool paused);
-    void reload(Role role, size_t machine, double now);   // SIGHUP: the settings file has changed
-    void wipe(size_t machine, double restart_at);         // a control node and its disk
+    void reload(Role role, size_t machine, double now);   // SIGHUP: reload the settings file
+    void wipe(size_t machine, double restart_at);         // kills a control node and erases its data directory
 
 private:
     struct Process {
         Role role = Role::control;
         size_t machine = 0;
-        pid_t pid = 0;                // 0: does not run
-        bool end_requested = false;   // by a signal of the soak's
-        double restart_at = 0;        // it does not start before
+        pid_t pid = 0;                // 0: not running
+        bool end_requested = false;   // the soak has sent SIGTERM or SIGKILL
+        double restart_at = 0;        // earliest time of the next start
         double started_at = 0;
-        double kill_at = 0;   // where it was told to stop: the end of the grace
+        double kill_at = 0;   // end of the grace period after SIGTERM; 0: none
         int pause_count = 0;
         std::string name;
     };
--- a/src/soak/quota_check.cpp
+++ b/src/soak/quota_check.cpp
@@ -6,7 +6,7 @@
 namespace myrtleroute::soak {
 namespace {
 
-// Costs by a moment, for sums of all that come before one.
+// Costs by time, with prefix sums for the total up to a given time.
 class CumulativeCosts {
 public:
     void add(double at, double cost) { costs_.emplace_back(at, cost); }
@@ -23,7 +23,7 @@
         return sums_[static_cast<size_t>(end - costs_.begin())];
     }
 
-    double until(double moment) const {   // and at it
+    double until(double moment) const {   // and including it
         const auto end =
             std::partition_point(costs_.begin(), costs_.end(), [&](const auto& c) { return c.first <= moment; });
         return sums_[static_cast<size_t>(end - costs_.begin())];
@@ -46,11 +46,13 @@
     return allowed;
 }
 
-// A request that ran more than a window after it was sent lies in no window. Without those, what was sent before a window
-// has run by its end, so that what lies in it is all that ran by its end less all that was sent before its start.
+// A request that ran more than one window length after it was sent lies in no window. Without those, every request sent
+// before a window starts has run by the window's end, so the cost within the window is the cost of all requests run by
+// its end minus the cost of all requests sent before its start.
 //
-// The sum is greatest where a window begins with a sending; what is allowed drops with a window's start and rises with its
-// end, so windows that end with a run are looked at as well.
+// The sum has its maximum in a window that starts when a request is sent. The allowed amount falls as a window's start
+// moves past the end of a limit and rises as its end moves past the start of one, so windows that end when a request is
+// run are checked as well.
 QuotaPeak peak_usage(const std::vector<QuotaUse>& uses, const std::vector<QuotaLimit>& limits,
                      const QuotaBounds& bounds) {
     CumulativeCosts sent, ran;
--- a/src/soak/quota_check.hpp
+++ b/src/soak/quota_check.hpp
@@ -1,6 +1,6 @@
-// Whether a tenant has been granted more than its quota in some window, from what was sent and what hosts have run.
+// Checks whether a tenant was granted more than its quota in any window, from the requests that were sent and run.
 //
-// Times are seconds of the run; costs are units of the quota, such as tokens.
+// Times are seconds since the start of the run; costs are in units of the quota, such as tokens.
 #pragma once
 #include <vector>
 
@@ -8,11 +8,11 @@
 
 // A request that a host has run.
 struct QuotaUse {
-    double sent = 0, ran = 0;   // by the client; begun by the host
+    double sent = 0, ran = 0;   // when the client sent it; when a host started to run it
     double cost = 0;
 };
 
-// A limit that may be in force from when its configuration was sent until every proxy must have a later one.
+// A limit that may be in force: from the sending of its configuration until every proxy must apply a later one.
 struct QuotaLimit {
     double rate = 0, burst = 0;
     double from = 0, until = 0;
@@ -20,11 +20,11 @@
 
 struct QuotaBounds {
     double window = 8;
-    double tolerance = 0;   // tolerated share beyond the limit
-    double slack = 0;       // units beyond it
+    double tolerance = 0;   // tolerated excess as a share of the quota
+    double slack = 0;       // tolerated excess in units, in addition
 };
 
-// The window in which the most was granted, compared with what was allowed.
+// The window with the highest ratio of granted to allowed units.
 struct QuotaPeak {
     double from = 0;   // start of the window
     double granted = 0, allowed = 0;
@@ -32,10 +32,12 @@
     bool is_exceeded() const { return granted > allowed; }
 };
 
-// What the highest of the limits that may be in force in the window from `from` on allows; 0 where none is.
+// Units allowed in the window that starts at `from`, by the highest limit that may be in force in it; 0 if there is
+// none.
 double allowed_in_window(const std::vector<QuotaLimit>& limits, const QuotaBounds& bounds, double from);
 
-// Counts requests that were both sent and run within a window; windows of every start are looked at.
+// Returns the peak over windows with every possible start. A request counts in a window if it was both sent and run in
+// it.
 QuotaPeak peak_usage(const std::vector<QuotaUse>& uses, const std::vector<QuotaLimit>& limits,
                      const QuotaBounds& bounds);
 
