--- a/src/soak/clients.cpp
+++ b/src/soak/clients.cpp
@@ -9,11 +9,11 @@
 namespace myrtleroute::soak {
 namespace {
 
-constexpr double min_prompt = 200, mean_prompt = 1000;   // tokens; a prompt is longer than the least by a random part
+constexpr double min_prompt = 200, mean_prompt = 1000;   // tokens: the minimum plus a random part of this mean
 constexpr double min_output = 20, max_output = 200;
 constexpr double mean_cost = min_prompt + mean_prompt + (min_output + max_output) / 2;
-constexpr double demand_factors[] = {0.3, 1, 4, 8};   // times the rate
-constexpr double min_phase = 4, max_phase = 8;        // seconds between jumps
+constexpr double demand_factors[] = {0.3, 1, 4, 8};   // multiples of the rate
+constexpr double min_phase = 4, max_phase = 8;        // seconds between changes of the demand
 constexpr Span client_timeout{4};
 constexpr int deadline_ms = 3000;
 
--- a/src/soak/clients.hpp
+++ b/src/soak/clients.hpp
@@ -1,5 +1,5 @@
-// Clients of several tenants: some ask for several times their quota, one jumps now and then. They connect to proxies
-// that are ready, as the platform hands them out, with uneven shares.
+// Clients of several tenants: some demand several times their quota, the demand of one changes in steps. Each request
+// uses a new connection to a ready proxy that `Platform` chooses, with unequal shares.
 #pragma once
 #include <asio.hpp>
 
@@ -16,21 +16,21 @@
 
 struct Tenant {
     std::string name, key;
-    TenantLimit limit;             // at first
-    double demand = 1;             // times its first rate
-    bool varying_demand = false;   // its demand is drawn anew every few seconds
-    bool varying_limit = false;    // the operator changes its limit
+    TenantLimit limit;             // of the first configuration
+    double demand = 1;             // offered load as a multiple of the initial rate
+    bool varying_demand = false;   // a new random demand every few seconds
+    bool varying_limit = false;    // the operator changes its limit during the run
 };
 
-// One that stays below its quota, and others that don't.
+// The tenants of a run: `modest` stays within its quota, the others may exceed it.
 const std::vector<Tenant>& tenants();
-// The tenant that is always within its quota: what it is refused is no fault of its own.
+// The tenant that always stays within its quota, so refusals of its requests are not caused by its own demand.
 constexpr const char* modest_tenant = "modest";
-// The tenant of the clients that keep their connections (`KeptClients`).
+// The tenant of the clients with persistent connections (`KeptClients`).
 constexpr const char* kept_tenant = "kept";
 constexpr const char* kept_key = "key-kept";
 
-// A route as clients use it and the operator configures it.
+// A route that clients send requests to and that the operator configures.
 struct ClientRoute {
     const char* path;
     const char* kind;
@@ -41,7 +41,7 @@
 constexpr ClientRoute routes[] = {{"/plain/", "idempotent", "plain", true, false, 0.3},
                                   {"/once/", "non_idempotent", "plain", false, false, 0.3},
                                   {"/stream/", "streaming", "model", false, true, 0.4},
-                                  {"/long/", "streaming", "model", true, true, 0}};   // of `KeptClients` only
+                                  {"/long/", "streaming", "model", true, true, 0}};   // used by `KeptClients` only
 constexpr const char* route_host = "soak.example";
 
 std::string new_request_id(lab::RandomStream& chance);
@@ -50,7 +50,7 @@
 public:
     Clients(asio::io_context& context, Checker& checker, Platform& platform, uint64_t seed,
             std::function<double()> now);
-    void start();   // until the io_context ends
+    void start();   // sends requests until the io_context stops
 
 private:
     struct Caller {
--- a/src/soak/kept_clients.cpp
+++ b/src/soak/kept_clients.cpp
@@ -13,10 +13,10 @@
 
 using asio::ip::tcp;
 
-constexpr double mean_request_pause = 0.1;   // seconds between an answer and the next request
+constexpr double mean_request_pause = 0.1;   // seconds between a response and the next request
 constexpr double reconnect_delay = 0.05;     // seconds
-constexpr double response_timeout = 14;      // seconds for an answer
-constexpr double reset_check_delay = 1.5;    // seconds behind an end without an answer: a reset has come by then
+constexpr double response_timeout = 14;      // seconds for a response
+constexpr double reset_check_delay = 1.5;    // seconds after an end without a response; a reset has arrived by then
 constexpr int deadline_ms = 12000;
 constexpr int cost = 10;   // tokens
 constexpr ClientRoute kept_routes[] = {{"/plain/", "idempotent", "plain", true, false, 0.3},
@@ -88,7 +88,7 @@
             http_.feed({buffer_.data(), n});
             if (http_.done() && !http_.fault()) return response_received();
             if (!error && !http_.fault()) return read();
-            if (http_.started()) return cut("in the middle of the answer");
+            if (http_.started()) return cut("in the middle of the response");
             if (error != asio::error::eof) return unread();
             after(timer_, reset_check_delay, [this] { check_for_reset(); });
         });
@@ -105,22 +105,22 @@
         after(timer_, chance_.exponential(mean_request_pause), [this] { send(); });
     }
 
-    // A reset that has come since makes the write fail.
+    // A reset that has arrived since then makes the write fail.
     void check_for_reset() {
         asio::error_code error;
         socket_.write_some(asio::buffer("\n", 1), error);
         if (error) return unread();
-        cut("with no answer");
+        cut("with no response");
     }
 
-    void timed_out() { cut("by the client, which has waited long enough,"); }
+    void timed_out() { cut("by the client's timeout"); }
 
     void cut(const char* how) {
         checker_.response_cut(request_.id, how, now_());
         reconnect();
     }
 
-    // The proxy has not read it: nothing was promised.
+    // The proxy has not read the request, so it has accepted no responsibility for it.
     void unread() {
         checker_.request_unread(request_.id, now_());
         reconnect();
--- a/src/soak/kept_clients.hpp
+++ b/src/soak/kept_clients.hpp
@@ -1,8 +1,8 @@
-// Clients that send one request after another on a connection that they keep, also to a proxy that stops, until it is
-// gone. They ask for streams of seconds beside short requests.
+// Clients that send requests one after another on a persistent connection, also while the proxy shuts down, until it
+// closes the connection. Besides short requests they send requests for streams that take seconds.
 //
-// A connection that ends without a whole answer is looked at once more: where the proxy had left bytes unread its close has
-// reset the connection, else it has read the whole request.
+// A connection that ends without a complete response is checked again later: if the proxy had left bytes unread, its
+// close has reset the connection; otherwise it had read the whole request.
 #pragma once
 #include <asio.hpp>
 
@@ -22,7 +22,7 @@
     KeptClients(asio::io_context& context, Checker& checker, Platform& platform, size_t count, uint64_t seed,
                 const std::function<double()>& now);
     ~KeptClients();
-    void start();   // until the io_context ends
+    void start();   // sends requests until the io_context stops
 
 private:
     class Client;
--- a/src/soak/operator.cpp
+++ b/src/soak/operator.cpp
@@ -10,15 +10,15 @@
 namespace myrtleroute::soak {
 namespace {
 
-constexpr Span request_timeout{1.5};                                 // for an answer
-constexpr double retry_delay = 0.2;                                  // seconds before an order is sent again
+constexpr Span request_timeout{1.5};                                 // for a response
+constexpr double retry_delay = 0.2;                                  // seconds before a request is repeated
 constexpr double min_change_interval = 2, max_change_interval = 6;   // seconds between changes
 constexpr double min_fast_interval = 0.05, max_fast_interval = 0.6;
-constexpr double min_factor = 0.4, max_factor = 2;   // of a limit that is moved, times the first one
+constexpr double min_factor = 0.4, max_factor = 2;   // of a changed limit, as a multiple of the initial one
 constexpr int max_redirects = 2;
 constexpr int timeout_ms = 3000, long_timeout_ms = 12000;   // of routes
 constexpr uint64_t max_version_step = 3;
-constexpr double patch_share = 0.5;   // of the orders that change limits alone
+constexpr double patch_share = 0.5;   // of the changes that are sent as a patch
 
 std::string number(double value) { return std::to_string(static_cast<int64_t>(value)); }
 
@@ -97,7 +97,7 @@
     version_ += 1 + static_cast<uint64_t>(chance_.below(static_cast<int>(max_version_step)));
     prepare_change();
     checker_.configuration_sent(version_, limits_, now_());
-    events_.log_event("configuration " + std::to_string(version_) + " is sent");
+    events_.log_event("configuration " + std::to_string(version_) + " was sent");
     send_again();
 }
 
@@ -134,8 +134,9 @@
     const bool refused = reply.status >= 400 && reply.status < 500 && reply.status != 408 && reply.status != 429;
     if (refused) {
         checker_.report(Rule::configuration, now_(),
-                        "configuration " + std::to_string(version_) + " on top of " + std::to_string(acknowledged_) +
-                            " was refused: " + std::to_string(reply.status) + " " + reply.body);
+                        "configuration " + std::to_string(version_) + " based on version " +
+                            std::to_string(acknowledged_) + " was refused: " + std::to_string(reply.status) + " " +
+                            reply.body);
         return;
     }
     after(timer_, retry_delay, [this] { send_again(); });
@@ -152,7 +153,7 @@
 
 void Operator::acknowledged() {
     acknowledged_ = version_;
-    events_.log_event("configuration " + std::to_string(version_) + " is acknowledged");
+    events_.log_event("configuration " + std::to_string(version_) + " was acknowledged");
     events_.acknowledged(version_);
     after(timer_, change_interval(), [this] { start(); });
 }
@@ -175,17 +176,17 @@
                           }});
 }
 
-// What is read must be what was acknowledged last, or what was sent after it.
+// The configuration that was read must be the last acknowledged one or one that was sent after it.
 void Operator::check_reading(const HttpReply& reply) {
     const auto document = nlohmann::json::parse(reply.body, nullptr, false);
     const auto read = std::find_if(bodies_.begin(), bodies_.end(),
                                    [&](const auto& known) { return nlohmann::json::parse(known.second) == document; });
     if (read == bodies_.end())
-        checker_.report(Rule::lost, now_(), "the configuration read back is none that was sent");
+        checker_.report(Rule::lost, now_(), "the configuration read back is not one that was sent");
     else if (read->first < acknowledged_)
         checker_.report(Rule::lost, now_(),
-                        "configuration " + std::to_string(acknowledged_) + " was acknowledged, " +
-                            std::to_string(read->first) + " is read back");
+                        "configuration " + std::to_string(acknowledged_) + " was acknowledged, but version " +
+                            std::to_string(read->first) + " was read back");
     if (read_done_) std::exchange(read_done_, {})();
 }
 
--- a/src/soak/operator.hpp
+++ b/src/soak/operator.hpp
@@ -1,4 +1,5 @@
-// The operator: sends configurations one after the other, each until it is acknowledged, and reads back the last one.
+// The simulated operator: sends configurations one after another, repeats each until it is acknowledged, and finally
+// reads the last one back.
 #pragma once
 #include <asio.hpp>
 
@@ -13,37 +14,38 @@
 
 namespace myrtleroute::soak {
 
-// The configuration of a version as it goes over the wire: the routes and services of the soak, its tenants with limits.
-// `varied`: beside these it has routes, services, weights, time-outs, tenants and keys that no client uses and that are
-// others in every version; so is the time for which connections may rest.
+// The JSON text of a configuration: the soak's routes, services and tenants with their limits.
+// `varied`: adds routes, services, weights, timeouts, tenants and keys that no client uses and that differ in every
+// version; the idle timeout of connections differs as well.
 std::string configuration_text(uint64_t version, const Limits& limits, bool varied = false);
 
-// The same where all but the limits is as in the version before: a change of the tenants alone.
+// The JSON text of a patch that changes only the tenants' limits of the previous version.
 std::string patch_text(uint64_t version, const Limits& limits);
 
-// What the operator tells of its orders.
+// Callbacks of the operator.
 struct OperatorEvents {
     std::function<void(uint64_t version)> acknowledged;
-    std::function<void(const std::string& text)> log_event;   // for the timeline
+    std::function<void(const std::string& text)> log_event;   // adds a line to the timeline
 };
 
 class Operator {
 public:
-    // Changes every few seconds; several a second; one as soon as the last is acknowledged, in all parts.
+    // slow: a change every few seconds; fast: several a second; storm: the next change, of all parts, as soon as the
+    // previous one is acknowledged.
     enum class Pace { slow, fast, storm };
     Operator(asio::io_context& context, Checker& checker, std::vector<Endpoint> controls, uint64_t seed,
              std::function<double()> now, OperatorEvents events, Pace pace = Pace::slow);
 
-    void start();   // sends the first configuration, and later ones that move limits
-    // Reads until an answer comes, and judges it. `done` is called once.
+    void start();   // sends the first configuration, and from then on further ones that change limits
+    // Reads the configuration until a response arrives, and checks it. Calls `done` once.
     void read_back(std::function<void()> done);
 
 private:
     void send(size_t control, int redirects);
     void handle_response(const HttpReply& reply, int redirects);
-    void prepare_change();   // the next version, whole or as a change of the one before
+    void prepare_change();   // builds the request for the next version: the whole document or a patch
     void acknowledged();
-    double change_interval();   // changes, in seconds
+    double change_interval();   // seconds until the next change
     void read(size_t control, int redirects);
     void check_reading(const HttpReply& reply);
     size_t random_control();
@@ -60,10 +62,10 @@
     Pace pace_;
     asio::steady_timer timer_;
     Limits limits_;
-    uint64_t version_ = 0, acknowledged_ = 0;   // sent and acknowledged last
-    std::map<uint64_t, std::string> bodies_;    // whole, by version
-    std::string method_, request_body_;         // as the order that is sent goes over the wire
-    bool stopped_ = false;                      // no further change
+    uint64_t version_ = 0, acknowledged_ = 0;   // last sent, last acknowledged
+    std::map<uint64_t, std::string> bodies_;    // whole documents, by version
+    std::string method_, request_body_;         // of the request that is being sent
+    bool stopped_ = false;                      // sends no further change
     std::function<void()> read_done_;
 };
 
--- a/src/soak/platform.hpp
+++ b/src/soak/platform.hpp
@@ -1,4 +1,4 @@
-// What the platform does for clients: it asks proxies whether they are ready, and hands out new connections unevenly.
+// The platform's load balancer for clients: checks the readiness of proxies and distributes new connections unevenly.
 #pragma once
 #include <asio.hpp>
 
@@ -9,7 +9,7 @@
 
 namespace myrtleroute::soak {
 
-// Where a proxy serves.
+// Addresses of a proxy: for clients and for readiness checks.
 struct ProxyAddresses {
     Endpoint front, ready;
 };
@@ -17,17 +17,17 @@
 class Platform {
 public:
     Platform(asio::io_context& context, std::vector<ProxyAddresses> proxies, uint64_t seed);
-    void start();   // asks once a second, until the io_context ends
+    void start();   // checks once a second until the io_context stops
 
-    // The proxy that a new connection goes to: by the weights of those that are in; of all, should none be.
+    // Chooses the proxy for a new connection at random by weight among the proxies in rotation; among all if none is.
     size_t pick_proxy();
     const Endpoint& front(size_t proxy) const { return proxies_[proxy].addresses.front; }
 
 private:
     struct Proxy {
         ProxyAddresses addresses;
-        double weight = 1;       // share of the clients whose home it is
-        int failed_checks = 2;   // of /ready in a row; from two on it gets no clients
+        double weight = 1;       // relative share of new connections
+        int failed_checks = 2;   // consecutive failures of /ready; with two or more it gets no clients
     };
     void check_readiness();
 
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -12,11 +12,11 @@
 
 constexpr double tick_interval = 0.01, late_tick_threshold = 0.25;                    // seconds between ticks
 constexpr double start_timeout = 30, recovery_timeout = 12, read_back_timeout = 12;   // seconds
-constexpr double served_window = 2.5, served_delay = 0.5;   // requests sent in this span, as they stand this much later
-constexpr size_t served_min_requests = 8;                   // requests that such a span must hold
-constexpr double served_min_share = 0.5;                    // share, of the modest tenant's
-constexpr double contact_timeout = 3, configuration_timeout = 2;   // seconds, as in the settings
-constexpr double max_stop_duration = 9;                            // from SIGTERM until the process is back
+constexpr double served_window = 2.5, served_delay = 0.5;   // seconds; window of requests, judged this long after it
+constexpr size_t served_min_requests = 8;                   // requests that the window must contain
+constexpr double served_min_share = 0.5;                    // share of the modest tenant's requests
+constexpr double contact_timeout = 3, configuration_timeout = 2;   // seconds, as in the settings (contactMs, configMs)
+constexpr double max_stop_duration = 9;   // seconds from SIGTERM until the process has restarted
 constexpr double response_loss = 0.5, subscription_loss = 0.1, host_response_loss = 0.33;
 constexpr size_t hosts_of_service = 3;
 constexpr uint16_t host_port = 9000;
@@ -134,7 +134,7 @@
         }
 }
 
-// Control nodes tell the address that they advertise, proxies their name.
+// Identifies control nodes by their advertised address, proxies by their node name.
 std::optional<InternalConnection> Soak::identify(const std::string& json, size_t dialed) const {
     const auto frame = nlohmann::json::parse(json, nullptr, false);
     if (!frame.is_object()) return {};
@@ -164,7 +164,7 @@
         interrupted_ = true;
         context_.stop();
     });
-    log_event("starts");
+    log_event("the fleet starts");
     fleet_.start();
     operator_->start();
     platform_->start();
@@ -182,7 +182,7 @@
     const double moment = now();
     max_tick_delay_ = std::max(max_tick_delay_, moment - last_tick_);
     if (moment - last_tick_ > late_tick_threshold)
-        log_event("the soak itself was late by " + std::to_string(moment - last_tick_) + " s");
+        log_event("the soak process was late by " + std::to_string(moment - last_tick_) + " s");
     last_tick_ = moment;
     fleet_.tick(moment);
     update_phase();
@@ -206,10 +206,11 @@
     if (phase_ == Phase::starting) {
         if (is_serving()) {
             faults_start_ = now();
-            return enter(Phase::faults, "it serves; faults begin");
+            return enter(Phase::faults, "the fleet serves requests; faults begin");
         }
         if (since < start_timeout) return;
-        checker_.report(Rule::recover, now(), "it does not serve after its start");
+        checker_.report(Rule::recover, now(),
+                        "the fleet does not serve requests within " + std::to_string(since) + " s after its start");
         return context_.stop();
     }
     if (phase_ == Phase::faults) {
@@ -226,9 +227,10 @@
         const bool serving = is_serving();
         if (!serving && since < recovery_timeout + served_window + served_delay) return;
         if (!serving)
-            checker_.report(Rule::recover, now(),
-                            "a tenant within its quota is not served " + std::to_string(since) + " s after all faults");
-        enter(Phase::reading, "the configuration is read back");
+            checker_.report(
+                Rule::recover, now(),
+                "a tenant within its quota is not served " + std::to_string(since) + " s after the end of all faults");
+        enter(Phase::reading, "reading the configuration back");
         return operator_->read_back([this] { context_.stop(); });
     }
     if (since < read_back_timeout) return;
@@ -237,7 +239,7 @@
 }
 
 void Soak::begin_fault(const Fault& fault) {
-    log_event("begins: " + fault_text(fault));
+    log_event("fault begins: " + fault_text(fault));
     active_.push_back(&fault);
     for (const auto machine : fault.machines) apply_fault(fault, machine);
 }
@@ -257,12 +259,12 @@
         case FaultKind::hang_up_every_process:
             if (machine < options_.size.controls) fleet_.reload(Role::control, machine, now());
             return fleet_.reload(Role::proxy, machine, now());
-        default: return;   // cuts and lost answers are asked for by those that carry bytes
+        default: return;   // relays and hosts query cuts and lost responses themselves
     }
 }
 
 void Soak::end_fault(const Fault& fault) {
-    log_event("ends: " + fault_text(fault));
+    log_event("fault ends: " + fault_text(fault));
     std::erase(active_, &fault);
     for (const auto machine : fault.machines) {
         if (fault.kind == FaultKind::pause_proxies) fleet_.pause(Role::proxy, machine, false);
@@ -270,24 +272,25 @@
     }
 }
 
-// Counters of broken invariants, for programs that serve them.
+// Reads the counters of invariant violations from processes that serve metrics.
 void Soak::read_counters() {
-    const auto ask = [this](Role role, size_t machine) {
+    const auto request_metrics = [this](Role role, size_t machine) {
         const auto at = addresses_.metrics(role, machine);
         const auto text = request_text("GET", "/metrics", at.text(), {{"Connection", "close"}}, "");
         start_call(context_, {at, text, Span{0.8}, {}, [this, at](const HttpReply& reply) {
                                   if (reply.status != 200) return;
                                   for (const auto& line : violated_counters(reply.body))
                                       if (reported_counters_.insert(at.text() + line.substr(0, line.rfind(' '))).second)
-                                          checker_.report(Rule::counter, now(), at.text() + " tells " + line);
+                                          checker_.report(Rule::counter, now(), at.text() + " reports " + line);
                               }});
     };
-    for (size_t i = 0; i < options_.size.controls; ++i) ask(Role::control, i);
-    for (size_t i = 0; i < options_.size.proxies; ++i) ask(Role::proxy, i);
+    for (size_t i = 0; i < options_.size.controls; ++i) request_metrics(Role::control, i);
+    for (size_t i = 0; i < options_.size.proxies; ++i) request_metrics(Role::proxy, i);
     after(counter_timer_, 1, [this] { read_counters(); });
 }
 
-// A version is in force everywhere once nothing has been in trouble for a while, some time past its acknowledgement.
+// A version is in force everywhere when `configuration_timeout` has passed since its acknowledgement and no fault has
+// been active for `contact_timeout`.
 void Soak::determine_limits_in_force() {
     std::vector<std::pair<double, double>> disturbances;
     for (const auto& fault : plan_.faults) {
@@ -312,9 +315,10 @@
     std::ostringstream text;
     text << std::fixed << std::setprecision(2) << plan_.faults.size() << " faults in " << options_.seconds << " s, "
          << acknowledged_.size() << " configurations, " << checker_.requests() << " requests, " << checker_.served()
-         << " served, " << checker_.cuts() << " cut, " << checker_.left_unread() << " left unread; most of the quota:";
+         << " served, " << checker_.cuts() << " cut, " << checker_.left_unread()
+         << " left unread; peak share of the quota:";
     for (const auto& [tenant, peak] : checker_.peaks()) text << ' ' << tenant << ' ' << peak.share();
-    text << "; the soak itself was late by " << max_tick_delay_ << " s at most";
+    text << "; the soak process was late by " << max_tick_delay_ << " s at most";
     result.summary = text.str();
     return result;
 }
--- a/src/soak/soak.hpp
+++ b/src/soak/soak.hpp
@@ -1,4 +1,5 @@
-// One run of the soak: a fleet of real processes under the faults of a seed, with traffic, and what was found.
+// One run of the soak: starts a fleet of real processes, injects the faults of a seed under traffic and reports
+// violations.
 #pragma once
 #include <asio.hpp>
 
@@ -21,12 +22,12 @@
 
 struct SoakOptions {
     std::string program;     // myrtlerouted
-    std::string directory;   // for settings, logs and disks; it exists
+    std::string directory;   // existing directory for settings files, logs and data directories
     uint64_t seed = 1;
-    double seconds = 20;   // with faults
+    double seconds = 20;   // duration of the fault phase
     FleetSize size;
-    bool planned = false;   // planned work alone, in series
-    bool storm = false;     // the configuration changes without a pause, in all its parts
+    bool planned = false;   // only planned work: stops and reloads in series
+    bool storm = false;     // all parts of the configuration change without a pause
     size_t kept_clients = 40;
 };
 
@@ -34,18 +35,18 @@
     bool interrupted = false;
     std::vector<Violation> violations;
     std::string summary;    // one line
-    std::string timeline;   // faults and orders, a line each, with seconds of the run
+    std::string timeline;   // a line for each fault and configuration change, with the seconds since the start
 };
 
 class Soak {
 public:
-    // Throws std::runtime_error where no block of addresses is free.
+    // Throws std::runtime_error if no block of addresses is free.
     explicit Soak(SoakOptions options);
     Outcome run();
-    std::string requests_text() const { return checker_.requests_text(); }   // comma-separated
+    std::string requests_text() const { return checker_.requests_text(); }   // CSV
 
 private:
-    // Waits for first answers, then faults, then waits until it serves again, reads the configuration back.
+    // Waits for the first responses; injects faults; waits until the fleet serves again; reads the configuration back.
     enum class Phase { starting, faults, recovering, reading };
 
     double now() const;
@@ -84,10 +85,10 @@
     asio::signal_set signals_;
     Phase phase_ = Phase::starting;
     double phase_since_ = 0, faults_start_ = 0, last_tick_ = 0, max_tick_delay_ = 0;
-    size_t faults_begun_ = 0;   // faults of the plan
+    size_t faults_begun_ = 0;   // number of faults of the plan that have begun
     std::vector<const Fault*> active_;
-    std::vector<std::pair<uint64_t, double>> acknowledged_;   // versions, with the time
-    std::set<std::string> reported_counters_;                 // that were above 0
+    std::vector<std::pair<uint64_t, double>> acknowledged_;   // versions with the time of acknowledgement
+    std::set<std::string> reported_counters_;                 // counters that were above 0
     std::string timeline_;
     bool interrupted_ = false;
 };
