--- a/src/soak/plan.cpp
+++ b/src/soak/plan.cpp
@@ -116,8 +116,8 @@
         return machines;
     }
 
-    // An erased data directory together with a fault of another control node, at the same time or within `catch_up_time`
-    // seconds, exceeds the tolerance of one machine.
+    // An erased data directory together with a fault of another control node, at the same time or within
+    // `catch_up_time` seconds, exceeds the tolerance of one machine.
     bool is_tolerated(const Fault& fault) const {
         if (!affects_control(fault, size_.controls)) return true;
         return std::none_of(faults_.begin(), faults_.end(), [&](const Fault& other) {
