--- a/src/demo/main.cpp
+++ b/src/demo/main.cpp
@@ -164,7 +164,8 @@
         std::cout << "POST /stream/greeting: " << reply.status << ", by "
                   << field_of(reply.fields, "X-Server-Signature") << '\n'
                   << reply.body << std::flush;
-        if (reply.status != 200 || !is_complete_body(reply.body, request_id, true)) return fail("the answer is not whole");
+        if (reply.status != 200 || !is_complete_body(reply.body, request_id, true))
+            return fail("the answer is not whole");
         if (!stays_) return context_.stop();
         std::cout << "The fleet runs until Ctrl-C. Tenants have keys: Authorization: Token " << tenants().front().key
                   << std::endl;
