--- a/src/soak/quota_check.cpp
+++ b/src/soak/quota_check.cpp
@@ -6,12 +6,12 @@
 namespace myrtleroute::soak {
 namespace {
 
-// Costs by a moment, for sums of all that come before one.
-class CostsInTime {
+// Costs by time, with prefix sums for the total up to a given time.
+class CumulativeCosts {
 public:
     void add(double at, double cost) { costs_.emplace_back(at, cost); }
 
-    void sum_up() {
+    void build() {
         std::sort(costs_.begin(), costs_.end());
         sums_.assign(1, 0);
         for (const auto& [at, cost] : costs_) sums_.push_back(sums_.back() + cost);
@@ -23,7 +23,7 @@
         return sums_[static_cast<size_t>(end - costs_.begin())];
     }
 
-    double until(double moment) const {   // and at it
+    double until(double moment) const {   // and including it
         const auto end =
             std::partition_point(costs_.begin(), costs_.end(), [&](const auto& c) { return c.first <= moment; });
         return sums_[static_cast<size_t>(end - costs_.begin())];
@@ -41,19 +41,21 @@
     for (const auto& limit : limits) {
         if (limit.from > from + bounds.window || limit.until <= from) continue;
         const double quota = limit.rate * bounds.window + limit.burst;
-        allowed = std::max(allowed, quota * (1 + bounds.over) + bounds.slack);
+        allowed = std::max(allowed, quota * (1 + bounds.tolerance) + bounds.slack);
     }
     return allowed;
 }
 
-// A request that ran more than a window after it was sent lies in no window. Without those, what was sent before a window
-// has run by its end, so that what lies in it is all that ran by its end less all that was sent before its start.
+// A request that ran more than one window length after it was sent lies in no window. Without those, every request sent
+// before a window starts has run by the window's end, so the cost within the window is the cost of all requests run by
+// its end minus the cost of all requests sent before its start.
 //
-// The sum is greatest where a window begins with a sending; what is allowed drops with a window's start and rises with its
-// end, so windows that end with a run are looked at as well.
-QuotaPeak peak_use(const std::vector<QuotaUse>& uses, const std::vector<QuotaLimit>& limits,
-                   const QuotaBounds& bounds) {
-    CostsInTime sent, ran;
+// The sum has its maximum in a window that starts when a request is sent. The allowed amount falls as a window's start
+// moves past the end of a limit and rises as its end moves past the start of one, so windows that end when a request is
+// run are checked as well.
+QuotaPeak peak_usage(const std::vector<QuotaUse>& uses, const std::vector<QuotaLimit>& limits,
+                     const QuotaBounds& bounds) {
+    CumulativeCosts sent, ran;
     std::vector<double> starts;
     for (const auto& use : uses) {
         if (use.ran - use.sent > bounds.window) continue;
@@ -62,16 +64,16 @@
         starts.push_back(use.sent);
         starts.push_back(use.ran - bounds.window);
     }
-    sent.sum_up();
-    ran.sum_up();
+    sent.build();
+    ran.build();
     QuotaPeak peak;
-    double most = -1;
+    double max_share = -1;
     for (const double from : starts) {
         const QuotaPeak window{from, ran.until(from + bounds.window) - sent.before(from),
                                allowed_in_window(limits, bounds, from)};
         const double share = window.granted / std::max(window.allowed, 1.0);
-        if (share <= most) continue;
-        most = share;
+        if (share <= max_share) continue;
+        max_share = share;
         peak = window;
     }
     return peak;
--- a/src/soak/soak.cpp
+++ b/src/soak/soak.cpp
@@ -10,14 +10,14 @@
 namespace myrtleroute::soak {
 namespace {
 
-constexpr double tick_every = 0.01, worth_noting = 0.25;                     // seconds between ticks
-constexpr double start_within = 30, recover_within = 12, read_within = 12;   // seconds
-constexpr double served_span = 2.5, served_delay = 0.5;   // requests sent in this span, as they stand this much later
-constexpr size_t served_least = 8;                        // requests that such a span must hold
-constexpr double served_enough = 0.5;                     // share, of the modest tenant's
-constexpr double contact = 3, configuration_within = 2;   // seconds, as in the settings
-constexpr double longest_stop = 9;                        // from SIGTERM until the process is back
-constexpr double answer_loss = 0.5, subscription_loss = 0.1, host_loss = 0.33;
+constexpr double tick_interval = 0.01, late_tick_threshold = 0.25;                    // seconds between ticks
+constexpr double start_timeout = 30, recovery_timeout = 12, read_back_timeout = 12;   // seconds
+constexpr double served_window = 2.5, served_delay = 0.5;   // seconds; window of requests, judged this long after it
+constexpr size_t served_min_requests = 8;                   // requests that the window must contain
+constexpr double served_min_share = 0.5;                    // share of the modest tenant's requests
+constexpr double contact_timeout = 3, configuration_timeout = 2;   // seconds, as in the settings (contactMs, configMs)
+constexpr double max_stop_duration = 9;   // seconds from SIGTERM until the process has restarted
+constexpr double response_loss = 0.5, subscription_loss = 0.1, host_response_loss = 0.33;
 constexpr size_t hosts_of_service = 3;
 constexpr uint16_t host_port = 9000;
 
@@ -39,12 +39,12 @@
       addresses_(block_.number(), options_.size.controls),
       checker_(bounds_of(fleet_options(options_)), options_.planned),
       chance_(options_.seed, 0x736f616b),
-      plan_(options_.planned ? draw_planned_work(options_.seed, options_.size, options_.seconds)
-                             : draw_plan(options_.seed, options_.size, options_.seconds)),
+      plan_(options_.planned ? generate_planned_work(options_.seed, options_.size, options_.seconds)
+                             : generate_plan(options_.seed, options_.size, options_.seconds)),
       start_(std::chrono::steady_clock::now()),
       fleet_(fleet_options(options_), addresses_,
              [this](const std::string& text) {
-                 note(text);
+                 log_event(text);
                  checker_.report(Rule::own_end, now(), text);
              }),
       timer_(context_),
@@ -69,16 +69,16 @@
         context_, checker_, std::move(controls), options_.seed, clock,
         OperatorEvents{[this](uint64_t version) { acknowledged_.emplace_back(version, now()); },
                        [this](const std::string& text) {
-                           note(text);
+                           log_event(text);
                        }},
         options_.storm     ? Operator::Pace::storm
-        : options_.planned ? Operator::Pace::series
-                           : Operator::Pace::calm);
+        : options_.planned ? Operator::Pace::fast
+                           : Operator::Pace::slow);
 }
 
 double Soak::now() const { return std::chrono::duration<double>(std::chrono::steady_clock::now() - start_).count(); }
 
-void Soak::note(const std::string& text) {
+void Soak::log_event(const std::string& text) {
     std::ostringstream line;
     line << std::fixed << std::setprecision(3) << std::setw(8) << now() << "  " << text << '\n';
     timeline_ += line.str();
@@ -94,7 +94,9 @@
         };
         relays_.push_back(std::make_unique<Relay>(
             context_, internal,
-            RelayRules{[this](const Link& link, Way way) { return holds(link, way); },
+            RelayRules{[this](const InternalConnection& connection, Direction direction) {
+                           return is_blocked(connection, direction);
+                       },
                        [this] {
                            return is_active(FaultKind::subscriptions_reset) && chance_.bernoulli(subscription_loss);
                        }}));
@@ -104,7 +106,7 @@
         relays_.push_back(std::make_unique<Relay>(context_, control,
                                                   RelayRules{{}, [this] {
                                                                  return is_active(FaultKind::control_answers_lost) &&
-                                                                        chance_.bernoulli(answer_loss);
+                                                                        chance_.bernoulli(response_loss);
                                                              }}));
     }
 }
@@ -118,35 +120,38 @@
             host.service = service;
             host.zone = "zone-" + std::to_string(i % 2);
             host.streams = host.service == "model";
-            host.at = {addresses_.host(number), host_port};
+            host.address = {addresses_.host(number), host_port};
             host.seed = options_.seed * 100 + number;
             for (size_t c = 0; c < options_.size.controls; ++c) host.controls.push_back(addresses_.control(c));
             hosts_.push_back(std::make_unique<Host>(
                 context_, std::move(host),
-                HostEvents{
-                    [this](const std::string& id, const std::string& tenant) { checker_.ran(id, tenant, now()); },
-                    [this] {
-                        return is_active(FaultKind::host_answers_lost) && chance_.bernoulli(host_loss);
-                    }}));
+                HostEvents{[this](const std::string& id, const std::string& tenant) {
+                               checker_.request_ran(id, tenant, now());
+                           },
+                           [this] {
+                               return is_active(FaultKind::host_answers_lost) && chance_.bernoulli(host_response_loss);
+                           }}));
         }
 }
 
-// Control nodes tell the address that they advertise, proxies their name.
-std::optional<Link> Soak::identify(const std::string& json, size_t dialed) const {
+// Identifies control nodes by their advertised address, proxies by their node name.
+std::optional<InternalConnection> Soak::identify(const std::string& json, size_t dialed) const {
     const auto frame = nlohmann::json::parse(json, nullptr, false);
     if (!frame.is_object()) return {};
     const auto kind = frame.value("kind", "");
     for (size_t machine = 0; machine < options_.size.proxies; ++machine) {
         if (kind == "subscribe" && frame.value("node", "") == "machine-" + std::to_string(machine))
-            return Link{true, machine, dialed};
+            return InternalConnection{true, machine, dialed};
         const auto endpoint = addresses_.advertised(machine) + ":" + std::to_string(Addresses::internal_port);
-        if (kind == "hello" && frame["node"].value("peer", "") == endpoint) return Link{false, machine, dialed};
+        if (kind == "hello" && frame["node"].value("peer", "") == endpoint)
+            return InternalConnection{false, machine, dialed};
     }
     return {};
 }
 
-bool Soak::holds(const Link& link, Way way) const {
-    return std::any_of(active_.begin(), active_.end(), [&](const Fault* fault) { return blocks(*fault, link, way); });
+bool Soak::is_blocked(const InternalConnection& connection, Direction direction) const {
+    return std::any_of(active_.begin(), active_.end(),
+                       [&](const Fault* fault) { return blocks(*fault, connection, direction); });
 }
 
 bool Soak::is_active(FaultKind kind) const {
@@ -159,102 +164,107 @@
         interrupted_ = true;
         context_.stop();
     });
-    note("starts");
+    log_event("the fleet starts");
     fleet_.start();
     operator_->start();
     platform_->start();
     clients_->start();
     kept_clients_->start();
-    ticked_ = now();
+    last_tick_ = now();
     tick();
     read_counters();
     context_.run();
-    fleet_.end();
+    fleet_.kill_all();
     return outcome();
 }
 
 void Soak::tick() {
     const double moment = now();
-    latest_tick_ = std::max(latest_tick_, moment - ticked_);
-    if (moment - ticked_ > worth_noting) note("the soak itself was late by " + std::to_string(moment - ticked_) + " s");
-    ticked_ = moment;
+    max_tick_delay_ = std::max(max_tick_delay_, moment - last_tick_);
+    if (moment - last_tick_ > late_tick_threshold)
+        log_event("the soak process was late by " + std::to_string(moment - last_tick_) + " s");
+    last_tick_ = moment;
     fleet_.tick(moment);
-    proceed();
-    after(timer_, tick_every, [this] { tick(); });
+    update_phase();
+    after(timer_, tick_interval, [this] { tick(); });
 }
 
-bool Soak::serves() const {
-    const auto share = checker_.served_share(modest_tenant, std::max(phase_since_, now() - served_span - served_delay),
-                                             now() - served_delay, served_least);
-    return share.value_or(0) >= served_enough;
+bool Soak::is_serving() const {
+    const auto share =
+        checker_.served_share(modest_tenant, std::max(phase_since_, now() - served_window - served_delay),
+                              now() - served_delay, served_min_requests);
+    return share.value_or(0) >= served_min_share;
 }
 
-void Soak::proceed() {
+void Soak::update_phase() {
     const double since = now() - phase_since_;
     const auto enter = [&](Phase phase, const char* text) {
         phase_ = phase;
         phase_since_ = now();
-        note(text);
+        log_event(text);
     };
     if (phase_ == Phase::starting) {
-        if (serves()) {
-            faults_at_ = now();
-            return enter(Phase::faults, "it serves; faults begin");
+        if (is_serving()) {
+            faults_start_ = now();
+            return enter(Phase::faults, "the fleet serves requests; faults begin");
         }
-        if (since < start_within) return;
-        checker_.report(Rule::recover, now(), "it does not serve after its start");
+        if (since < start_timeout) return;
+        checker_.report(Rule::recover, now(),
+                        "the fleet does not serve requests within " + std::to_string(since) + " s after its start");
         return context_.stop();
     }
     if (phase_ == Phase::faults) {
-        const double at = now() - faults_at_;
-        while (begun_ < plan_.faults.size() && plan_.faults[begun_].at <= at) begin(plan_.faults[begun_++]);
+        const double at = now() - faults_start_;
+        while (faults_begun_ < plan_.faults.size() && plan_.faults[faults_begun_].at <= at)
+            begin_fault(plan_.faults[faults_begun_++]);
         for (const auto* fault : std::vector(active_))
-            if (fault->end() <= at) end(*fault);
-        if (begun_ == plan_.faults.size() && active_.empty() && at >= options_.seconds)
+            if (fault->end() <= at) end_fault(*fault);
+        if (faults_begun_ == plan_.faults.size() && active_.empty() && at >= options_.seconds)
             enter(Phase::recovering, "faults are over");
         return;
     }
     if (phase_ == Phase::recovering) {
-        const bool serving = serves();
-        if (!serving && since < recover_within + served_span + served_delay) return;
+        const bool serving = is_serving();
+        if (!serving && since < recovery_timeout + served_window + served_delay) return;
         if (!serving)
-            checker_.report(Rule::recover, now(),
-                            "a tenant within its quota is not served " + std::to_string(since) + " s after all faults");
-        enter(Phase::reading, "the configuration is read back");
+            checker_.report(
+                Rule::recover, now(),
+                "a tenant within its quota is not served " + std::to_string(since) + " s after the end of all faults");
+        enter(Phase::reading, "reading the configuration back");
         return operator_->read_back([this] { context_.stop(); });
     }
-    if (since < read_within) return;
+    if (since < read_back_timeout) return;
     checker_.report(Rule::lost, now(), "no configuration could be read back");
     context_.stop();
 }
 
-void Soak::begin(const Fault& fault) {
-    note("begins: " + text_of(fault));
+void Soak::begin_fault(const Fault& fault) {
+    log_event("fault begins: " + fault_text(fault));
     active_.push_back(&fault);
-    for (const auto machine : fault.machines) strike(fault, machine);
+    for (const auto machine : fault.machines) apply_fault(fault, machine);
 }
 
-void Soak::strike(const Fault& fault, size_t machine) {
-    const double back_at = faults_at_ + fault.end();
+void Soak::apply_fault(const Fault& fault, size_t machine) {
+    const double restart_at = faults_start_ + fault.end();
     switch (fault.kind) {
         case FaultKind::kill_proxies:
-        case FaultKind::kill_every_proxy: return fleet_.kill(Role::proxy, machine, back_at);
+        case FaultKind::kill_every_proxy: return fleet_.kill(Role::proxy, machine, restart_at);
         case FaultKind::kill_controls:
-        case FaultKind::kill_every_control: return fleet_.kill(Role::control, machine, back_at);
+        case FaultKind::kill_every_control: return fleet_.kill(Role::control, machine, restart_at);
         case FaultKind::pause_proxies: return fleet_.pause(Role::proxy, machine, true);
         case FaultKind::pause_controls: return fleet_.pause(Role::control, machine, true);
         case FaultKind::stop_proxies: return fleet_.stop(Role::proxy, machine, now());
         case FaultKind::stop_controls: return fleet_.stop(Role::control, machine, now());
-        case FaultKind::wipe_control: return fleet_.wipe(machine, back_at);
+        case FaultKind::wipe_control: return fleet_.wipe(machine, restart_at);
         case FaultKind::hang_up_every_process:
-            if (machine < options_.size.controls) fleet_.hang_up(Role::control, machine, now());
-            return fleet_.hang_up(Role::proxy, machine, now());
-        default: return;   // cuts and lost answers are asked for by those that carry bytes
+            if (machine < options_.size.controls) fleet_.reload(Role::control, machine, now());
+            return fleet_.reload(Role::proxy, machine, now());
+        default: return;   // relays and hosts query cuts and lost responses themselves
     }
 }
 
-void Soak::end(const Fault& fault) {
-    note("ends: " + text_of(fault));
+void Soak::end_fault(const Fault& fault) {
+    log_event("fault ends: " + fault_text(fault));
     std::erase(active_, &fault);
     for (const auto machine : fault.machines) {
         if (fault.kind == FaultKind::pause_proxies) fleet_.pause(Role::proxy, machine, false);
@@ -262,32 +272,34 @@
     }
 }
 
-// Counters of broken invariants, for programs that serve them.
+// Reads the counters of invariant violations from processes that serve metrics.
 void Soak::read_counters() {
-    const auto ask = [this](Role role, size_t machine) {
+    const auto request_metrics = [this](Role role, size_t machine) {
         const auto at = addresses_.metrics(role, machine);
         const auto text = request_text("GET", "/metrics", at.text(), {{"Connection", "close"}}, "");
         start_call(context_, {at, text, Span{0.8}, {}, [this, at](const HttpReply& reply) {
                                   if (reply.status != 200) return;
                                   for (const auto& line : violated_counters(reply.body))
-                                      if (counters_.insert(at.text() + line.substr(0, line.rfind(' '))).second)
-                                          checker_.report(Rule::counter, now(), at.text() + " tells " + line);
+                                      if (reported_counters_.insert(at.text() + line.substr(0, line.rfind(' '))).second)
+                                          checker_.report(Rule::counter, now(), at.text() + " reports " + line);
                               }});
     };
-    for (size_t i = 0; i < options_.size.controls; ++i) ask(Role::control, i);
-    for (size_t i = 0; i < options_.size.proxies; ++i) ask(Role::proxy, i);
+    for (size_t i = 0; i < options_.size.controls; ++i) request_metrics(Role::control, i);
+    for (size_t i = 0; i < options_.size.proxies; ++i) request_metrics(Role::proxy, i);
     after(counter_timer_, 1, [this] { read_counters(); });
 }
 
-// A version is in force everywhere once nothing has been in trouble for a while, some time past its acknowledgement.
-void Soak::settle_limits() {
-    std::vector<std::pair<double, double>> troubles;
+// A version is in force everywhere when `configuration_timeout` has passed since its acknowledgement and no fault has
+// been active for `contact_timeout`.
+void Soak::determine_limits_in_force() {
+    std::vector<std::pair<double, double>> disturbances;
     for (const auto& fault : plan_.faults) {
         const bool stops = fault.kind == FaultKind::stop_proxies || fault.kind == FaultKind::stop_controls;
-        troubles.emplace_back(faults_at_ + fault.at, faults_at_ + (stops ? fault.at + longest_stop : fault.end()));
+        disturbances.emplace_back(faults_start_ + fault.at,
+                                  faults_start_ + (stops ? fault.at + max_stop_duration : fault.end()));
     }
     for (const auto& [version, at] : acknowledged_)
-        if (const auto in_force = calm_since(troubles, at + configuration_within, contact, now()))
+        if (const auto in_force = stable_since(disturbances, at + configuration_timeout, contact_timeout, now()))
             checker_.configuration_in_force(version, *in_force);
 }
 
@@ -295,7 +307,7 @@
     Outcome result;
     result.interrupted = interrupted_;
     if (!interrupted_) {
-        settle_limits();
+        determine_limits_in_force();
         checker_.finish();
     }
     result.violations = checker_.violations();
@@ -303,9 +315,10 @@
     std::ostringstream text;
     text << std::fixed << std::setprecision(2) << plan_.faults.size() << " faults in " << options_.seconds << " s, "
          << acknowledged_.size() << " configurations, " << checker_.requests() << " requests, " << checker_.served()
-         << " served, " << checker_.cuts() << " cut, " << checker_.left_unread() << " left unread; most of the quota:";
+         << " served, " << checker_.cuts() << " cut, " << checker_.left_unread()
+         << " left unread; peak share of the quota:";
     for (const auto& [tenant, peak] : checker_.peaks()) text << ' ' << tenant << ' ' << peak.share();
-    text << "; the soak itself was late by " << latest_tick_ << " s at most";
+    text << "; the soak process was late by " << max_tick_delay_ << " s at most";
     result.summary = text.str();
     return result;
 }
