--- a/src/rig/arrivals.cpp
+++ b/src/rig/arrivals.cpp
@@ -9,13 +9,13 @@
 std::vector<double> rates(const Experiment& e) {
     std::vector<double> all(static_cast<size_t>(e.proxies), 1);
     lab::Chance chance(e.seed, 0x52415445);
-    if (e.law == "pareto")
+    if (e.distribution == "pareto")
         for (auto& r : all) r = std::pow(1 - chance.uniform(), -1 / e.alpha);
-    if (e.law == "zipf") {
+    if (e.distribution == "zipf") {
         for (size_t i = 0; i < all.size(); ++i) all[i] = std::pow(static_cast<double>(i + 1), -e.alpha);
         for (size_t i = all.size(); i > 1; --i) std::swap(all[i - 1], all[static_cast<size_t>(chance.below(static_cast<int>(i)))]);
     }
-    if (e.law == "one") {
+    if (e.distribution == "one") {
         const auto n = static_cast<double>(all.size());
         std::fill(all.begin(), all.end(), n > 1 ? (1 - e.share) / (n - 1) : 1);
         all[static_cast<size_t>(chance.below(e.proxies))] = n > 1 ? e.share : 1;
@@ -34,34 +34,34 @@
 }
 
 double Arrivals::rate(Time at) const {
-    auto place = static_cast<size_t>(proxy_);
-    if (e_.moves > Span{}) place += static_cast<size_t>(at.s / e_.moves.s) * std::max<size_t>(1, rates_.size() / 10);
-    double r = rates_[place % rates_.size()];
+    auto index = static_cast<size_t>(proxy_);
+    if (e_.shift_period > Span{}) index += static_cast<size_t>(at.s / e_.shift_period.s) * std::max<size_t>(1, rates_.size() / 10);
+    double r = rates_[index % rates_.size()];
     for (const auto* b : bursts_)
-        if (at.s >= b->at.s && at.s < b->at.s + b->lasts.s) r *= b->factor;
+        if (at.s >= b->at.s && at.s < b->at.s + b->duration.s) r *= b->factor;
     return r;
 }
 
-Time Arrivals::steady_until(Time at) const {
-    double until = e_.lasts.s + 1;
-    if (e_.moves > Span{}) until = std::min(until, (std::floor(at.s / e_.moves.s) + 1) * e_.moves.s);
+Time Arrivals::constant_until(Time at) const {
+    double until = e_.duration.s + 1;
+    if (e_.shift_period > Span{}) until = std::min(until, (std::floor(at.s / e_.shift_period.s) + 1) * e_.shift_period.s);
     for (const auto* b : bursts_)
-        for (const double edge : {b->at.s, b->at.s + b->lasts.s})
+        for (const double edge : {b->at.s, b->at.s + b->duration.s})
             if (edge > at.s) until = std::min(until, edge);
     return {std::max(until, at.s + 1e-6)};
 }
 
 void Arrivals::advance() {
-    double wanted = chance_.exponential(1);   // so many calls are to be expected until the next
+    double remaining = chance_.exponential(1);   // expected number of calls until the next arrival
     Time at = next_.at;
-    while (at.s <= e_.lasts.s) {
+    while (at.s <= e_.duration.s) {
         const double r = rate(at);
-        const Time until = steady_until(at);
-        if (wanted <= r * (until - at).s) {
-            at = at + Span{wanted / r};
+        const Time until = constant_until(at);
+        if (remaining <= r * (until - at).s) {
+            at = at + Span{remaining / r};
             break;
         }
-        wanted -= r * (until - at).s;
+        remaining -= r * (until - at).s;
         at = until;
     }
     next_.at = at;
--- a/src/rig/arrivals.hpp
+++ b/src/rig/arrivals.hpp
@@ -1,5 +1,5 @@
-// When the applications of a fleet call: open loop, so no answer slows them, and all from the seed, so the same
-// experiment has the same arrivals in every arm. Knows no clock: times count from the start of the load.
+// Arrival process of the applications' calls: open loop, so that slow answers don't reduce the load, and derived from
+// the seed, so that each arm of an experiment gets the same arrivals. Times count from the start of the load.
 #pragma once
 #include <vector>
 
@@ -8,24 +8,24 @@
 
 namespace myrtleroute::rig {
 
-// Calls a second of each proxy, their mean as the experiment says.
+// Calls per second of each proxy; their mean is the experiment's rate.
 std::vector<double> rates(const Experiment& e);
 
 struct Arrival {
     Time at;
     size_t product = 0;
-    uint64_t number = 0;   // from 1, of this proxy's
+    uint64_t number = 0;   // counts this proxy's calls, from 1
 };
 
 class Arrivals {
 public:
     Arrivals(const Experiment& e, const std::vector<double>& rates, int proxy);
-    const Arrival& next() const { return next_; }   // its time is past the end of the load once all have come
+    const Arrival& next() const { return next_; }   // its time is past the end of the load after the last arrival
     void advance();
 
 private:
     double rate(Time at) const;
-    Time steady_until(Time at) const;   // the rate does not change before
+    Time constant_until(Time at) const;   // end of the interval of constant rate
 
     const Experiment& e_;
     const std::vector<double>& rates_;
@@ -36,7 +36,7 @@
     Arrival next_;
 };
 
-// A call's number says who calls; 0 is no call's.
+// A call's id contains its proxy; 0 is no valid id.
 constexpr uint64_t call_id(int proxy, uint64_t number) { return static_cast<uint64_t>(proxy + 1) << 40 | number; }
 constexpr int proxy_of(uint64_t call) { return static_cast<int>(call >> 40) - 1; }
 
--- a/src/rig/conductor.cpp
+++ b/src/rig/conductor.cpp
@@ -25,26 +25,26 @@
 
 namespace {
 
-constexpr Span most_start{60}, most_end{10}, list_lag{1}, turn{0.05}, look_every{0.02};
-constexpr double most_members = 40;     // servers that a proxy has connections to at a time, for the count of descriptors
-constexpr size_t spare_descriptors = 500, most_processes = 16;
+constexpr Span start_timeout{60}, end_timeout{10}, list_lag{1}, throttle_period{0.05}, poll_interval{0.02};
+constexpr double max_servers_per_proxy = 40;     // servers that a proxy has connections to at a time, for the count of descriptors
+constexpr size_t spare_descriptors = 500, max_processes = 16;
 constexpr double memory_mb = 192, sockets = 1024;
 
 std::vector<int> one(int member) { return {member}; }
 
 }  // namespace
 
-Shape shape(const Experiment& e, size_t most) {
-    const double lines = e.proxies * std::min<double>(e.servers, most_members);   // between proxies and servers
+ProcessCounts process_counts(const Experiment& e, size_t most) {
+    const double lines = e.proxies * std::min<double>(e.servers, max_servers_per_proxy);   // between proxies and servers
     const auto needed = [&](double descriptors, const char* what) {
         const double n = std::ceil(descriptors / static_cast<double>(most > 2 * spare_descriptors ? most - spare_descriptors : 1));
-        if (n > most_processes)
-            throw CantStart(std::string("too few descriptors: ") + what + " would take " + std::to_string(static_cast<long>(descriptors)) +
-                            ", a process may have " + std::to_string(most) + " and there are " + std::to_string(most_processes) +
+        if (n > max_processes)
+            throw StartFailure(std::string("too few descriptors: ") + what + " would take " + std::to_string(static_cast<long>(descriptors)) +
+                            ", a process may have " + std::to_string(most) + " and there are " + std::to_string(max_processes) +
                             " processes for it at most; fewer proxies or servers, or a higher limit");
         return static_cast<int>(n);
     };
-    Shape s;
+    ProcessCounts s;
     s.servers = std::max({1, std::min({4, e.servers, e.proxies / 50}), needed(lines + e.servers, "the servers")});
     s.loads = std::max(1, e.proxies / 150);
     if (!e.relayed.empty()) {
@@ -56,8 +56,8 @@
     return s;
 }
 
-struct Conductor::Line : Connection {
-    Line(memory::Owner& by, int fd, Part& of) : Connection(by, fd, 256 * 1024, 4 * 1024 * 1024), part(&of) {}
+struct Conductor::ControlConnection : Connection {
+    ControlConnection(memory::Owner& by, int fd, Part& of) : Connection(by, fd, 256 * 1024, 4 * 1024 * 1024), part(&of) {}
     std::string name() const override { return "part"; }
     Part* part;
     std::string text;
@@ -72,14 +72,14 @@
 
 }  // namespace
 
-Conductor::Conductor(const Experiment& e, size_t arm, int repeat, std::string directory, How how)
-    : e_(e), arm_(e.arms[arm]), how_(std::move(how)), shape_(shape(e, how_.most_descriptors)), log_(run::Level::error, home_),
-      loop_(log_, home_), proxies_(static_cast<size_t>(e.proxies)), server_lives_(static_cast<size_t>(e.servers)) {
-    day_.e = e;
-    day_.directory = std::move(directory);
-    day_.arm = arm_.name;
-    day_.repeat = repeat;
-    day_.program = !arm_.program.empty() ? arm_.program : !how_.program.empty() ? how_.program : "run of " + how_.deploy;
+Conductor::Conductor(const Experiment& e, size_t arm, int repeat, std::string directory, RunOptions how)
+    : e_(e), arm_(e.arms[arm]), options_(std::move(how)), counts_(process_counts(e, options_.max_descriptors)), log_(run::Level::error, home_),
+      loop_(log_, home_), proxies_(static_cast<size_t>(e.proxies)), server_incarnations_(static_cast<size_t>(e.servers)) {
+    record_.e = e;
+    record_.directory = std::move(directory);
+    record_.arm = arm_.name;
+    record_.repeat = repeat;
+    record_.program = !arm_.program.empty() ? arm_.program : !options_.program.empty() ? options_.program : "run of " + options_.deploy;
     const int signals = home_.hear_signals();
     if (signals >= 0) loop_.adopt(std::make_unique<Signals>(*this, signals));
 }
@@ -88,13 +88,13 @@
 Conductor::~Conductor() {
     for (const auto& part : parts_)
         if (part->pid > 0) ::kill(part->pid, SIGKILL);
-    for (const auto& [pid, number] : ids_) ::kill(pid, SIGKILL);
+    for (const auto& [pid, number] : proxy_by_pid_) ::kill(pid, SIGKILL);
     const Time most = home_.now() + Span{2};
-    while (home_.now() < most && (!ids_.empty() || std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->pid > 0; }))) {
+    while (home_.now() < most && (!proxy_by_pid_.empty() || std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->pid > 0; }))) {
         reap();
         home_.PosixHome::wait(nullptr, 0, 5);   // nothing but time
     }
-    if (door_fd_ >= 0) home_.close(door_fd_);
+    if (proxy_port_fd_ >= 0) home_.close(proxy_port_fd_);
     loop_.end_all(Why::stopping);
 }
 
@@ -103,35 +103,35 @@
         while (const int number = home_.next_signal(c.fd)) interrupted_ |= number == SIGINT || number == SIGTERM;
         return;
     }
-    auto& line = static_cast<Line&>(c);
-    take_lines(line.in, line.text, [&](const std::string& text) { heard(*line.part, text); });
+    auto& line = static_cast<ControlConnection&>(c);
+    take_lines(line.in, line.text, [&](const std::string& text) { on_line(*line.part, text); });
     if (!c.ended) return;
     line.part->line = nullptr;
     loop_.end(c, Why::peer_closed);
 }
 
 void Conductor::broke(Connection& c, int) {
-    static_cast<Line&>(c).part->line = nullptr;
+    static_cast<ControlConnection&>(c).part->line = nullptr;
     loop_.end(c, Why::peer_reset);
 }
 
-void Conductor::heard(Part& part, const std::string& text) {
+void Conductor::on_line(Part& part, const std::string& text) {
     std::istringstream words(text);
     std::string word;
     words >> word;
     if (word == "ready") part.ready = true;
-    if (word == "up") ++up_;
-    if (word == "done") ++done_;
+    if (word == "up") ++loads_up_;
+    if (word == "done") ++loads_done_;
     if (word == "busiest") {
-        for (auto& worked : day_.parts)
-            if (worked.part == part.name) words >> worked.busiest;
+        for (auto& usage : record_.parts)
+            if (usage.part == part.name) words >> usage.busiest;
     }
     if (word == "relayed") {
         double connections, most, bytes;
         words >> connections >> most >> bytes;
-        day_.relayed.connections += connections;
-        day_.relayed.most_at_once += most;
-        day_.relayed.bytes += bytes;
+        record_.relayed.connections += connections;
+        record_.relayed.max_at_once += most;
+        record_.relayed.bytes += bytes;
     }
     if (word != "port") return;
     int kind, to;
@@ -141,52 +141,52 @@
     else ports_[{kind, to}] = port;
 }
 
-void Conductor::tell(Part& part, const std::string& line) {
+void Conductor::send(Part& part, const std::string& line) {
     if (!part.line) return;
     if (!part.line->out.push(line + "\n")) throw std::runtime_error(part.name + " does not take what it is told");
     loop_.flush(*part.line);
 }
 
-void Conductor::tell_all(const std::string& kind, const std::string& line) {
+void Conductor::send_to_all(const std::string& kind, const std::string& line) {
     for (const auto& part : parts_)
-        if (part->name.starts_with(kind)) tell(*part, line);
+        if (part->name.starts_with(kind)) send(*part, line);
 }
 
 Conductor::Part& Conductor::start_part(const std::string& kind, int number, int of) {
     int ends[2];
     if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends) != 0)
-        throw CantStart("no control line: " + std::string(std::strerror(errno)));
+        throw StartFailure("no control line: " + std::string(std::strerror(errno)));
     parts_.push_back(std::make_unique<Part>());
     auto& part = *parts_.back();
     part.name = kind + "-" + std::to_string(number);
-    Start what;
-    what.words = {how_.self, "part", kind, "--file", how_.file, "--seed", std::to_string(e_.seed), "--dir", day_.directory,
+    ProcessOptions what;
+    what.arguments = {options_.self, "part", kind, "--file", options_.file, "--seed", std::to_string(e_.seed), "--dir", record_.directory,
                   "--number", std::to_string(number), "--of", std::to_string(of)};
-    what.output = day_.directory + "/" + part.name + ".log";
-    what.control = ends[1];
-    part.pid = start(what);
+    what.output = record_.directory + "/" + part.name + ".log";
+    what.control_fd = ends[1];
+    part.pid = spawn(what);
     home_.close(ends[1]);
-    if (part.pid < 0) throw CantStart(part.name + " can't be started: " + std::strerror(errno));
-    part.line = &loop_.adopt(std::make_unique<Line>(*this, ends[0], part));
-    day_.parts.push_back({part.name, 0, 0, 0});
+    if (part.pid < 0) throw StartFailure(part.name + " can't be started: " + std::strerror(errno));
+    part.line = &loop_.adopt(std::make_unique<ControlConnection>(*this, ends[0], part));
+    record_.parts.push_back({part.name, 0, 0, 0});
     return part;
 }
 
-std::vector<std::string> Conductor::words_of(const Proxy& proxy) const {
-    const auto& program = !proxy.program.empty() ? proxy.program : !arm_.program.empty() ? arm_.program : how_.program;
+std::vector<std::string> Conductor::command_of(const Proxy& proxy) const {
+    const auto& program = !proxy.program.empty() ? proxy.program : !arm_.program.empty() ? arm_.program : options_.program;
     if (proxy.no_start) return {"/bin/sh", "-c", "exit 1"};
     if (!program.empty()) return {program};
     try {
-        const auto deploy = toml::parse_file(how_.deploy);
+        const auto deploy = toml::parse_file(options_.deploy);
         const auto run = deploy["run"].value<std::string>();
-        if (!run) throw CantStart(how_.deploy + ": run must be a text");
+        if (!run) throw StartFailure(options_.deploy + ": run must be a text");
         return {"/bin/sh", "-c", *run};
     } catch (const toml::parse_error& fault) {
-        throw CantStart(how_.deploy + ": " + std::string(fault.description()));
+        throw StartFailure(options_.deploy + ": " + std::string(fault.description()));
     }
 }
 
-void Conductor::configure(int i) {
+void Conductor::write_configuration(int i) {
     auto& proxy = proxies_[static_cast<size_t>(i)];
     static constexpr const char* repeats[] = {"read_like", "idempotency_key", "non_idempotent"};
     nlohmann::json products = nlohmann::json::array(), zones = nlohmann::json::array();
@@ -214,211 +214,211 @@
     seed << std::hex << std::setw(16) << std::setfill('0') << chance.number();
     const Link link{Kind::discovery, static_cast<uint16_t>(i), 0};
     const int kind = static_cast<int>(Kind::discovery);
-    const auto port = e_.relays(Kind::discovery) ? relay_ports_.at({i % shape_.relays, kind, 0}) : ports_.at({kind, 0});
+    const auto port = e_.relays(Kind::discovery) ? relay_ports_.at({i % counts_.relays, kind, 0}) : ports_.at({kind, 0});
     const nlohmann::json config{
-        {"name", "p" + std::to_string(i)}, {"listen", endpoint(door_ip(i), door_port_)},
+        {"name", "p" + std::to_string(i)}, {"listen", endpoint(listen_ip(i), proxy_port_)},
         {"discovery", endpoint(ip_of(link), port)}, {"seed", seed.str()},
         {"limits", {{"cores", 1.0}, {"memory_mb", memory_mb}, {"sockets", sockets}}}, {"settings", settings}};
-    const auto path = day_.directory + "/p" + std::to_string(i) + ".json";
+    const auto path = record_.directory + "/p" + std::to_string(i) + ".json";
     std::ofstream file(path);
     file << config.dump() << '\n';
-    if (!file.flush()) throw CantStart(path + " can't be written");
+    if (!file.flush()) throw StartFailure(path + " can't be written");
 }
 
 void Conductor::start_proxy(int i) {
     auto& proxy = proxies_[static_cast<size_t>(i)];
-    configure(i);
-    const auto base = day_.directory + "/p" + std::to_string(i);
-    Start what;
-    what.words = words_of(proxy);
-    what.variables = {{"BALANCER_CONFIG", base + ".json"}};
-    if (!how_.variables.empty()) what.variables.emplace_back("MYRTLEROUTE_LOG", how_.variables);
+    write_configuration(i);
+    const auto base = record_.directory + "/p" + std::to_string(i);
+    ProcessOptions what;
+    what.arguments = command_of(proxy);
+    what.environment = {{"BALANCER_CONFIG", base + ".json"}};
+    if (!options_.log_level.empty()) what.environment.emplace_back("MYRTLEROUTE_LOG", options_.log_level);
     what.output = base + ".log";
-    proxy.pid = start(what);
-    if (proxy.pid < 0) throw CantStart("proxy " + std::to_string(i) + " can't be started: " + std::strerror(errno));
+    proxy.pid = spawn(what);
+    if (proxy.pid < 0) throw StartFailure("proxy " + std::to_string(i) + " can't be started: " + std::strerror(errno));
     ++proxy.starts;
-    proxy.wanted = !proxy.no_start;
-    proxy.again = false;
-    ids_[proxy.pid] = i;
-    proxy.life = day_.lives.size();
-    day_.lives.push_back({i, home_.now().s, 0, ""});
+    proxy.expected_running = !proxy.no_start;
+    proxy.restart_on_exit = false;
+    proxy_by_pid_[proxy.pid] = i;
+    proxy.incarnation = record_.incarnations.size();
+    record_.incarnations.push_back({i, home_.now().s, 0, ""});
 }
 
 void Conductor::reap() {
-    for (Ended ended; (ended = next_ended()).pid > 0;) {
+    for (ProcessExit ended; (ended = next_exit()).pid > 0;) {
         for (const auto& part : parts_) {
             if (part->pid != ended.pid) continue;
             part->pid = 0;
-            for (auto& worked : day_.parts)
-                if (worked.part == part->name) {
-                    worked.cpu = ended.cpu;
-                    worked.memory_mb = static_cast<double>(ended.most_memory) / 1024;
+            for (auto& usage : record_.parts)
+                if (usage.part == part->name) {
+                    usage.cpu = ended.cpu;
+                    usage.memory_mb = static_cast<double>(ended.max_memory) / 1024;
                 }
             if (!ending_ || ended.by_signal || ended.code)
-                day_.lost.push_back(part->name + (ended.by_signal ? " ended by signal " : " ended with status ") +
+                record_.lost.push_back(part->name + (ended.by_signal ? " ended by signal " : " ended with status ") +
                                     std::to_string(ended.code));
         }
-        const auto it = ids_.find(ended.pid);
-        if (it == ids_.end()) continue;
+        const auto it = proxy_by_pid_.find(ended.pid);
+        if (it == proxy_by_pid_.end()) continue;
         const int number = it->second;
-        ids_.erase(it);
+        proxy_by_pid_.erase(it);
         auto& proxy = proxies_[static_cast<size_t>(number)];
-        auto& life = day_.lives[proxy.life];
-        life.to = home_.now().s;
-        life.how = (ended.by_signal ? "signal " : "status ") + std::to_string(ended.code);
+        auto& incarnation = record_.incarnations[proxy.incarnation];
+        incarnation.to = home_.now().s;
+        incarnation.exit = (ended.by_signal ? "signal " : "status ") + std::to_string(ended.code);
         proxy.pid = 0;
-        day_.cpu += ended.cpu;
-        day_.most_memory_mb = std::max(day_.most_memory_mb, static_cast<double>(ended.most_memory) / 1024);
-        day_.memory_mb += static_cast<double>(ended.most_memory) / 1024;   // made a mean at the end
-        const bool sound = !proxy.wanted && (proxy.no_start || ended.by_signal || ended.code == 0);
-        if (!sound) day_.lost.push_back("proxy " + std::to_string(number) + " ended: " + life.how + "; " + day_.directory + "/p" +
+        record_.cpu += ended.cpu;
+        record_.max_memory_mb = std::max(record_.max_memory_mb, static_cast<double>(ended.max_memory) / 1024);
+        record_.memory_mb += static_cast<double>(ended.max_memory) / 1024;   // made a mean at the end
+        const bool sound = !proxy.expected_running && (proxy.no_start || ended.by_signal || ended.code == 0);
+        if (!sound) record_.lost.push_back("proxy " + std::to_string(number) + " ended: " + incarnation.exit + "; " + record_.directory + "/p" +
                                         std::to_string(number) + ".log has the rest");
-        if (proxy.no_start && !ending_) at(home_.now() + Span{1}, [this, number] {
+        if (proxy.no_start && !ending_) schedule(home_.now() + Span{1}, [this, number] {
             if (proxies_[static_cast<size_t>(number)].pid == 0) start_proxy(number);
         });
-        else if (proxy.again && !ending_) start_proxy(number);
+        else if (proxy.restart_on_exit && !ending_) start_proxy(number);
     }
 }
 
-void Conductor::at(Time when, std::function<void()> what) {
-    plans_[next_plan_] = std::move(what);
-    loop_.wake(when, next_plan_++);
+void Conductor::schedule(Time when, std::function<void()> what) {
+    scheduled_[next_scheduled_] = std::move(what);
+    loop_.wake(when, next_scheduled_++);
 }
 
-void Conductor::pump() {
-    at(loop_.now() + look_every, [] {});
+void Conductor::run_once() {
+    schedule(loop_.now() + poll_interval, [] {});
     loop_.round(
         [this](uint64_t cookie) {
-            const auto it = plans_.find(cookie);
+            const auto it = scheduled_.find(cookie);
             const auto what = std::move(it->second);
-            plans_.erase(it);
+            scheduled_.erase(it);
             what();
         },
         [] {});
     reap();
-    progress();
+    print_progress();
 }
 
-bool Conductor::wait_for(const std::function<bool()>& so, Span most) {
+bool Conductor::wait_for(const std::function<bool()>& condition, Span most) {
     const Time until = home_.now() + most;
-    while (!so()) {
+    while (!condition()) {
         if (interrupted_) throw std::runtime_error("interrupted");
         if (!ending_)
-            for (const auto& lost : day_.lost)
-                if (start_ == long_ago || !lost.starts_with("proxy")) throw CantStart(lost);
+            for (const auto& lost : record_.lost)
+                if (start_ == long_ago || !lost.starts_with("proxy")) throw StartFailure(lost);
         if (home_.now() > until) return false;
-        pump();
+        run_once();
     }
     return true;
 }
 
 void Conductor::start_all() {
     const Time from = home_.now();
-    door_fd_ = home_.hold_port(door_port_);
-    if (door_fd_ < 0) throw CantStart("no port for the proxies");
-    for (int i = 0; i < shape_.servers; ++i) start_part("servers", i, shape_.servers);
+    proxy_port_fd_ = home_.reserve_port(proxy_port_);
+    if (proxy_port_fd_ < 0) throw StartFailure("no port for the proxies");
+    for (int i = 0; i < counts_.servers; ++i) start_part("servers", i, counts_.servers);
     start_part("discovery", 0, 1);
     const auto ready = [this] {
         return std::all_of(parts_.begin(), parts_.end(), [](auto& p) { return p->ready || !p->name.starts_with("servers"); }) &&
                std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->ready && p->name == "discovery-0"; });
     };
-    if (!wait_for(ready, most_start)) throw CantStart("the servers' stand-ins are not ready after " + std::to_string(most_start.s) + " s");
+    if (!wait_for(ready, start_timeout)) throw StartFailure("the servers' stand-ins are not ready after " + std::to_string(start_timeout.s) + " s");
 
     size_t wanted = 0;
-    for (int r = 0; r < shape_.relays; ++r) {
-        auto& relay = start_part("relay", r, shape_.relays);
+    for (int r = 0; r < counts_.relays; ++r) {
+        auto& relay = start_part("relay", r, counts_.relays);
         const auto stands_for = [&](Kind kind, int to, uint32_t ip, uint16_t port) {
             ++wanted;
-            tell(relay, "backend " + std::to_string(static_cast<int>(kind)) + " " + std::to_string(to) + " " + std::to_string(ip) +
+            send(relay, "backend " + std::to_string(static_cast<int>(kind)) + " " + std::to_string(to) + " " + std::to_string(ip) +
                             " " + std::to_string(port));
         };
         if (e_.relays(Kind::server))
             for (int j = 0; j < e_.servers; ++j) stands_for(Kind::server, j, 0, ports_[{static_cast<int>(Kind::server), j}]);
         if (e_.relays(Kind::discovery)) stands_for(Kind::discovery, 0, 0, ports_[{static_cast<int>(Kind::discovery), 0}]);
         if (e_.relays(Kind::application))
-            for (int i = r; i < e_.proxies; i += shape_.relays) stands_for(Kind::application, i, door_ip(i), door_port_);
+            for (int i = r; i < e_.proxies; i += counts_.relays) stands_for(Kind::application, i, listen_ip(i), proxy_port_);
         if (e_.relays(Kind::peer))
-            for (int i = 0; i < e_.proxies; ++i) stands_for(Kind::peer, i, door_ip(i), door_port_);
+            for (int i = 0; i < e_.proxies; ++i) stands_for(Kind::peer, i, listen_ip(i), proxy_port_);
     }
-    if (!wait_for([&] { return relay_ports_.size() == wanted; }, most_start)) throw CantStart("the relays are not ready");
+    if (!wait_for([&] { return relay_ports_.size() == wanted; }, start_timeout)) throw StartFailure("the relays are not ready");
 
     auto& discovery = **std::find_if(parts_.begin(), parts_.end(), [](auto& p) { return p->name == "discovery-0"; });
     const int kind = static_cast<int>(Kind::server);
-    for (int r = 0; r < std::max(1, shape_.relays); ++r)
+    for (int r = 0; r < std::max(1, counts_.relays); ++r)
         for (int j = 0; j < e_.servers; ++j)
-            tell(discovery, "port " + std::to_string(r) + " " + std::to_string(j) + " " +
+            send(discovery, "port " + std::to_string(r) + " " + std::to_string(j) + " " +
                                 std::to_string(e_.relays(Kind::server) ? relay_ports_.at({r, kind, j}) : ports_.at({kind, j})));
-    tell(discovery, "first");
+    send(discovery, "first");
     for (int i = 0; i < e_.proxies; ++i) start_proxy(i);
-    for (int i = 0; i < shape_.loads; ++i) {
-        auto& load = start_part("load", i, shape_.loads);
-        for (int p = i; p < e_.proxies; p += shape_.loads) {
+    for (int i = 0; i < counts_.loads; ++i) {
+        auto& load = start_part("load", i, counts_.loads);
+        for (int p = i; p < e_.proxies; p += counts_.loads) {
             const Link link{Kind::application, static_cast<uint16_t>(p), static_cast<uint16_t>(p)};
             const bool relayed = e_.relays(Kind::application);
-            tell(load, "proxy " + std::to_string(p) + " " + std::to_string(relayed ? ip_of(link) : door_ip(p)) + " " +
-                           std::to_string(relayed ? relay_ports_.at({p % shape_.relays, static_cast<int>(Kind::application), p})
-                                                  : door_port_));
+            send(load, "proxy " + std::to_string(p) + " " + std::to_string(relayed ? ip_of(link) : listen_ip(p)) + " " +
+                           std::to_string(relayed ? relay_ports_.at({p % counts_.relays, static_cast<int>(Kind::application), p})
+                                                  : proxy_port_));
         }
-        tell(load, "ask");
+        send(load, "ask");
     }
-    if (!wait_for([this] { return up_ == static_cast<size_t>(shape_.loads); }, most_start))
-        throw CantStart("not all proxies are up after " + std::to_string(most_start.s) + " s; their logs are in " + day_.directory);
-    day_.started_in = (home_.now() - from).s;
+    if (!wait_for([this] { return loads_up_ == static_cast<size_t>(counts_.loads); }, start_timeout))
+        throw StartFailure("not all proxies are up after " + std::to_string(start_timeout.s) + " s; their logs are in " + record_.directory);
+    record_.started_in = (home_.now() - from).s;
 }
 
-void Conductor::play() {
+void Conductor::run_load() {
     start_ = home_.now() + Span{0.2};
-    day_.start = start_.s;
-    day_.end = start_.s + e_.lasts.s;
+    record_.start = start_.s;
+    record_.end = start_.s + e_.duration.s;
     std::ostringstream go;
     go.precision(17);
     go << "go " << start_.s;
-    for (const auto& part : parts_) tell(*part, go.str());
+    for (const auto& part : parts_) send(*part, go.str());
     for (int f = 0; f < static_cast<int>(e_.faults.size()); ++f)
-        at(start_ + e_.faults[static_cast<size_t>(f)].at, [this, f] { begin(f); });
+        schedule(start_ + e_.faults[static_cast<size_t>(f)].at, [this, f] { start_fault(f); });
     Span most;
     for (const auto& p : e_.products) most = std::max(most, p.timeout);
-    if (!wait_for([this] { return done_ == static_cast<size_t>(shape_.loads); }, e_.lasts + most + Span{30}))
+    if (!wait_for([this] { return loads_done_ == static_cast<size_t>(counts_.loads); }, e_.duration + most + Span{30}))
         throw std::runtime_error("the load did not come to its end");
     // Faults that last beyond the load are over with it; what was stopped has to go on to end.
-    for (const auto& [pid, number] : ids_) ::kill(pid, SIGCONT);
+    for (const auto& [pid, number] : proxy_by_pid_) ::kill(pid, SIGCONT);
 }
 
-size_t Conductor::befalls(int fault, std::vector<int> who, double lasts) {
-    day_.befell.push_back({fault, home_.now().s, home_.now().s + lasts, std::move(who)});
-    return day_.befell.size() - 1;
+size_t Conductor::record_fault(int fault, std::vector<int> who, double duration) {
+    record_.applied_faults.push_back({fault, home_.now().s, home_.now().s + duration, std::move(who)});
+    return record_.applied_faults.size() - 1;
 }
 
-void Conductor::begin(int number) {
+void Conductor::start_fault(int number) {
     const auto& f = e_.faults[static_cast<size_t>(number)];
-    const auto whom = name_of(f.kind).whom;
+    const auto target = name_of(f.kind).target;
     const auto over = [this, number](const std::string& kind) {
-        at(home_.now() + e_.faults[static_cast<size_t>(number)].lasts,
-           [this, number, kind] { tell_all(kind, "over " + std::to_string(number)); });
+        schedule(home_.now() + e_.faults[static_cast<size_t>(number)].duration,
+           [this, number, kind] { send_to_all(kind, "over " + std::to_string(number)); });
     };
-    if (whom == Whom::process || f.kind == FaultKind::die || f.kind == FaultKind::drain) {
+    if (target == FaultTarget::process || f.kind == FaultKind::die || f.kind == FaultKind::drain) {
         for (size_t k = 0; k < f.who.members.size(); ++k) {
             const int member = f.who.members[k];
-            const Span wait = f.staggered * (static_cast<double>(k) / static_cast<double>(f.who.members.size()));
-            at(home_.now() + wait, [this, number, member, whom] {
-                whom == Whom::process ? process_fault(number, member) : server_fault(number, member);
+            const Span wait = f.stagger * (static_cast<double>(k) / static_cast<double>(f.who.members.size()));
+            schedule(home_.now() + wait, [this, number, member, target] {
+                target == FaultTarget::process ? process_fault(number, member) : server_fault(number, member);
             });
         }
-    } else if (whom == Whom::server) {
-        befalls(number, f.who.members, f.lasts.s);
-        tell_all("servers", "fault " + std::to_string(number) + " " + std::to_string(static_cast<int>(f.kind)) + " " +
+    } else if (target == FaultTarget::server) {
+        record_fault(number, f.who.members, f.duration.s);
+        send_to_all("servers", "fault " + std::to_string(number) + " " + std::to_string(static_cast<int>(f.kind)) + " " +
                                 std::to_string(f.how) + " " + write_list(f.who.members));
         over("servers");
-    } else if (whom == Whom::discovery) {
-        befalls(number, {0}, f.lasts.s + (f.kind == FaultKind::late ? f.how : 0));
-        tell_all("discovery", "fault " + std::to_string(number) + " " + name_of(f.kind).name + " " + std::to_string(f.how));
+    } else if (target == FaultTarget::discovery) {
+        record_fault(number, {0}, f.duration.s + (f.kind == FaultKind::late ? f.how : 0));
+        send_to_all("discovery", "fault " + std::to_string(number) + " " + name_of(f.kind).name + " " + std::to_string(f.how));
         over("discovery");
         if (f.kind != FaultKind::absent) return;
-        const auto door = " " + std::to_string(static_cast<int>(Kind::discovery)) + " 0";
-        tell_all("relay", "down" + door);
-        at(home_.now() + f.lasts, [this, door] { tell_all("relay", "up" + door); });
+        const auto backend = " " + std::to_string(static_cast<int>(Kind::discovery)) + " 0";
+        send_to_all("relay", "down" + backend);
+        schedule(home_.now() + f.duration, [this, backend] { send_to_all("relay", "up" + backend); });
     } else {
-        befalls(number, f.who.members, f.lasts.s);
+        record_fault(number, f.who.members, f.duration.s);
         std::ostringstream rule;
         rule << "rule " << number << ' ' << static_cast<int>(f.link) << ' ' << f.way << ' ' << f.delay << ' ' << f.jitter << ' '
              << f.rate << ' ' << (f.kind == FaultKind::lossy ? f.how : 0) << ' ' << (f.kind == FaultKind::mangle ? f.how : 0) << ' '
@@ -426,36 +426,36 @@
              << (f.kind == FaultKind::duplicate ? f.how : 0) << ' ' << (f.kind == FaultKind::stall) << ' '
              << (f.kind == FaultKind::cut) << ' ' << (f.kind == FaultKind::cut_hard) << ' ' << write_list(f.who.members) << ' '
              << write_list(f.to.members);
-        tell_all("relay", rule.str());
+        send_to_all("relay", rule.str());
         over("relay");
     }
 }
 
 void Conductor::restart(int member) {
     auto& proxy = proxies_[static_cast<size_t>(member)];
-    proxy.wanted = false;
-    proxy.again = true;
+    proxy.expected_running = false;
+    proxy.restart_on_exit = true;
     if (proxy.pid > 0) ::kill(proxy.pid, SIGTERM);
     else start_proxy(member);
 }
 
-void Conductor::stop_in_turns(int member, double share, Time until, bool now) {
+void Conductor::throttle_process(int member, double share, Time until, bool now) {
     auto& proxy = proxies_[static_cast<size_t>(member)];
     if (proxy.pid > 0) ::kill(proxy.pid, now ? SIGSTOP : SIGCONT);
     if (!now && home_.now() >= until) return;
-    at(home_.now() + turn * (now ? share : 1 - share), [=, this] { stop_in_turns(member, share, until, !now); });
+    schedule(home_.now() + throttle_period * (now ? share : 1 - share), [=, this] { throttle_process(member, share, until, !now); });
 }
 
 void Conductor::process_fault(int number, int member) {
     const auto& f = e_.faults[static_cast<size_t>(number)];
     auto& proxy = proxies_[static_cast<size_t>(member)];
     const auto later = [&](std::function<void()> what) {
-        if (f.lasts > Span{}) at(home_.now() + f.lasts, std::move(what));
+        if (f.duration > Span{}) schedule(home_.now() + f.duration, std::move(what));
     };
     switch (f.kind) {
         case FaultKind::kill: case FaultKind::no_start:
-            befalls(number, one(member), 0);
-            proxy.wanted = false;
+            record_fault(number, one(member), 0);
+            proxy.expected_running = false;
             proxy.no_start = f.kind == FaultKind::no_start;
             if (proxy.pid > 0) ::kill(proxy.pid, SIGKILL);
             later([this, member] {
@@ -465,15 +465,15 @@
             });
             return;
         case FaultKind::pause:
-            befalls(number, one(member), f.lasts.s);
+            record_fault(number, one(member), f.duration.s);
             if (proxy.pid > 0) ::kill(proxy.pid, SIGSTOP);
             later([this, member] {
                 if (const auto pid = proxies_[static_cast<size_t>(member)].pid; pid > 0) ::kill(pid, SIGCONT);
             });
             return;
         case FaultKind::slow_process:
-            befalls(number, one(member), f.lasts.s);
-            return stop_in_turns(member, std::min(f.how, 0.99), home_.now() + f.lasts, true);
+            record_fault(number, one(member), f.duration.s);
+            return throttle_process(member, std::min(f.how, 0.99), home_.now() + f.duration, true);
         case FaultKind::other_build:
             proxy.program = f.program;
             proxy.settings = f.settings;
@@ -485,11 +485,11 @@
             });
             [[fallthrough]];
         case FaultKind::restart:
-            befalls(number, one(member), 0);
+            record_fault(number, one(member), 0);
             return restart(member);
         case FaultKind::reread:
-            befalls(number, one(member), 0);
-            if (f.settings.is_object() && !f.settings.empty()) proxy.settings = f.settings, configure(member);
+            record_fault(number, one(member), 0);
+            if (f.settings.is_object() && !f.settings.empty()) proxy.settings = f.settings, write_configuration(member);
             if (proxy.pid > 0) ::kill(proxy.pid, SIGHUP);
             return;
         default: return;
@@ -498,96 +498,96 @@
 
 void Conductor::server_fault(int number, int member) {
     const auto& f = e_.faults[static_cast<size_t>(number)];
-    auto& life = server_lives_[static_cast<size_t>(member)];
-    const auto who = std::to_string(member), door = " " + std::to_string(static_cast<int>(Kind::server)) + " " + who;
-    const auto list = [this, who](Listed state, double boot, int of_life) {
+    auto& incarnation = server_incarnations_[static_cast<size_t>(member)];
+    const auto who = std::to_string(member), backend = " " + std::to_string(static_cast<int>(Kind::server)) + " " + who;
+    const auto list = [this, who](ListedState state, double boot, int of_incarnation) {
         std::ostringstream line;
         line.precision(17);
-        line << "list " << who << ' ' << static_cast<int>(state) << ' ' << boot << ' ' << of_life;
-        tell_all("discovery", line.str());
+        line << "list " << who << ' ' << static_cast<int>(state) << ' ' << boot << ' ' << of_incarnation;
+        send_to_all("discovery", line.str());
     };
-    const auto die = [this, who, door] {
-        tell_all("servers", "die " + who);
-        tell_all("relay", "down" + door);
+    const auto die = [this, who, backend] {
+        send_to_all("servers", "die " + who);
+        send_to_all("relay", "down" + backend);
     };
-    const auto back = [this, who, door, list](int of_life) {
-        tell_all("servers", "back " + who);
-        tell_all("relay", "up" + door);
-        list(Listed::serving, home_.unix_time(), of_life);
+    const auto back = [this, who, backend, list](int of_incarnation) {
+        send_to_all("servers", "back " + who);
+        send_to_all("relay", "up" + backend);
+        list(ListedState::serving, home_.unix_time(), of_incarnation);
     };
     const Time now = home_.now();
     if (f.kind == FaultKind::die) {
-        befalls(number, one(member), f.lasts > Span{} ? f.lasts.s : e_.lasts.s);
+        record_fault(number, one(member), f.duration > Span{} ? f.duration.s : e_.duration.s);
         die();
-        if (f.lasts <= Span{} || f.lasts > list_lag) at(now + list_lag, [=, &life] { list(Listed::gone, 0, life); });
-        if (f.lasts > Span{}) at(now + f.lasts, [=, &life] { back(life); });
+        if (f.duration <= Span{} || f.duration > list_lag) schedule(now + list_lag, [=, &incarnation] { list(ListedState::removed, 0, incarnation); });
+        if (f.duration > Span{}) schedule(now + f.duration, [=, &incarnation] { back(incarnation); });
         return;
     }
-    befalls(number, one(member), std::max(f.lasts, e_.drain_grace).s);
-    list(Listed::draining, 0, life);
+    record_fault(number, one(member), std::max(f.duration, e_.drain_grace).s);
+    list(ListedState::draining, 0, incarnation);
     const Time leaves = now + e_.drain_grace + Span{0.5};
-    at(leaves, [=, &life] {
+    schedule(leaves, [=, &incarnation] {
         die();
-        list(Listed::gone, 0, life);
+        list(ListedState::removed, 0, incarnation);
     });
-    at(std::max(leaves + Span{0.1}, now + f.lasts), [=, &life] { back(++life); });
+    schedule(std::max(leaves + Span{0.1}, now + f.duration), [=, &incarnation] { back(++incarnation); });
 }
 
-void Conductor::end_all() {
+void Conductor::stop_all() {
     const Time from = home_.now();
     ending_ = true;
-    for (auto& proxy : proxies_) proxy.wanted = proxy.no_start = proxy.again = false;
-    for (const auto& [pid, number] : ids_) {
+    for (auto& proxy : proxies_) proxy.expected_running = proxy.no_start = proxy.restart_on_exit = false;
+    for (const auto& [pid, number] : proxy_by_pid_) {
         ::kill(pid, SIGCONT);
         ::kill(pid, SIGTERM);
     }
-    const Time proxies_until = home_.now() + most_end;
-    while (!ids_.empty() && home_.now() < proxies_until) pump();
-    for (const auto& [pid, number] : ids_) {
-        day_.left.push_back("proxy " + std::to_string(number) + " did not end within " + std::to_string(most_end.s) + " s of SIGTERM");
+    const Time proxies_until = home_.now() + end_timeout;
+    while (!proxy_by_pid_.empty() && home_.now() < proxies_until) run_once();
+    for (const auto& [pid, number] : proxy_by_pid_) {
+        record_.left.push_back("proxy " + std::to_string(number) + " did not end within " + std::to_string(end_timeout.s) + " s of SIGTERM");
         ::kill(pid, SIGKILL);
     }
-    for (const auto& part : parts_) tell(*part, "end");
+    for (const auto& part : parts_) send(*part, "end");
     const auto running = [this] { return std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->pid > 0; }); };
-    const Time until = home_.now() + most_end;
-    while ((running() || !ids_.empty()) && home_.now() < until) pump();
+    const Time until = home_.now() + end_timeout;
+    while ((running() || !proxy_by_pid_.empty()) && home_.now() < until) run_once();
     for (const auto& part : parts_)
-        if (part->pid > 0) day_.left.push_back(part->name + " did not end");
-    day_.ended_in = (home_.now() - from).s;
-    day_.memory_mb /= std::max<double>(1, static_cast<double>(day_.lives.size()));
+        if (part->pid > 0) record_.left.push_back(part->name + " did not end");
+    record_.ended_in = (home_.now() - from).s;
+    record_.memory_mb /= std::max<double>(1, static_cast<double>(record_.incarnations.size()));
 }
 
-void Conductor::progress() {
-    if (!how_.terminal || home_.now() - shown_ < Span{1}) return;
+void Conductor::print_progress() {
+    if (!options_.terminal || home_.now() - shown_ < Span{1}) return;
     shown_ = home_.now();
-    std::cerr << '\r' << e_.name << ", " << arm_.name << ' ' << day_.repeat + 1 << '/' << e_.repeats << ": ";
-    if (start_ == long_ago) std::cerr << "starting, " << ids_.size() << " of " << e_.proxies << " proxies   ";
+    std::cerr << '\r' << e_.name << ", " << arm_.name << ' ' << record_.repeat + 1 << '/' << e_.repeats << ": ";
+    if (start_ == long_ago) std::cerr << "starting, " << proxy_by_pid_.size() << " of " << e_.proxies << " proxies   ";
     else if (ending_) std::cerr << "ending                    ";
-    else std::cerr << std::max(0.0, std::ceil(e_.lasts.s - (home_.now() - start_).s)) << " s left             ";
+    else std::cerr << std::max(0.0, std::ceil(e_.duration.s - (home_.now() - start_).s)) << " s left             ";
     std::cerr << std::flush;
 }
 
-Day Conductor::run() {
-    std::filesystem::create_directories(day_.directory);
-    if (std::filesystem::weakly_canonical(how_.file) != std::filesystem::weakly_canonical(day_.directory + "/experiment.toml"))
-        std::filesystem::copy_file(how_.file, day_.directory + "/experiment.toml",
+RunRecord Conductor::run() {
+    std::filesystem::create_directories(record_.directory);
+    if (std::filesystem::weakly_canonical(options_.file) != std::filesystem::weakly_canonical(record_.directory + "/experiment.toml"))
+        std::filesystem::copy_file(options_.file, record_.directory + "/experiment.toml",
                                    std::filesystem::copy_options::overwrite_existing);
-    std::exception_ptr trouble;
+    std::exception_ptr error;
     try {
         start_all();
-        play();
-        day_.whole = true;
-    } catch (const CantStart&) {
+        run_load();
+        record_.complete = true;
+    } catch (const StartFailure&) {
         throw;
     } catch (const std::exception&) {
-        if (!interrupted_) trouble = std::current_exception();
+        if (!interrupted_) error = std::current_exception();
     }
-    day_.end = std::min(day_.end, home_.now().s);
-    end_all();
-    if (how_.terminal) std::cerr << "\r\033[K";
-    write_day(day_);
-    if (trouble) std::rethrow_exception(trouble);
-    return read_day(day_.directory);
+    record_.end = std::min(record_.end, home_.now().s);
+    stop_all();
+    if (options_.terminal) std::cerr << "\r\033[K";
+    write_record(record_);
+    if (error) std::rethrow_exception(error);
+    return read_record(record_.directory);
 }
 
 }  // namespace myrtleroute::rig
--- a/src/rig/discovery.cpp
+++ b/src/rig/discovery.cpp
@@ -16,13 +16,13 @@
 
 namespace {
 
-constexpr Span most_hold{60};
+constexpr Span max_hold{60};
 constexpr uint64_t change_cookie = 1;
 
 }  // namespace
 
-struct Discovery::Line : Connection, wire::HttpReader {
-    Line(Discovery& by, int fd, int from)
+struct Discovery::ProxyConnection : Connection, wire::HttpReader {
+    ProxyConnection(Discovery& by, int fd, int from)
         : Connection(by, fd, 16 * 1024, 1024 * 1024), proxy(from), http(wire::HttpMachine::Side::ask, *this) {}
     std::string name() const override { return "proxy"; }
     int start(std::string_view, std::string_view where, std::string_view) override {
@@ -40,24 +40,24 @@
     int proxy;
     wire::HttpMachine http;
     std::string target;
-    bool asks = false, watches = false;
+    bool request_open = false, watches = false;
     uint32_t from = 0;
 };
 
 Discovery::Discovery(Experiment e, std::string directory, std::string name)
-    : Part(std::move(e), std::move(directory), std::move(name)), now_(static_cast<size_t>(e_.servers)) {
+    : Part(std::move(e), std::move(directory), std::move(name)), current_(static_cast<size_t>(e_.servers)) {
     open();
-    tell("port " + std::to_string(static_cast<int>(Kind::discovery)) + " 0 " + std::to_string(port_));
-    tell("ready");
+    send_line("port " + std::to_string(static_cast<int>(Kind::discovery)) + " 0 " + std::to_string(port_));
+    send_line("ready");
 }
 
 void Discovery::open() {
-    const int fd = home_.listen_anywhere(port_);
+    const int fd = home_.listen_on_loopback(port_);
     if (fd < 0) throw std::runtime_error("discovery can't listen: " + std::string(std::strerror(errno)));
     listener_ = &loop_.adopt(std::make_unique<Listener>(*this, fd));
 }
 
-void Discovery::told(const std::string& word, std::istringstream& more) {
+void Discovery::on_command(const std::string& word, std::istringstream& more) {
     if (word == "port") {   // of a server, for the proxies of one relay
         size_t relay;
         int server;
@@ -66,92 +66,92 @@
         if (ports_.size() <= relay) ports_.resize(relay + 1);
         ports_[relay][server] = port;
     } else if (word == "first") {
-        for (int i = 0; i < e_.servers; ++i) put(i, now_[static_cast<size_t>(i)]);
+        for (int i = 0; i < e_.servers; ++i) apply_change(i, current_[static_cast<size_t>(i)]);
     } else if (word == "list") {
-        int server, state, life;
+        int server, state, incarnation;
         double boot;
-        more >> server >> state >> boot >> life;
-        auto entry = now_[static_cast<size_t>(server)];
-        if (life != entry.life && entry.state != Listed::gone) {   // the old name goes
-            entry.state = Listed::gone;
-            put(server, entry);
+        more >> server >> state >> boot >> incarnation;
+        auto entry = current_[static_cast<size_t>(server)];
+        if (incarnation != entry.incarnation && entry.state != ListedState::removed) {   // the old name goes
+            entry.state = ListedState::removed;
+            apply_change(server, entry);
         }
-        put(server, {static_cast<Listed>(state), boot, life, 0});
+        apply_change(server, {static_cast<ListedState>(state), boot, incarnation, 0});
     } else if (word == "fault") {
         int number;
         std::string kind;
         double how;
         more >> number >> kind >> how;
-        kinds_[number] = kind;
-        if (kind == "late") late_[number] = how;
-        if (kind == "silent") ++silent_;
-        if (kind == "absent" && absent_++ == 0) {
+        active_faults_[number] = kind;
+        if (kind == "late") delays_[number] = how;
+        if (kind == "silent") ++silent_faults_;
+        if (kind == "absent" && absent_faults_++ == 0) {
             if (listener_) loop_.end(*std::exchange(listener_, nullptr), Why::stopping);
-            while (!lines_.empty()) end(*lines_.back());
+            while (!connections_.empty()) end(*connections_.back());
         }
         if (kind == "shrink") {
             const auto many = static_cast<int>(std::ceil(how * e_.servers));
             for (int i = 0; i < std::min(many, e_.servers); ++i) {
-                auto entry = now_[static_cast<size_t>(i)];
-                if (entry.state != Listed::serving) continue;
+                auto entry = current_[static_cast<size_t>(i)];
+                if (entry.state != ListedState::serving) continue;
                 shrunk_[number].push_back(i);
-                entry.state = Listed::gone;
-                put(i, entry);
+                entry.state = ListedState::removed;
+                apply_change(i, entry);
             }
         }
     } else if (word == "over") {
         int number;
         more >> number;
-        const auto kind = kinds_[number];
-        kinds_.erase(number);
-        late_.erase(number);
-        if (kind == "silent") --silent_;
-        if (kind == "absent" && --absent_ == 0) open();
+        const auto kind = active_faults_[number];
+        active_faults_.erase(number);
+        delays_.erase(number);
+        if (kind == "silent") --silent_faults_;
+        if (kind == "absent" && --absent_faults_ == 0) open();
         for (const int server : shrunk_[number]) {
-            auto entry = now_[static_cast<size_t>(server)];
-            if (entry.state != Listed::gone) continue;
-            entry.state = Listed::serving;
-            put(server, entry);
+            auto entry = current_[static_cast<size_t>(server)];
+            if (entry.state != ListedState::removed) continue;
+            entry.state = ListedState::serving;
+            apply_change(server, entry);
         }
         shrunk_.erase(number);
         loop_.wake(loop_.now(), change_cookie);
     }
 }
 
-void Discovery::put(int server, const Entry& entry) {
-    now_[static_cast<size_t>(server)] = entry;
+void Discovery::apply_change(int server, const Entry& entry) {
+    current_[static_cast<size_t>(server)] = entry;
     changes_.push_back({loop_.now(), server, entry});
     list_.push_back({at(loop_.now()), entry.boot, static_cast<uint32_t>(changes_.size()), static_cast<uint16_t>(server),
-                     static_cast<uint16_t>(entry.life), entry.state});
+                     static_cast<uint16_t>(entry.incarnation), entry.state});
     double wait = 0.001;
-    for (const auto& [number, late] : late_) wait = std::max(wait, late);
+    for (const auto& [number, late] : delays_) wait = std::max(wait, late);
     loop_.wake(loop_.now() + Span{wait}, change_cookie);
 }
 
 uint32_t Discovery::visible() const {
     double late = 0;
-    for (const auto& [number, each] : late_) late = std::max(late, each);
+    for (const auto& [number, each] : delays_) late = std::max(late, each);
     uint32_t rev = static_cast<uint32_t>(changes_.size());
     while (rev > 0 && late > 0 && changes_[rev - 1].at > loop_.now() - Span{late}) --rev;
     return rev;
 }
 
-void Discovery::woken(uint64_t) {
-    for (auto* line : std::vector<Line*>(lines_))
-        if (line->watches) answer(*line, false);
+void Discovery::timer_fired(uint64_t) {
+    for (auto* connection : std::vector<ProxyConnection*>(connections_))
+        if (connection->watches) answer(*connection, false);
 }
 
-std::string Discovery::words(int proxy, uint32_t from, uint32_t to, bool whole) const {
+std::string Discovery::format_list(int proxy, uint32_t from, uint32_t to, bool whole) const {
     static constexpr const char* states[] = {"SERVING", "DRAINING", "DELETED"};
     std::map<std::pair<int, int>, Entry> latest;   // by server and life
-    for (uint32_t i = from; i < to; ++i) latest[{changes_[i].server, changes_[i].entry.life}] = changes_[i].entry;
+    for (uint32_t i = from; i < to; ++i) latest[{changes_[i].server, changes_[i].entry.incarnation}] = changes_[i].entry;
     const auto& ports = ports_[static_cast<size_t>(proxy) % ports_.size()];
     std::ostringstream out;
     out.precision(17);
     out << "{\"rev\":" << to << ",\"all\":" << (whole ? "true" : "false") << ",\"targets\":[";
     bool first = true;
     for (const auto& [key, e] : latest) {
-        if (whole && e.state == Listed::gone) continue;
+        if (whole && e.state == ListedState::removed) continue;
         const auto server = static_cast<uint16_t>(key.first);
         out << (first ? "" : ",") << "{\"uid\":\"s" << key.first;
         if (key.second) out << '-' << key.second;
@@ -172,51 +172,51 @@
                 home_.close(fd);
                 continue;
             }
-            lines_.push_back(&loop_.adopt(std::make_unique<Line>(*this, fd, link->from)));
+            connections_.push_back(&loop_.adopt(std::make_unique<ProxyConnection>(*this, fd, link->from)));
         }
         return;
     }
-    auto& line = static_cast<Line&>(c);
-    while (!line.in.empty() && !line.http.done() && !line.http.fault()) line.in.drop(line.http.feed(line.in.front()));
-    if (c.ended || line.http.fault()) return end(line);
-    if (!line.http.done() || line.asks) return;
-    line.asks = true;
-    told_.push_back({at(loop_.now()), 0, static_cast<uint16_t>(line.proxy), true});
-    if (silent_) return;
-    const auto from = line.number("from="), hold = line.number("hold_ms=");
-    line.from = static_cast<uint32_t>(from.value_or(0));
-    line.watches = from && hold && line.from <= changes_.size();
-    if (!line.watches || visible() > line.from) return answer(line, true);
-    loop_.set(line, loop_.now() + std::min(most_hold, Span{static_cast<double>(*hold) / 1000}));
+    auto& connection = static_cast<ProxyConnection&>(c);
+    while (!connection.in.empty() && !connection.http.done() && !connection.http.fault()) connection.in.drop(connection.http.feed(connection.in.front()));
+    if (c.ended || connection.http.fault()) return end(connection);
+    if (!connection.http.done() || connection.request_open) return;
+    connection.request_open = true;
+    records_.push_back({at(loop_.now()), 0, static_cast<uint16_t>(connection.proxy), true});
+    if (silent_faults_) return;
+    const auto from = connection.number("from="), hold = connection.number("hold_ms=");
+    connection.from = static_cast<uint32_t>(from.value_or(0));
+    connection.watches = from && hold && connection.from <= changes_.size();
+    if (!connection.watches || visible() > connection.from) return answer(connection, true);
+    loop_.set(connection, loop_.now() + std::min(max_hold, Span{static_cast<double>(*hold) / 1000}));
 }
 
-void Discovery::answer(Line& line, bool anyway) {
+void Discovery::answer(ProxyConnection& connection, bool even_unchanged) {
     const auto rev = visible();
-    if (silent_ || (!anyway && rev <= line.from)) return;
-    const bool whole = !line.watches;
-    const auto to = std::max(rev, line.watches ? line.from : 0);
-    line.out.push(wire::answer(200, words(line.proxy, whole ? 0 : line.from, to, whole), true));
-    told_.push_back({at(loop_.now()), to, static_cast<uint16_t>(line.proxy), false});
-    line.asks = line.watches = false;
-    line.http.next();
-    loop_.clear(line);
-    loop_.flush(line);
+    if (silent_faults_ || (!even_unchanged && rev <= connection.from)) return;
+    const bool whole = !connection.watches;
+    const auto to = std::max(rev, connection.watches ? connection.from : 0);
+    connection.out.push(wire::answer(200, format_list(connection.proxy, whole ? 0 : connection.from, to, whole), true));
+    records_.push_back({at(loop_.now()), to, static_cast<uint16_t>(connection.proxy), false});
+    connection.request_open = connection.watches = false;
+    connection.http.next();
+    loop_.clear(connection);
+    loop_.flush(connection);
 }
 
 void Discovery::broke(Connection& c, int) {
-    if (!c.listens) end(static_cast<Line&>(c));
+    if (!c.listens) end(static_cast<ProxyConnection&>(c));
 }
 
-void Discovery::due(Connection& c) { answer(static_cast<Line&>(c), true); }
+void Discovery::due(Connection& c) { answer(static_cast<ProxyConnection&>(c), true); }
 
-void Discovery::end(Line& line) {
-    if (line.asks) told_.push_back({at(loop_.now()), 0, static_cast<uint16_t>(line.proxy), false});
-    std::erase(lines_, &line);
-    loop_.end(line, Why::peer_closed);
+void Discovery::end(ProxyConnection& connection) {
+    if (connection.request_open) records_.push_back({at(loop_.now()), 0, static_cast<uint16_t>(connection.proxy), false});
+    std::erase(connections_, &connection);
+    loop_.end(connection, Why::peer_closed);
 }
 
-void Discovery::finish() {
-    write_records(file("told"), told_);
+void Discovery::write_results() {
+    write_records(file("told"), records_);
     write_records(file("list"), list_);
 }
 
--- a/src/rig/discovery.hpp
+++ b/src/rig/discovery.hpp
@@ -1,5 +1,5 @@
-// The discovery stand-in: one list of servers for all proxies, each told its own links' addresses, watches that hang
-// until something changes, and the ways in which it fails. It writes down what was told to whom, and when.
+// The discovery stub: one list of servers for all proxies, in which each proxy gets the addresses of its own links,
+// watches that are held until the list changes, and injected faults. It records each request and answer with its time.
 #pragma once
 #include <map>
 
@@ -12,40 +12,40 @@
     Discovery(Experiment e, std::string directory, std::string name);
 
 private:
-    struct Line;
+    struct ProxyConnection;
     struct Entry {
-        Listed state = Listed::serving;
-        double boot = 0;     // Unix seconds; 0: long ago
-        int life = 0;        // a new one, a new name
+        ListedState state = ListedState::serving;
+        double boot = 0;     // Unix seconds; 0: long before the run
+        int incarnation = 0;        // each has a name of its own
         uint16_t port = 0;
     };
     struct Change { Time at; int server; Entry entry; };
 
-    void told(const std::string& word, std::istringstream& more) override;
-    void woken(uint64_t cookie) override;
-    void finish() override;
+    void on_command(const std::string& word, std::istringstream& more) override;
+    void timer_fired(uint64_t cookie) override;
+    void write_results() override;
     void came(memory::Connection& c) override;
     void broke(memory::Connection& c, int error) override;
     void due(memory::Connection& c) override;
 
     void open();
-    void put(int server, const Entry& entry);
-    uint32_t visible() const;                      // the newest revision that is told by now
-    void answer(Line& line, bool anyway);
-    std::string words(int proxy, uint32_t from, uint32_t to, bool whole) const;
-    void end(Line& line);
+    void apply_change(int server, const Entry& entry);
+    uint32_t visible() const;                      // the newest revision that is reported now, under `late` faults
+    void answer(ProxyConnection& connection, bool even_unchanged);
+    std::string format_list(int proxy, uint32_t from, uint32_t to, bool whole) const;
+    void end(ProxyConnection& connection);
 
     uint16_t port_ = 0;
     Listener* listener_ = nullptr;
-    std::vector<std::map<int, uint16_t>> ports_;   // by proxy % relays: of each server; without relays one
-    std::vector<Change> changes_;                  // revision n is the first n of them
-    std::vector<Entry> now_;
-    std::map<int, double> late_;
-    std::map<int, std::vector<int>> shrunk_;       // servers that are left out, by fault
-    int silent_ = 0, absent_ = 0;
-    std::map<int, std::string> kinds_;             // of the faults that are on
-    std::vector<Line*> lines_;
-    std::vector<ToldRecord> told_;
+    std::vector<std::map<int, uint16_t>> ports_;   // by relay (proxy % relays; one without relays): port of each server
+    std::vector<Change> changes_;                  // revision n contains the first n
+    std::vector<Entry> current_;
+    std::map<int, double> delays_;
+    std::map<int, std::vector<int>> shrunk_;       // omitted servers, by fault
+    int silent_faults_ = 0, absent_faults_ = 0;
+    std::map<int, std::string> active_faults_;             // kinds of the active faults
+    std::vector<ProxyConnection*> connections_;
+    std::vector<DiscoveryRecord> records_;
     std::vector<ListRecord> list_;
 };
 
--- a/src/rig/experiment.cpp
+++ b/src/rig/experiment.cpp
@@ -17,11 +17,11 @@
 namespace {
 
 constexpr FaultName names[] = {
-#define X(name, whom, text) {#name, Whom::whom, text},
+#define X(name, target, text) {#name, FaultTarget::target, text},
     MYRTLEROUTE_RIG_FAULTS(X)
 #undef X
 };
-constexpr double most_seconds = 3600, most_rate = 10000;
+constexpr double max_seconds = 3600, max_rate = 10000;
 
 std::optional<FaultKind> fault_named(std::string_view name) {
     for (size_t i = 0; i < std::size(names); ++i)
@@ -84,10 +84,10 @@
     if (!found) t.fault("kind", "must name a fault; `myrtleroute_fleet faults` lists them");
     Fault f;
     f.kind = *found;
-    const auto whom = name_of(*found).whom;
-    f.at = {t.number("at_s", 0, 0, most_seconds)};
-    f.lasts = {t.number("lasts_s", 1, 0, most_seconds)};
-    f.staggered = {t.number("staggered_s", 0, 0, most_seconds)};
+    const auto target = name_of(*found).target;
+    f.at = {t.number("at_s", 0, 0, max_seconds)};
+    f.duration = {t.number("lasts_s", 1, 0, max_seconds)};
+    f.stagger = {t.number("staggered_s", 0, 0, max_seconds)};
     f.how = t.number("how", 0.5, 0, 1000);
     f.delay = t.number("delay_ms", 0, 0, 60000) / 1000;
     f.jitter = t.number("jitter_ms", 0, 0, 60000) / 1000;
@@ -95,18 +95,18 @@
     f.program = t.text("program", "");
     f.settings = settings_of(t, "settings");
     const auto way = t.one_of("way", "both", {"both", "there", "back"});
-    f.way = way == "both" ? both : way == "there" ? there : back;
+    f.way = way == "both" ? both : way == "there" ? forward_way : backward_way;
     if (f.kind == FaultKind::throttle && f.rate <= 0) t.fault("rate", "must be above 0");
     if (f.kind == FaultKind::delay && f.delay + f.jitter <= 0) t.fault("delay_ms", "or jitter_ms must be above 0");
     static constexpr const char* whose[] = {"proxies", "servers", "discovery", "proxies"};
-    f.who = group(t, "who", whose[static_cast<int>(whom)], e);
+    f.who = group(t, "who", whose[static_cast<int>(target)], e);
     const auto must_be = [&](Party party, const char* word) {
         if (f.who.party != party) t.fault("who", std::string("of this kind of fault must be ") + word);
     };
-    if (whom == Whom::process) must_be(Party::proxies, "proxies");
-    if (whom == Whom::server) must_be(Party::servers, "servers");
-    if (whom == Whom::discovery) must_be(Party::discovery, "discovery");
-    if (whom != Whom::link) {
+    if (target == FaultTarget::process) must_be(Party::proxies, "proxies");
+    if (target == FaultTarget::server) must_be(Party::servers, "servers");
+    if (target == FaultTarget::discovery) must_be(Party::discovery, "discovery");
+    if (target != FaultTarget::link) {
         if (t.has("to")) t.fault("to", "goes with faults of links only");
         return f;
     }
@@ -121,18 +121,18 @@
 
 void read_load(const std::string& path, const toml::table& source, Experiment& e) {
     const Table t(path, source, {"calls_per_s", "law", "alpha", "share", "moves_s", "burst"});
-    e.rate = t.number("calls_per_s", e.rate, 0, most_rate);
-    e.law = t.one_of("law", e.law, {"equal", "pareto", "zipf", "one"});
+    e.rate = t.number("calls_per_s", e.rate, 0, max_rate);
+    e.distribution = t.one_of("law", e.distribution, {"equal", "pareto", "zipf", "one"});
     e.alpha = t.number("alpha", e.alpha, 0.1, 10);
     e.share = t.number("share", e.share, 0, 1);
-    e.moves = {t.number("moves_s", 0, 0, most_seconds)};
+    e.shift_period = {t.number("moves_s", 0, 0, max_seconds)};
     for (const auto* each : t.tables("burst")) {
         const Table b(path, *each, {"who", "at_s", "lasts_s", "factor"});
         Burst burst;
         burst.who = group(b, "who", "proxies", e);
         if (burst.who.party != Party::proxies) b.fault("who", "must be proxies: their applications call more often");
-        burst.at = {b.number("at_s", 0, 0, most_seconds)};
-        burst.lasts = {b.number("lasts_s", 1, 0.01, most_seconds)};
+        burst.at = {b.number("at_s", 0, 0, max_seconds)};
+        burst.duration = {b.number("lasts_s", 1, 0.01, max_seconds)};
         burst.factor = b.number("factor", 2, 0, 1000);
         e.bursts.push_back(burst);
     }
@@ -153,7 +153,7 @@
         t.fault("sizes", "must be a list of numbers above 0, 64 at most");
 }
 
-int whole(std::string_view text, const std::string& said) {
+int parse_index(std::string_view text, const std::string& said) {
     int n = -1;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n);
     if (error != std::errc{} || end != text.data() + text.size() || n < 0)
@@ -184,22 +184,22 @@
     } else if (party == "discovery") {
         g.party = Party::discovery;
     } else {
-        whole("", words);
+        parse_index("", words);
     }
-    if (!more.empty()) whole("", words);
+    if (!more.empty()) parse_index("", words);
     int from = 0, to = count - 1, step = 1;
     if (first == "every") {
-        step = std::max(1, whole(second, words));
+        step = std::max(1, parse_index(second, words));
     } else if (first == "zone") {
         if (second.size() != 1 || second[0] < 'a' || second[0] >= 'a' + e.zones)
             throw std::invalid_argument("names no zone: " + words + "; there are a to " + static_cast<char>('a' + e.zones - 1));
         from = second[0] - 'a';
         step = e.zones;
     } else if (!first.empty()) {
-        if (!second.empty()) whole("", words);
+        if (!second.empty()) parse_index("", words);
         const auto dash = first.find('-');
-        from = whole(std::string_view(first).substr(0, dash), words);
-        to = dash == first.npos ? from : whole(std::string_view(first).substr(dash + 1), words);
+        from = parse_index(std::string_view(first).substr(0, dash), words);
+        to = dash == first.npos ? from : parse_index(std::string_view(first).substr(dash + 1), words);
         if (to >= count || from > to)
             throw std::invalid_argument("names more than there are: " + words + "; there are 0 to " + std::to_string(count - 1));
     }
@@ -216,12 +216,12 @@
     e.name = t.text("name", std::filesystem::path(path).stem().string());
     e.text = t.text("text", "");
     e.seed = static_cast<uint64_t>(t.whole("seed", 1, 0, 1 << 30));
-    e.proxies = t.whole("proxies", e.proxies, 1, most_parties);
-    e.servers = t.whole("servers", e.servers, 1, most_parties);
+    e.proxies = t.whole("proxies", e.proxies, 1, max_parties);
+    e.servers = t.whole("servers", e.servers, 1, max_parties);
     e.zones = t.whole("zones", 1, 1, 26);
     e.repeats = t.whole("repeats", 1, 1, 1000);
-    e.lasts = {t.number("lasts_s", e.lasts.s, 0.5, most_seconds)};
-    e.window = {t.number("window_s", e.window.s, 0.1, most_seconds)};
+    e.duration = {t.number("lasts_s", e.duration.s, 0.5, max_seconds)};
+    e.window = {t.number("window_s", e.window.s, 0.1, max_seconds)};
     e.slack = {t.number("slack_s", e.slack.s, 0, 60)};
     if (const auto* load = t.part("load")) read_load(path, *load, e);
     if (const auto* server = t.part("server")) read_servers(path, *server, e);
--- a/src/rig/judge.hpp
+++ b/src/rig/judge.hpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <ostream>
 
-#include "rig/day.hpp"
+#include "rig/run_record.hpp"
 
 namespace myrtleroute::rig {
 
@@ -30,21 +30,21 @@
 const char* name_of(Rule rule);
 const char* text_of(Rule rule);
 
-struct Break {
+struct Violation {
     Rule rule;
     uint64_t call;        // 0: none
     std::string what;     // the call, the proxies and the links that it touched
 };
 
 struct Verdict {
-    std::vector<Break> breaks;
+    std::vector<Violation> violations;
     std::map<std::string, uint64_t> excused;   // by rule and fault
     uint64_t judged = 0;                       // calls
     double starved = 0;                        // seconds that the machine kept the rig's processes waiting
-    bool kept() const { return breaks.empty(); }
+    bool passed() const { return violations.empty(); }
 };
 
-Verdict judge(const Day& day);
-void print(std::ostream& out, const Verdict& verdict, size_t most = 10);
+Verdict judge(const RunRecord& record);
+void print(std::ostream& out, const Verdict& verdict, size_t limit = 10);
 
 }  // namespace myrtleroute::rig
--- a/src/rig/lines.hpp
+++ b/src/rig/lines.hpp
@@ -1,4 +1,5 @@
-// Lines of a control connection, whole: what has come is taken out of its ring, a line's beginning is kept.
+// Splits the input of a control connection into lines: consumes the ring buffer and keeps an incomplete last line in
+// `partial`.
 #pragma once
 #include <string>
 #include <utility>
@@ -7,14 +8,14 @@
 
 namespace myrtleroute::rig {
 
-template <class Heard>
-void take_lines(memory::ByteRing& in, std::string& begun, const Heard& heard) {
+template <class OnLine>
+void take_lines(memory::ByteRing& in, std::string& partial, const OnLine& on_line) {
     while (!in.empty()) {
         const auto bytes = in.front();
         const auto end = bytes.find('\n');
-        begun.append(bytes.substr(0, end));
+        partial.append(bytes.substr(0, end));
         in.drop(end == bytes.npos ? bytes.size() : end + 1);
-        if (end != bytes.npos) heard(std::exchange(begun, ""));
+        if (end != bytes.npos) on_line(std::exchange(partial, ""));
     }
 }
 
--- a/src/rig/links.hpp
+++ b/src/rig/links.hpp
@@ -1,6 +1,6 @@
-// Who speaks with whom in a fleet: each pair of parties has a link, and each link a loopback address of its own.
-// One socket that listens at every address of this machine then tells by the address that was called which link a
-// connection belongs to, without a port or a listener for each of the many pairs.
+// The links of a fleet: each pair of parties that communicate has a link with a loopback address of its own.
+// One socket that listens at all addresses can then find a connection's link from its local address, without a port
+// or a listener for each of the many pairs.
 #pragma once
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -11,12 +11,12 @@
 
 namespace myrtleroute::rig {
 
-enum class Kind : uint8_t { none, application, server, discovery, peer, kinds };   // what a proxy speaks with
+enum class Kind : uint8_t { none, application, server, discovery, peer, kinds };   // a proxy's peer on the link
 constexpr const char* kind_names[] = {"none", "applications", "servers", "discovery", "proxies"};
 
-constexpr int most_parties = 1023;   // of a kind: ten bits each in the address
+constexpr int max_parties = 1023;   // of each kind: ten bits in the address
 
-// From and to are numbers of parties: a link of an application runs from it to the proxy of the same number, all
+// `from` and `to` are party numbers: an application link goes from an application to the proxy of the same number, all
 // others from a proxy to a server, to discovery (0) or to another proxy.
 struct Link {
     Kind kind = Kind::none;
@@ -25,7 +25,7 @@
 };
 
 constexpr uint32_t loopback = 127u << 24;
-constexpr uint32_t doors = 15;   // in the place of a kind: the addresses at which proxies listen
+constexpr uint32_t listener_kind = 15;   // stands for Kind in the addresses at which proxies listen
 
 inline sockaddr_in address(uint32_t ip, uint16_t port) {
     sockaddr_in at{};
@@ -39,9 +39,9 @@
     return loopback | static_cast<uint32_t>(link.kind) << 20 | static_cast<uint32_t>(link.from) << 10 | link.to;
 }
 
-inline uint32_t door_ip(int proxy) { return loopback | doors << 20 | static_cast<uint32_t>(proxy); }
+inline uint32_t listen_ip(int proxy) { return loopback | listener_kind << 20 | static_cast<uint32_t>(proxy); }
 
-// None where the address belongs to no link.
+// Empty if the address belongs to no link.
 inline std::optional<Link> link_at(uint32_t ip) {
     const uint32_t kind = ip >> 20 & 15;
     if (ip >> 24 != 127 || kind == 0 || kind >= static_cast<uint32_t>(Kind::kinds)) return {};
--- a/src/rig/lists.hpp
+++ b/src/rig/lists.hpp
@@ -1,4 +1,4 @@
-// Numbers of parties as words on a control line: 0-99,103.
+// Lists of party numbers as text in control commands: 0-99,103.
 #pragma once
 #include <sstream>
 #include <string>
--- a/src/rig/load.cpp
+++ b/src/rig/load.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-constexpr Span ask_again{0.05}, beyond_timeout{0.5};   // an answer that comes later than that is none
+constexpr Span health_check_interval{0.05}, timeout_grace{0.5};   // an answer that comes later than that is none
 
 }  // namespace
 
-struct Load::Line : Connection {
-    Line(Load& by, int fd, Application& of)
+struct Load::ProxyConnection : Connection {
+    ProxyConnection(Load& by, int fd, Application& of)
         : Connection(by, fd, 128 * 1024, 64 * 1024), application(&of), http(wire::HttpMachine::Side::answer, reader) {}
     std::string name() const override { return "proxy"; }
     Application* application;
     wire::ReplyReader reader;
     wire::HttpMachine http;
     size_t call = none;        // of calls_
-    bool asks_if_up = false, used = false;
+    bool is_health_check = false, used = false;
     static constexpr size_t none = static_cast<size_t>(-1);
 };
 
@@ -38,7 +38,7 @@
     }
 }
 
-void Load::told(const std::string& word, std::istringstream& more) {
+void Load::on_command(const std::string& word, std::istringstream& more) {
     if (word == "proxy") {
         int proxy;
         uint32_t ip;
@@ -46,70 +46,70 @@
         more >> proxy >> ip >> port;
         application(proxy).at = address(ip, port);
     } else if (word == "ask") {   // whether they are up
-        waiting_ = applications_.size();
-        for (auto& a : applications_) ask_if_up(a);
+        unhealthy_ = applications_.size();
+        for (auto& a : applications_) check_health(a);
     } else if (word == "go") {
         for (auto& a : applications_)
-            if (a.arrivals->next().at.s < e_.lasts.s) {
-                ++coming_;
+            if (a.arrivals->next().at.s < e_.duration.s) {
+                ++unfinished_;
                 loop_.wake(start() + Span{a.arrivals->next().at.s}, static_cast<uint64_t>(a.proxy));
             }
-        done_if_all_are();
+        report_if_done();
     }
 }
 
-Load::Line* Load::connect(Application& a) {
+Load::ProxyConnection* Load::connect(Application& a) {
     bool at_once = false;
     const int fd = home_.connect_to(a.at, at_once);
     if (fd < 0) return nullptr;
-    auto line = std::make_unique<Line>(*this, fd, a);
-    line->connecting = !at_once;
-    return &loop_.adopt(std::move(line));
+    auto connection = std::make_unique<ProxyConnection>(*this, fd, a);
+    connection->connecting = !at_once;
+    return &loop_.adopt(std::move(connection));
 }
 
-void Load::ask_if_up(Application& a) {
+void Load::check_health(Application& a) {
     if (a.up) return;
-    auto* line = connect(a);
-    if (!line) return loop_.wake(loop_.now() + ask_again, static_cast<uint64_t>(a.proxy));
-    line->asks_if_up = true;
-    line->out.push("GET /up HTTP/1.1\r\nHost: api.internal\r\n\r\n");
-    loop_.set(*line, loop_.now() + Span{1});
-    if (!line->connecting) loop_.flush(*line);
+    auto* connection = connect(a);
+    if (!connection) return loop_.wake(loop_.now() + health_check_interval, static_cast<uint64_t>(a.proxy));
+    connection->is_health_check = true;
+    connection->out.push("GET /up HTTP/1.1\r\nHost: api.internal\r\n\r\n");
+    loop_.set(*connection, loop_.now() + Span{1});
+    if (!connection->connecting) loop_.flush(*connection);
 }
 
-void Load::woken(uint64_t cookie) {
+void Load::timer_fired(uint64_t cookie) {
     auto& a = application(static_cast<int>(cookie));
-    if (start() == long_ago) return ask_if_up(a);
-    while (a.arrivals->next().at.s < e_.lasts.s && start() + Span{a.arrivals->next().at.s} <= loop_.now()) call(a);
-    if (a.arrivals->next().at.s < e_.lasts.s)
+    if (start() == long_ago) return check_health(a);
+    while (a.arrivals->next().at.s < e_.duration.s && start() + Span{a.arrivals->next().at.s} <= loop_.now()) call(a);
+    if (a.arrivals->next().at.s < e_.duration.s)
         return loop_.wake(start() + Span{a.arrivals->next().at.s}, cookie);
-    --coming_;
-    done_if_all_are();
+    --unfinished_;
+    report_if_done();
 }
 
 void Load::call(Application& a) {
     const auto& next = a.arrivals->next();
     calls_.push_back({call_id(a.proxy, next.number), at(start()) + next.at.s, 0, 0, static_cast<uint16_t>(next.product), 0,
-                      CallEnd::unanswered, 1});
+                      CallOutcome::timed_out, 1});
     a.arrivals->advance();
-    ++out_;
+    ++in_flight_;
     send(a, calls_.back(), calls_.size() - 1, false);
 }
 
-void Load::send(Application& a, CallRecord& record, size_t place, bool fresh) {
-    Line* line = nullptr;
-    if (!fresh && !a.idle.empty()) {
-        line = a.idle.back();
+void Load::send(Application& a, CallRecord& record, size_t index, bool new_connection) {
+    ProxyConnection* connection = nullptr;
+    if (!new_connection && !a.idle.empty()) {
+        connection = a.idle.back();
         a.idle.pop_back();
     } else {
-        line = connect(a);
+        connection = connect(a);
     }
     record.sent = at(loop_.now());
-    if (!line) {
+    if (!connection) {
         record.ended = record.sent;
-        record.end = CallEnd::not_connected;
-        --out_;
-        return done_if_all_are();
+        record.end = CallOutcome::not_connected;
+        --in_flight_;
+        return report_if_done();
     }
     const auto& p = e_.products[record.product];
     char text[512];
@@ -121,76 +121,76 @@
                                    static_cast<int>(p.timeout.s * 1000),
                                    p.repeat == Idempotency::idempotent ? "" : "Content-Length: 4\r\n",
                                    p.repeat == Idempotency::idempotent ? "" : "book");
-    line->call = place;
-    line->out.push(std::string_view(text, static_cast<size_t>(size)));
-    loop_.set(*line, loop_.now() + p.timeout + beyond_timeout + e_.slack);
-    if (!line->connecting) loop_.flush(*line);
+    connection->call = index;
+    connection->out.push(std::string_view(text, static_cast<size_t>(size)));
+    loop_.set(*connection, loop_.now() + p.timeout + timeout_grace + e_.slack);
+    if (!connection->connecting) loop_.flush(*connection);
 }
 
 void Load::came(Connection& c) {
-    auto& line = static_cast<Line&>(c);
-    while (!line.in.empty() && !line.http.done() && !line.http.fault()) line.in.drop(line.http.feed(line.in.front()));
-    if (line.http.done() && (line.asks_if_up || line.call != Line::none)) answered(line);
-    else if (line.http.fault() || line.http.done()) return gone(line, CallEnd::wrong);
-    if (c.open() && c.ended) gone(line, CallEnd::broken);
+    auto& connection = static_cast<ProxyConnection&>(c);
+    while (!connection.in.empty() && !connection.http.done() && !connection.http.fault()) connection.in.drop(connection.http.feed(connection.in.front()));
+    if (connection.http.done() && (connection.is_health_check || connection.call != ProxyConnection::none)) on_response(connection);
+    else if (connection.http.fault() || connection.http.done()) return close(connection, CallOutcome::wrong);
+    if (c.open() && c.ended) close(connection, CallOutcome::disconnected);
 }
 
-void Load::answered(Line& line) {
-    auto& a = *line.application;
-    const int status = line.reader.status;
-    const bool keeps = line.http.keeps();
-    if (line.asks_if_up) {
-        if (status == 200 && !std::exchange(a.up, true) && --waiting_ == 0) tell("up");
-        return gone(line, CallEnd::broken);
+void Load::on_response(ProxyConnection& connection) {
+    auto& a = *connection.application;
+    const int status = connection.reader.status;
+    const bool keeps = connection.http.keeps();
+    if (connection.is_health_check) {
+        if (status == 200 && !std::exchange(a.up, true) && --unhealthy_ == 0) send_line("up");
+        return close(connection, CallOutcome::disconnected);
     }
-    auto& record = calls_[line.call];
+    auto& record = calls_[connection.call];
     char body[32];
     const int size = std::snprintf(body, sizeof body, "%llx from ", static_cast<unsigned long long>(record.call));
     record.status = static_cast<uint16_t>(status);
-    const bool wrong = status == 200 && !line.reader.text.starts_with(std::string_view(body, static_cast<size_t>(size)));
-    over(line, wrong ? CallEnd::wrong : CallEnd::answered);
-    line.used = true;
-    line.http.next();
-    if (!keeps || line.ended) return loop_.end(line, Why::told_to_close);
-    a.idle.push_back(&line);
+    const bool wrong = status == 200 && !connection.reader.text.starts_with(std::string_view(body, static_cast<size_t>(size)));
+    finish_call(connection, wrong ? CallOutcome::wrong : CallOutcome::answered);
+    connection.used = true;
+    connection.http.next();
+    if (!keeps || connection.ended) return loop_.end(connection, Why::told_to_close);
+    a.idle.push_back(&connection);
 }
 
-void Load::over(Line& line, CallEnd how) {
-    auto& record = calls_[std::exchange(line.call, Line::none)];
+void Load::finish_call(ProxyConnection& connection, CallOutcome how) {
+    auto& record = calls_[std::exchange(connection.call, ProxyConnection::none)];
     record.ended = at(loop_.now());
     record.end = how;
-    loop_.clear(line);
-    --out_;
-    done_if_all_are();
+    loop_.clear(connection);
+    --in_flight_;
+    report_if_done();
 }
 
-void Load::gone(Line& line, CallEnd how) {
-    auto& a = *line.application;
-    std::erase(a.idle, &line);
-    const size_t place = line.call;
-    const bool crossed = how == CallEnd::broken && line.used && !line.http.begun();
-    if (place != Line::none && crossed && calls_[place].tries == 1) {
+void Load::close(ProxyConnection& connection, CallOutcome how) {
+    auto& a = *connection.application;
+    std::erase(a.idle, &connection);
+    const size_t index = connection.call;
+    const bool idle_close_race = how == CallOutcome::disconnected && connection.used && !connection.http.begun();
+    if (index != ProxyConnection::none && idle_close_race && calls_[index].tries == 1) {
         // The proxy was closing what it took for idle: the call goes once more, on a new connection.
-        line.call = Line::none;
-        loop_.end(line, Why::peer_closed);
-        calls_[place].tries = 2;
-        return send(a, calls_[place], place, true);
+        connection.call = ProxyConnection::none;
+        loop_.end(connection, Why::peer_closed);
+        calls_[index].tries = 2;
+        return send(a, calls_[index], index, true);
     }
-    if (place != Line::none) over(line, line.connecting ? CallEnd::not_connected : how);
-    const bool again = line.asks_if_up && !a.up;
-    loop_.end(line, Why::peer_closed);
-    if (again) loop_.wake(loop_.now() + ask_again, static_cast<uint64_t>(a.proxy));
+    if (index != ProxyConnection::none) finish_call(connection, connection.connecting ? CallOutcome::not_connected : how);
+    const bool again = connection.is_health_check && !a.up;
+    loop_.end(connection, Why::peer_closed);
+    if (again) loop_.wake(loop_.now() + health_check_interval, static_cast<uint64_t>(a.proxy));
 }
 
-void Load::broke(Connection& c, int) { gone(static_cast<Line&>(c), CallEnd::broken); }
-void Load::due(Connection& c) { gone(static_cast<Line&>(c), CallEnd::unanswered); }
+void Load::broke(Connection& c, int) { close(static_cast<ProxyConnection&>(c), CallOutcome::disconnected); }
+void Load::due(Connection& c) { close(static_cast<ProxyConnection&>(c), CallOutcome::timed_out); }
 
-void Load::done_if_all_are() {
-    if (start() == long_ago || coming_ || out_ || told_done_) return;
-    told_done_ = true;
-    tell("done");
+void Load::report_if_done() {
+    if (start() == long_ago || unfinished_ || in_flight_ || done_sent_) return;
+    done_sent_ = true;
+    send_line("done");
 }
 
-void Load::finish() { write_records(file("calls"), calls_); }
+void Load::write_results() { write_records(file("calls"), calls_); }
 
 }  // namespace myrtleroute::rig
--- a/src/rig/load.hpp
+++ b/src/rig/load.hpp
@@ -13,37 +13,37 @@
     Load(Experiment e, std::string directory, std::string name, int number, int of);
 
 private:
-    struct Line;
+    struct ProxyConnection;
     struct Application {
         int proxy = 0;
         sockaddr_in at{};
         bool up = false;
-        std::vector<Line*> idle;
+        std::vector<ProxyConnection*> idle;
         std::unique_ptr<Arrivals> arrivals;
     };
-    void told(const std::string& word, std::istringstream& more) override;
-    void woken(uint64_t cookie) override;
-    void finish() override;
+    void on_command(const std::string& word, std::istringstream& more) override;
+    void timer_fired(uint64_t cookie) override;
+    void write_results() override;
     void came(memory::Connection& c) override;
     void broke(memory::Connection& c, int error) override;
     void due(memory::Connection& c) override;
 
     Application& application(int proxy) { return applications_[static_cast<size_t>(proxy / of_)]; }
     void call(Application& a);
-    void send(Application& a, CallRecord& record, size_t place, bool fresh);
-    void ask_if_up(Application& a);
-    Line* connect(Application& a);
-    void over(Line& line, CallEnd how);            // the call on it
-    void answered(Line& line);
-    void gone(Line& line, CallEnd how);            // the connection
-    void done_if_all_are();
+    void send(Application& a, CallRecord& record, size_t index, bool new_connection);
+    void check_health(Application& a);
+    ProxyConnection* connect(Application& a);
+    void finish_call(ProxyConnection& connection, CallOutcome how);            // the call on it
+    void on_response(ProxyConnection& connection);
+    void close(ProxyConnection& connection, CallOutcome how);            // the connection
+    void report_if_done();
 
     int number_, of_;
     std::vector<double> rates_;
     std::vector<Application> applications_;
     std::vector<CallRecord> calls_;
-    size_t out_ = 0, waiting_ = 0, coming_ = 0;
-    bool told_done_ = false;
+    size_t in_flight_ = 0, unhealthy_ = 0, unfinished_ = 0;
+    bool done_sent_ = false;
 };
 
 }  // namespace myrtleroute::rig
--- a/src/rig/main.cpp
+++ b/src/rig/main.cpp
@@ -25,7 +25,7 @@
 using namespace myrtleroute::rig;
 namespace fs = std::filesystem;
 
-constexpr int kept = 0, broke = 1, at_fault = 2, stopped = 130;
+constexpr int success = 0, rule_broken = 1, failed = 2, interrupted_status = 130;
 
 size_t all_descriptors() {
     rlimit most{};
@@ -35,21 +35,21 @@
     return most.rlim_cur;
 }
 
-int be_part(const std::string& kind, Experiment e, const std::string& dir, int number, int of) {
+int run_part(const std::string& kind, Experiment e, const std::string& dir, int number, int of) {
     const auto name = kind + "-" + std::to_string(number);
     try {
         if (kind == "servers") return Servers(std::move(e), dir, name, number, of).run();
         if (kind == "discovery") return Discovery(std::move(e), dir, name).run();
         if (kind == "relay") return Relay(std::move(e), dir, name, number, of).run();
         if (kind == "load") return Load(std::move(e), dir, name, number, of).run();
-    } catch (const std::exception& trouble) {
-        std::cerr << name << ": " << trouble.what() << '\n';
+    } catch (const std::exception& error) {
+        std::cerr << name << ": " << error.what() << '\n';
     }
-    return at_fault;
+    return failed;
 }
 
 // A run that kept the rules needs its processes' logs no more.
-void tidy(const fs::path& dir) {
+void remove_logs(const fs::path& dir) {
     std::vector<fs::path> logs;
     for (const auto& entry : fs::directory_iterator(dir))
         if (const auto name = entry.path().filename().string(); name.starts_with("p") && (name.ends_with(".log") || name.ends_with(".json")))
@@ -57,9 +57,9 @@
     for (const auto& path : logs) fs::remove(path);
 }
 
-struct Asked {
+struct CommandLine {
     std::string file, dir, only_arm;
-    How how;
+    RunOptions options;
     int seed = -1, repeats = 0;
     bool keep = false, quiet = false;
 };
@@ -75,12 +75,12 @@
 }
 
 void report(const std::string& dir) {
-    std::vector<Seen> all;
+    std::vector<ReportedRun> all;
     for (const auto& run : runs_in(dir)) {
-        Seen seen{read_day(run), {}, {}};
-        seen.figures = figures(seen.day);
-        seen.verdict = judge(seen.day);
-        all.push_back(std::move(seen));
+        ReportedRun run_data{read_record(run), {}, {}};
+        run_data.figures = figures(run_data.record);
+        run_data.verdict = judge(run_data.record);
+        all.push_back(std::move(run_data));
     }
     const auto path = dir + "/report.html";
     std::ofstream page(path);
@@ -89,46 +89,46 @@
     std::cout << path << '\n';
 }
 
-int run(Asked asked) {
-    Experiment e = read_experiment(asked.file);
-    if (asked.seed >= 0) e.seed = static_cast<uint64_t>(asked.seed);
-    if (asked.repeats > 0) e.repeats = asked.repeats;
-    if (asked.dir.empty()) {
+int run(CommandLine arguments) {
+    Experiment e = read_experiment(arguments.file);
+    if (arguments.seed >= 0) e.seed = static_cast<uint64_t>(arguments.seed);
+    if (arguments.repeats > 0) e.repeats = arguments.repeats;
+    if (arguments.dir.empty()) {
         char stamp[32];
         const auto now = std::time(nullptr);
         std::strftime(stamp, sizeof stamp, "%Y%m%d-%H%M%S", std::localtime(&now));
-        asked.dir = "fleet-runs/" + e.name + "-" + stamp + "-" + std::to_string(::getpid());
+        arguments.dir = "fleet-runs/" + e.name + "-" + stamp + "-" + std::to_string(::getpid());
     }
-    fs::create_directories(asked.dir);
-    asked.how.file = asked.file;
-    bool sound = true, met = false;
+    fs::create_directories(arguments.dir);
+    arguments.options.file = arguments.file;
+    bool all_passed = true, arm_found = false;
     for (int repeat = 0; repeat < e.repeats; ++repeat)
         for (size_t arm = 0; arm < e.arms.size(); ++arm) {
-            if (!asked.only_arm.empty() && e.arms[arm].name != asked.only_arm) continue;
-            met = true;
+            if (!arguments.only_arm.empty() && e.arms[arm].name != arguments.only_arm) continue;
+            arm_found = true;
             Experiment one = e;
             one.seed = e.seed + static_cast<uint64_t>(repeat);   // arms are paired by seed
-            const auto dir = asked.dir + "/" + std::to_string(arm) + "-" + std::to_string(repeat);
-            Conductor conductor(one, arm, repeat, dir, asked.how);
-            const Day day = conductor.run();
-            const auto f = figures(day);
-            const auto verdict = judge(day);
-            if (!asked.quiet) print(std::cout, day, f);
+            const auto dir = arguments.dir + "/" + std::to_string(arm) + "-" + std::to_string(repeat);
+            Conductor conductor(one, arm, repeat, dir, arguments.options);
+            const RunRecord record = conductor.run();
+            const auto f = figures(record);
+            const auto verdict = judge(record);
+            if (!arguments.quiet) print(std::cout, record, f);
             print(std::cout, verdict);
-            std::ofstream results(asked.dir + "/results.jsonl", std::ios::app);
-            auto line = to_json(day, f);
-            line["broken"] = verdict.breaks.size();
+            std::ofstream results(arguments.dir + "/results.jsonl", std::ios::app);
+            auto line = to_json(record, f);
+            line["broken"] = verdict.violations.size();
             results << line.dump() << '\n';
-            sound &= verdict.kept();
-            if (verdict.kept() && !asked.keep) tidy(dir);
+            all_passed &= verdict.passed();
+            if (verdict.passed() && !arguments.keep) remove_logs(dir);
             if (conductor.interrupted()) {
-                report(asked.dir);
-                return stopped;
+                report(arguments.dir);
+                return interrupted_status;
             }
         }
-    if (!met) throw std::runtime_error("--arm: " + asked.only_arm + " is no arm of " + asked.file);
-    report(asked.dir);
-    return sound ? kept : broke;
+    if (!arm_found) throw std::runtime_error("--arm: " + arguments.only_arm + " is no arm of " + arguments.file);
+    report(arguments.dir);
+    return all_passed ? success : rule_broken;
 }
 
 void list(const std::string& dir) {
@@ -138,7 +138,7 @@
     std::sort(files.begin(), files.end());
     for (const auto& file : files) {
         const auto e = read_experiment(file.string());
-        std::cout << std::left << std::setw(36) << file.string() << e.proxies << " by " << e.servers << ", " << e.lasts.s << " s"
+        std::cout << std::left << std::setw(36) << file.string() << e.proxies << " by " << e.servers << ", " << e.duration.s << " s"
                   << (e.arms.size() > 1 ? ", " + std::to_string(e.arms.size()) + " arms" : "") << ": " << e.text << '\n';
     }
 }
@@ -148,18 +148,18 @@
 int main(int count, char** words) {
     CLI::App app("Hundreds of real processes on loopback, faults between them, and what they do together");
     app.require_subcommand(1);
-    Asked asked;
+    CommandLine arguments;
     auto* runs = app.add_subcommand("run", "play an experiment");
-    runs->add_option("FILE", asked.file, "the experiment")->required();
-    runs->add_option("--program", asked.how.program, "the proxies' program (else `run` of the deploy file)");
-    runs->add_option("--deploy", asked.how.deploy, "the deploy file")->capture_default_str();
-    runs->add_option("--dir", asked.dir, "where the runs are left");
-    runs->add_option("--seed", asked.seed, "instead of the file's")->check(CLI::Range(0, 1 << 30));
-    runs->add_option("--repeats", asked.repeats, "instead of the file's")->check(CLI::Range(1, 1000));
-    runs->add_option("--arm", asked.only_arm, "only this one");
-    runs->add_option("--log", asked.how.variables, "log level of the proxies");
-    runs->add_flag("--keep", asked.keep, "keep the logs of sound runs too");
-    runs->add_flag("--quiet", asked.quiet, "the verdict only");
+    runs->add_option("FILE", arguments.file, "the experiment")->required();
+    runs->add_option("--program", arguments.options.program, "the proxies' program (else `run` of the deploy file)");
+    runs->add_option("--deploy", arguments.options.deploy, "the deploy file")->capture_default_str();
+    runs->add_option("--dir", arguments.dir, "where the runs are left");
+    runs->add_option("--seed", arguments.seed, "instead of the file's")->check(CLI::Range(0, 1 << 30));
+    runs->add_option("--repeats", arguments.repeats, "instead of the file's")->check(CLI::Range(1, 1000));
+    runs->add_option("--arm", arguments.only_arm, "only this one");
+    runs->add_option("--log", arguments.options.log_level, "log level of the proxies");
+    runs->add_flag("--keep", arguments.keep, "keep the logs of sound runs too");
+    runs->add_flag("--quiet", arguments.quiet, "the verdict only");
 
     std::string dir = "rig", kind;
     auto* lists = app.add_subcommand("list", "the experiments in a folder");
@@ -177,9 +177,9 @@
     int number = 0, of = 1;
     auto* parts = app.add_subcommand("part", "one of the rig's own processes; started by `run`")->group("");
     parts->add_option("KIND", kind)->required();
-    parts->add_option("--file", asked.file)->required();
-    parts->add_option("--seed", asked.seed)->required();
-    parts->add_option("--dir", asked.dir)->required();
+    parts->add_option("--file", arguments.file)->required();
+    parts->add_option("--seed", arguments.seed)->required();
+    parts->add_option("--dir", arguments.dir)->required();
     parts->add_option("--number", number);
     parts->add_option("--of", of);
 
@@ -189,39 +189,39 @@
         return app.exit(done);
     } catch (const CLI::ParseError& fault) {
         std::cerr << "myrtleroute_fleet: " << fault.what() << '\n';
-        return at_fault;
+        return failed;
     }
     try {
-        asked.how.most_descriptors = all_descriptors();
-        asked.how.terminal = ::isatty(2) == 1;
-        asked.how.self = fs::read_symlink("/proc/self/exe").string();
-        if (runs->parsed()) return run(asked);
+        arguments.options.max_descriptors = all_descriptors();
+        arguments.options.terminal = ::isatty(2) == 1;
+        arguments.options.self = fs::read_symlink("/proc/self/exe").string();
+        if (runs->parsed()) return run(arguments);
         if (lists->parsed()) list(dir);
         if (reports->parsed()) report(dir);
-        if (costs->parsed()) relay_cost(std::cout, asked.how.self, links);
+        if (costs->parsed()) relay_cost(std::cout, arguments.options.self, links);
         if (parts->parsed()) {
-            Experiment e = read_experiment(asked.file);
-            e.seed = static_cast<uint64_t>(asked.seed);
-            return be_part(kind, std::move(e), asked.dir, number, of);
+            Experiment e = read_experiment(arguments.file);
+            e.seed = static_cast<uint64_t>(arguments.seed);
+            return run_part(kind, std::move(e), arguments.dir, number, of);
         }
-        bool sound = true;
+        bool all_passed = true;
         if (judges->parsed())
             for (const auto& each : runs_in(dir)) {
-                const Day day = read_day(each);
-                const auto verdict = judge(day);
-                print(std::cout, day, figures(day));
+                const RunRecord record = read_record(each);
+                const auto verdict = judge(record);
+                print(std::cout, record, figures(record));
                 print(std::cout, verdict);
-                sound &= verdict.kept();
+                all_passed &= verdict.passed();
             }
         if (app.got_subcommand("faults"))
             for (int i = 0; i < static_cast<int>(FaultKind::kinds); ++i) {
-                static constexpr const char* whom[] = {"proxies", "servers", "discovery", "links"};
+                static constexpr const char* target[] = {"proxies", "servers", "discovery", "links"};
                 const auto& name = name_of(static_cast<FaultKind>(i));
-                std::cout << std::left << std::setw(14) << name.name << std::setw(11) << whom[static_cast<int>(name.whom)] << name.text << '\n';
+                std::cout << std::left << std::setw(14) << name.name << std::setw(11) << target[static_cast<int>(name.target)] << name.text << '\n';
             }
-        return sound ? kept : broke;
-    } catch (const std::exception& trouble) {
-        std::cerr << "myrtleroute_fleet: " << trouble.what() << '\n';
-        return at_fault;
+        return all_passed ? success : rule_broken;
+    } catch (const std::exception& error) {
+        std::cerr << "myrtleroute_fleet: " << error.what() << '\n';
+        return failed;
     }
 }
--- a/src/rig/part.cpp
+++ b/src/rig/part.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr uint64_t beat_cookie = ~0ULL;
-constexpr Span beat_every{0.02}, late{0.03};
+constexpr uint64_t check_cookie = ~0ULL;
+constexpr Span check_interval{0.02}, max_delay{0.03};
 
 double processor_time() {
     timespec t{};
@@ -25,8 +25,8 @@
 struct Part::Control : memory::Connection, memory::Owner {
     Control(Part& part, int fd) : Connection(*this, fd, 256 * 1024, 1024 * 1024), part(part) {}
     std::string name() const override { return "conductor"; }
-    void came(Connection& c) override { part.control_came(c); }
-    void broke(Connection&, int) override { part.over_ = true; }
+    void came(Connection& c) override { part.read_commands(c); }
+    void broke(Connection&, int) override { part.stopping_ = true; }
     void due(Connection&) override {}
     Part& part;
     std::string line;
@@ -40,32 +40,33 @@
     control_ = &loop_.adopt(std::make_unique<Control>(*this, control_fd));
 }
 
-void Part::control_came(memory::Connection& c) {
+void Part::read_commands(memory::Connection& c) {
     take_lines(c.in, static_cast<Control&>(c).line, [this](const std::string& line) {
         std::istringstream words(line);
         std::string word;
         words >> word;
         if (word == "end") {
-            over_ = true;
+            stopping_ = true;
         } else {
             if (word == "go") words >> start_.s;
-            told(word, words);
+            on_command(word, words);
         }
     });
-    if (c.ended) over_ = true;
+    if (c.ended) stopping_ = true;
 }
 
-void Part::tell(const std::string& line) {
+void Part::send_line(const std::string& line) {
     control_->out.push(line + "\n");
     loop_.flush(*control_);
 }
 
-// Guards against blaming proxies for what a busy machine did: a beat that comes late says that nobody ran on time.
-void Part::beat() {
+// Guards against blaming proxies for delays of a busy machine: a late periodic timer shows that no process was scheduled
+// in time.
+void Part::check_delay() {
     const Time now = loop_.now();
-    if (now - beat_at_ > late) starved_.push_back({at(beat_at_), at(now)});
-    beat_at_ = now + beat_every;
-    loop_.wake(beat_at_, beat_cookie);
+    if (now - next_check_ > max_delay) starved_.push_back({at(next_check_), at(now)});
+    next_check_ = now + check_interval;
+    loop_.wake(next_check_, check_cookie);
     if (now - second_at_ < Span{1}) return;
     const double cpu = processor_time();
     busiest_ = std::max(busiest_, (cpu - cpu_) / (now - second_at_).s);
@@ -74,11 +75,11 @@
 }
 
 int Part::run() {
-    beat_at_ = second_at_ = home_.now();
-    beat();
-    const auto woken_all = [this](uint64_t cookie) { cookie == beat_cookie ? beat() : woken(cookie); };
-    while (!over_) loop_.round(woken_all, [] {});
-    finish();
+    next_check_ = second_at_ = home_.now();
+    check_delay();
+    const auto any_timer_fired = [this](uint64_t cookie) { cookie == check_cookie ? check_delay() : timer_fired(cookie); };
+    while (!stopping_) loop_.round(any_timer_fired, [] {});
+    write_results();
     write_records(file("starved"), starved_);
     std::ostringstream busy;
     busy << "busiest " << std::setprecision(3) << busiest_ << '\n';
--- a/src/rig/part.hpp
+++ b/src/rig/part.hpp
@@ -1,5 +1,5 @@
-// A process of the rig's own (servers, discovery, relay, load): a loop with a line to the conductor, which tells it
-// what to do and hears what it has to say, words by line. It watches how late the machine lets it run.
+// Base of the rig's own processes (servers, discovery, relay, load): an event loop with a control connection to the
+// conductor, on which commands and reports are lines of words. It records when the machine schedules it too late.
 #pragma once
 #include <sstream>
 #include <string>
@@ -12,7 +12,7 @@
 
 namespace myrtleroute::rig {
 
-constexpr int control_fd = 3;   // in every process that the conductor starts as a part
+constexpr int control_fd = 3;   // descriptor of the control connection in each part process
 
 struct Listener : memory::Connection {
     Listener(memory::Owner& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
@@ -22,16 +22,16 @@
 class Part : public memory::Owner {
 public:
     Part(Experiment e, std::string directory, std::string name);
-    int run();   // until the conductor says `end` or is gone
+    int run();   // until the conductor sends `end` or its connection closes
 
 protected:
-    virtual void told(const std::string& word, std::istringstream& more) = 0;
-    virtual void woken(uint64_t) {}
-    virtual void finish() {}                  // writes its records
-    void tell(const std::string& line);
+    virtual void on_command(const std::string& word, std::istringstream& more) = 0;
+    virtual void timer_fired(uint64_t) {}
+    virtual void write_results() {}                  // writes the record files
+    void send_line(const std::string& line);
     std::string file(const std::string& what) const { return directory_ + "/" + name_ + "." + what; }
     double at(Time t) const { return t.s; }
-    Time start() const { return start_; }     // of the load; long ago before it
+    Time start() const { return start_; }     // of the load; long_ago until then
 
     const Experiment e_;
     RigHome home_;
@@ -40,12 +40,12 @@
 
 private:
     struct Control;
-    void control_came(memory::Connection& c);
-    void beat();
+    void read_commands(memory::Connection& c);
+    void check_delay();
     std::string directory_, name_;
     Control* control_ = nullptr;
-    bool over_ = false;
-    Time beat_at_, second_at_;
+    bool stopping_ = false;
+    Time next_check_, second_at_;
     double cpu_ = 0, busiest_ = 0;
     std::vector<StarvedRecord> starved_;
     Time start_ = long_ago;
--- a/src/rig/process.cpp
+++ b/src/rig/process.cpp
@@ -11,18 +11,18 @@
 
 namespace myrtleroute::rig {
 
-pid_t start(const Start& what) {
-    // All that allocates comes before the fork.
+pid_t spawn(const ProcessOptions& what) {
+    // All allocation happens before the fork.
     std::vector<char*> words;
-    for (const auto& word : what.words) words.push_back(const_cast<char*>(word.c_str()));
+    for (const auto& word : what.arguments) words.push_back(const_cast<char*>(word.c_str()));
     words.push_back(nullptr);
     const pid_t parent = ::getpid();
     const pid_t pid = ::fork();
     if (pid != 0) return pid;
-    // Ends with its parent, also where that was killed; one that has gone already is not waited for.
+    // The child is killed with its parent, also if that is killed; a parent that has exited before this call is detected by its id.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) ::_exit(127);
-    ::setpgid(0, 0);   // an interrupt at the terminal is the conductor's to act on
+    ::setpgid(0, 0);   // so that an interrupt at the terminal reaches only the conductor
     for (const int number : {SIGPIPE, SIGTERM, SIGINT, SIGHUP, SIGUSR1}) ::signal(number, SIG_DFL);
     const int null = ::open("/dev/null", O_RDONLY);
     ::dup2(null, 0);
@@ -32,23 +32,23 @@
         ::dup2(out, 1);
         ::dup2(out, 2);
     }
-    if (what.control >= 0) {
-        if (what.control == 3) ::fcntl(3, F_SETFD, 0);
-        else ::dup2(what.control, 3);
+    if (what.control_fd >= 0) {
+        if (what.control_fd == 3) ::fcntl(3, F_SETFD, 0);
+        else ::dup2(what.control_fd, 3);
     }
-    if (what.descriptors) {
-        const rlimit most{what.descriptors, what.descriptors};
+    if (what.max_descriptors) {
+        const rlimit most{what.max_descriptors, what.max_descriptors};
         ::setrlimit(RLIMIT_NOFILE, &most);
     }
-    for (const auto& [name, value] : what.variables) ::setenv(name.c_str(), value.c_str(), 1);
-    // Nothing else that this process has open goes along.
-    for (int fd = what.control >= 0 ? 4 : 3; fd < 1024; ++fd) ::fcntl(fd, F_SETFD, FD_CLOEXEC);
+    for (const auto& [name, value] : what.environment) ::setenv(name.c_str(), value.c_str(), 1);
+    // The child inherits no other descriptor.
+    for (int fd = what.control_fd >= 0 ? 4 : 3; fd < 1024; ++fd) ::fcntl(fd, F_SETFD, FD_CLOEXEC);
     ::execvp(words[0], words.data());
     ::_exit(127);
 }
 
-Ended next_ended() {
-    Ended e;
+ProcessExit next_exit() {
+    ProcessExit e;
     int status = 0;
     rusage used{};
     e.pid = ::wait4(-1, &status, WNOHANG, &used);
@@ -57,7 +57,7 @@
     e.code = e.by_signal ? WTERMSIG(status) : WEXITSTATUS(status);
     e.cpu = static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
             static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) / 1e6;
-    e.most_memory = used.ru_maxrss;
+    e.max_memory = used.ru_maxrss;
     return e;
 }
 
--- a/src/rig/process.hpp
+++ b/src/rig/process.hpp
@@ -1,4 +1,4 @@
-// Starting and ending processes of other programs: each is ended with the one that started it, however that ends.
+// Starts child processes and collects their exit: each child is killed when its parent ends, for whatever reason.
 #pragma once
 #include <sys/types.h>
 
@@ -8,25 +8,25 @@
 
 namespace myrtleroute::rig {
 
-struct Start {
-    std::vector<std::string> words;                            // program and arguments
-    std::vector<std::pair<std::string, std::string>> variables; // added to the environment
-    std::string output;                                        // a file that takes both outputs; appended
-    int control = -1;                                          // becomes descriptor 3
-    size_t descriptors = 0;                                    // that it may have; 0: as many as this one
+struct ProcessOptions {
+    std::vector<std::string> arguments;                            // program (looked up in PATH) and arguments
+    std::vector<std::pair<std::string, std::string>> environment; // added to the environment
+    std::string output;                                        // file to which stdout and stderr are appended
+    int control_fd = -1;                                          // becomes descriptor 3; below 0: none
+    size_t max_descriptors = 0;                                    // RLIMIT_NOFILE; 0: as this process
 };
 
-// The process's id; below 0 with errno where the system has none to give. A program that can't be run ends with 127.
-pid_t start(const Start& what);
+// Returns the child's process id, or below 0 with errno set if the fork fails. Exit status 127: the program can't be run.
+pid_t spawn(const ProcessOptions& what);
 
-struct Ended {
+struct ProcessExit {
     pid_t pid = 0;
     bool by_signal = false;
-    int code = 0;             // or the signal
-    double cpu = 0;           // seconds
-    long most_memory = 0;     // KiB
+    int code = 0;             // exit status, or the signal
+    double cpu = 0;           // user and system time, seconds
+    long max_memory = 0;     // peak resident set, KiB
 };
-// Whichever has ended; pid 0: none has.
-Ended next_ended();
+// Collects one exited child without waiting; pid 0: none has exited.
+ProcessExit next_exit();
 
 }  // namespace myrtleroute::rig
--- a/src/rig/records.hpp
+++ b/src/rig/records.hpp
@@ -1,5 +1,5 @@
-// What the rig's processes write down during a run, for the judge: fixed records in files of their own. All times
-// are of the one steady clock of the machine, so that records of several processes can be compared.
+// Records that the rig's processes write during a run and the judge reads: fixed size, one file for each process and kind.
+// All times are seconds of the machine's monotonic clock, so that records of several processes can be compared.
 #pragma once
 #include <cstdint>
 #include <cstdio>
@@ -10,34 +10,34 @@
 
 namespace myrtleroute::rig {
 
-enum class CallEnd : uint8_t { answered, not_connected, broken, unanswered, wrong };   // wrong: what no server made
+enum class CallOutcome : uint8_t { answered, not_connected, disconnected, timed_out, wrong };   // wrong: a body that no server sent
 struct CallRecord {
     uint64_t call;
-    double due, sent, ended;   // when it was to come, its last byte went, its last byte came back or it was given up
-    uint16_t product, status;  // 0: no answer
-    CallEnd end;
-    uint8_t tries;             // 2: sent again, for the proxy was closing the first connection
+    double due, sent, ended;   // scheduled; request sent; response complete or call abandoned
+    uint16_t product, status;  // HTTP status; 0: no answer
+    CallOutcome end;
+    uint8_t tries;             // 2: sent again, as the proxy was closing the first connection
 };
 
-enum class Fate : uint8_t { waits, runs, executed, refused, failed_unrun, failed_run, dropped };
-struct ShotRecord {
+enum class AttemptOutcome : uint8_t { queued, running, executed, refused, failed_before_execution, failed_after_execution, dropped };
+struct AttemptRecord {
     uint64_t call;             // 0: a probe
-    double began, whole, ended;   // first and last byte came; answered, or its connection seen closed
-    double executed;           // when its effect was done; 0: never
+    double began, received, ended;   // first and last byte received; answered, or its connection closed
+    double executed;           // when its effect took place; 0: never
     float work;                // seconds
     uint16_t server, proxy;
-    Fate fate;
+    AttemptOutcome outcome;
     bool answered;
 };
-struct ConnectionRecord { double at, ended; uint16_t server, proxy; };   // ended 0: open to the end
-struct TipRecord { double from, at; uint16_t server; };   // pushed over by what came since `from`
+struct ConnectionRecord { double at, ended; uint16_t server, proxy; };   // ended 0: open until the end of the run
+struct OverloadRecord { double from, at; uint16_t server; };   // overloaded by the work received since `from`
 
-// A call came (asked), or the list went; revision 0: the call ended with nothing told.
-struct ToldRecord { double at; uint32_t rev; uint16_t proxy; bool asked; };
-enum class Listed : uint8_t { serving, draining, gone };
-struct ListRecord { double at; double boot; uint32_t rev; uint16_t server, life; Listed state; };
+// A call to discovery (request), or its answer with the list's revision; revision 0: the call ended without an answer.
+struct DiscoveryRecord { double at; uint32_t rev; uint16_t proxy; bool request; };
+enum class ListedState : uint8_t { serving, draining, removed };
+struct ListRecord { double at; double boot; uint32_t rev; uint16_t server, incarnation; ListedState state; };
 
-struct StarvedRecord { double from, to; };   // a process of the rig was not given the processor when it was due
+struct StarvedRecord { double from, to; };   // a process of the rig was not scheduled in time
 
 template <class Record>
 void write_records(const std::string& path, const std::vector<Record>& all) {
--- a/src/rig/relay.cpp
+++ b/src/rig/relay.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 
-constexpr size_t most_in = 64 * 1024, most_out = 512 * 1024;
+constexpr size_t max_in_bytes = 64 * 1024, max_out_bytes = 512 * 1024;
 
 }  // namespace
 
-struct Relay::Door : Listener {
-    Door(memory::Owner& by, int fd, Kind of, uint16_t party) : Listener(by, fd), kind(of), to(party) {}
+struct Relay::LinkListener : Listener {
+    LinkListener(memory::Owner& by, int fd, Kind of, uint16_t party) : Listener(by, fd), kind(of), to(party) {}
     Kind kind;
     uint16_t to;
 };
 
 struct Relay::End : Connection {
-    End(memory::Owner& by, int fd, Pair& of, int sends) : Connection(by, fd, most_in, most_out), pair(&of), way(sends) {}
+    End(memory::Owner& by, int fd, Pair& of, int sends) : Connection(by, fd, max_in_bytes, max_out_bytes), pair(&of), way(sends) {}
     std::string name() const override { return "link"; }
     Pair* pair;
     int way;                     // of what this end sends: 0 there, 1 back
@@ -35,8 +35,8 @@
     Link link;
     End* ends[2] = {nullptr, nullptr};   // by the way of what they send
     Stream streams[2];
-    Treatment treatments[2];
-    uint64_t seen = 0;
+    Impairment impairments[2];
+    uint64_t rules_version = 0;
 };
 
 Relay::Relay(Experiment e, std::string directory, std::string name, int number, int of)
@@ -47,7 +47,7 @@
 
 bool Relay::mine(const Link& link) const { return link.from % of_ == number_; }
 
-void Relay::told(const std::string& word, std::istringstream& more) {
+void Relay::on_command(const std::string& word, std::istringstream& more) {
     if (word == "backend") {
         int kind, to;
         uint32_t ip;
@@ -58,7 +58,7 @@
         if (static_cast<Kind>(kind) == Kind::peer) {
             peers_[static_cast<uint16_t>(to)] = port;
             if (!datagrams_) {
-                const int fd = home_.datagrams_anywhere(datagram_port_);
+                const int fd = home_.datagrams_on_loopback(datagram_port_);
                 if (fd < 0) throw std::runtime_error("no port for datagrams");
                 datagrams_ = &loop_.adopt(std::make_unique<Listener>(*this, fd));
             }
@@ -66,7 +66,7 @@
         } else {
             open(static_cast<Kind>(kind), static_cast<uint16_t>(to), backend);
         }
-        tell("port " + std::to_string(kind) + " " + std::to_string(to) + " " + std::to_string(backend.port));
+        send_line("port " + std::to_string(kind) + " " + std::to_string(to) + " " + std::to_string(backend.port));
     } else if (word == "down" || word == "up") {
         int kind, to;
         more >> kind >> to;
@@ -76,15 +76,15 @@
     } else if (word == "rule") {
         int number, kind, way;
         std::string from, to;
-        Rule r{};
-        auto& t = r.treatment;
+        LinkRule r{};
+        auto& t = r.impairment;
         more >> number >> kind >> way >> t.delay >> t.jitter >> t.rate >> t.loss >> t.mangle >> t.half_close >> t.duplicate >>
             t.stall >> t.cut >> t.hard >> from >> to;
         r.kind = static_cast<Kind>(kind);
         r.way = static_cast<Way>(way);
-        r.from = read_list(from, most_parties + 1);
-        r.to = read_list(to, most_parties + 1);
-        if (t.cut) cut_off(true, r);
+        r.from = read_list(from, max_parties + 1);
+        r.to = read_list(to, max_parties + 1);
+        if (t.cut) update_cut(true, r);
         rules_[number] = std::move(r);
         rules_changed();
     } else if (word == "over") {
@@ -92,85 +92,85 @@
         more >> number;
         const auto it = rules_.find(number);
         if (it == rules_.end()) return;
-        if (it->second.treatment.cut) cut_off(false, it->second);
+        if (it->second.impairment.cut) update_cut(false, it->second);
         rules_.erase(it);
         rules_changed();
     }
 }
 
 void Relay::open(Kind kind, uint16_t to, Backend& backend) {
-    const int fd = home_.listen_anywhere(backend.port);
+    const int fd = home_.listen_on_loopback(backend.port);
     if (fd < 0) throw std::runtime_error("the relay can't listen: " + std::string(std::strerror(errno)));
-    backend.listener = &loop_.adopt(std::make_unique<Door>(*this, fd, kind, to));
+    backend.listener = &loop_.adopt(std::make_unique<LinkListener>(*this, fd, kind, to));
 }
 
 // What is cut hears no connect: a deaf listener at the link's own address stands before the one for all.
-void Relay::cut_off(bool cuts, const Rule& rule) {
+void Relay::update_cut(bool cuts, const LinkRule& rule) {
     for (const auto& [key, backend] : backends_) {
         if (key.first != static_cast<int>(rule.kind) || rule.kind == Kind::peer || !rule.to[static_cast<size_t>(key.second)]) continue;
         for (int from = 0; from < e_.proxies; ++from) {
             const Link link{rule.kind, static_cast<uint16_t>(from), static_cast<uint16_t>(key.second)};
             const bool one = rule.kind == Kind::application && from != key.second;   // an application has one proxy
             if (!rule.from[static_cast<size_t>(from)] || !mine(link) || one) continue;
-            auto& [fd, rules] = deaf_[ip_of(link)];
-            if (cuts && rules++ == 0) fd = home_.listen_deaf(address(ip_of(link), backend.port));
+            auto& [fd, rules] = unresponsive_[ip_of(link)];
+            if (cuts && rules++ == 0) fd = home_.listen_unresponsive(address(ip_of(link), backend.port));
             if (!cuts && --rules == 0) {
                 if (fd >= 0) home_.close(fd);
-                deaf_.erase(ip_of(link));
+                unresponsive_.erase(ip_of(link));
             }
         }
     }
 }
 
-Treatment Relay::treatment_of(const Link& link, int way) const {
-    Treatment all;
+Impairment Relay::impairment_of(const Link& link, int way) const {
+    Impairment all;
     for (const auto& [number, rule] : rules_)
         if (rule.kind == link.kind && rule.from[link.from] && rule.to[link.to] &&
-            (rule.way == both || (rule.way == there) == (way == 0)))
-            all.add(rule.treatment);
+            (rule.way == both || (rule.way == forward_way) == (way == 0)))
+            all.add(rule.impairment);
     return all;
 }
 
-const Treatment& Relay::treatment(Pair& pair, int way) {
-    if (pair.seen != rules_seen_) {
-        pair.seen = rules_seen_;
-        for (const int w : {0, 1}) pair.treatments[w] = treatment_of(pair.link, w);
+const Impairment& Relay::impairment(Pair& pair, int way) {
+    if (pair.rules_version != rules_version_) {
+        pair.rules_version = rules_version_;
+        for (const int w : {0, 1}) pair.impairments[w] = impairment_of(pair.link, w);
     }
-    return pair.treatments[way];
+    return pair.impairments[way];
 }
 
 void Relay::rules_changed() {
-    ++rules_seen_;
+    ++rules_version_;
     std::vector<Pair*> all;
     for (const auto& [pair, owned] : pairs_) all.push_back(pair);
     for (auto* pair : all) {
-        if (treatment(*pair, 0).hard || treatment(*pair, 1).hard) {
+        if (impairment(*pair, 0).hard || impairment(*pair, 1).hard) {
             drop(*pair, true);
             continue;
         }
         if (!pair->ends[1]) connect(*pair);
         for (const int way : {0, 1})
-            if (pairs_.count(pair)) give(*pair, way);
+            if (pairs_.count(pair)) forward(*pair, way);
     }
 }
 
-void Relay::accept(Door& door) {
-    for (int fd; (fd = home_.accept(door.fd)) >= 0;) {
+void Relay::accept(LinkListener& listener) {
+    for (int fd; (fd = home_.accept(listener.fd)) >= 0;) {
         const auto link = home_.link_of(fd);
-        if (!link || link->kind != door.kind || link->to != door.to) {
+        if (!link || link->kind != listener.kind || link->to != listener.to) {
             home_.close(fd);
             continue;
         }
         auto owned = std::make_unique<Pair>();
         auto& pair = *owned;
         pair.link = *link;
-        if (treatment(pair, 0).hard || treatment(pair, 1).hard) {
+        if (impairment(pair, 0).hard || impairment(pair, 1).hard) {
             home_.reset_on_close(fd);
             home_.close(fd);
             continue;
         }
         pairs_.emplace(&pair, std::move(owned));
-        most_pairs_ = std::max(most_pairs_, pairs_.size());
+        max_pairs_ = std::max(max_pairs_, pairs_.size());
         ++connections_;
         pair.ends[0] = &loop_.adopt(std::make_unique<End>(*this, fd, pair, 0));
         connect(pair);
@@ -179,7 +179,7 @@
 
 // A connection that slipped in before the cut is carried on once it is over.
 void Relay::connect(Pair& pair) {
-    if (treatment(pair, 0).cut || treatment(pair, 1).cut) return;
+    if (impairment(pair, 0).cut || impairment(pair, 1).cut) return;
     const auto it = backends_.find({static_cast<int>(pair.link.kind), pair.link.to});
     sockaddr_in at = it->second.at;
     if (at.sin_addr.s_addr == 0) at.sin_addr.s_addr = htonl(ip_of(pair.link));
@@ -189,57 +189,57 @@
     auto end = std::make_unique<End>(*this, fd, pair, 1);
     end->connecting = !at_once;
     pair.ends[1] = &loop_.adopt(std::move(end));
-    pull(pair, 0);
+    read_into_stream(pair, 0);
 }
 
 void Relay::came(Connection& c) {
     if (datagrams_ && c.fd == datagrams_->fd) return datagrams_came();
-    if (c.listens) return accept(static_cast<Door&>(c));
+    if (c.listens) return accept(static_cast<LinkListener&>(c));
     auto& end = static_cast<End&>(c);
-    pull(*end.pair, end.way);
+    read_into_stream(*end.pair, end.way);
 }
 
-void Relay::pull(Pair& pair, int way) {
+void Relay::read_into_stream(Pair& pair, int way) {
     auto* from = pair.ends[way];
     if (!from) return;
-    const auto& t = treatment(pair, way);
+    const auto& t = impairment(pair, way);
     bool took = false;
     while (!from->in.empty() && pair.streams[way].room() > 0) {
         const auto bytes = from->in.front().substr(0, pair.streams[way].room());
-        pair.streams[way].take(loop_.now(), bytes, t, chance_);
+        pair.streams[way].push(loop_.now(), bytes, t, chance_);
         bytes_ += bytes.size();
         from->in.drop(bytes.size());
         took = true;
     }
-    if (from->ended && from->in.empty()) pair.streams[way].end(loop_.now(), t, chance_, Stream::Event::ends);
+    if (from->ended && from->in.empty()) pair.streams[way].end(loop_.now(), t, chance_, Stream::Event::eof);
     else if (took) loop_.flush(*from);   // looks again whether it may be read
-    give(pair, way);
+    forward(pair, way);
 }
 
-void Relay::give(Pair& pair, int way) {
+void Relay::forward(Pair& pair, int way) {
     auto* to = pair.ends[1 - way];
     if (!to) return;
     std::string bytes;
     auto then = Stream::Event::none;
-    bool gave = false;
+    bool forwarded = false;
     auto& stream = pair.streams[way];
-    while (!stream.empty() && to->out.size() + stream.next_size() <= most_out &&
-           stream.give(loop_.now(), treatment(pair, way), bytes, then)) {
-        gave = true;
+    while (!stream.empty() && to->out.size() + stream.next_size() <= max_out_bytes &&
+           stream.pop(loop_.now(), impairment(pair, way), bytes, then)) {
+        forwarded = true;
         to->out.push(bytes);
-        if (then == Stream::Event::ends) to->last = true;
-        if (then != Stream::Event::breaks) continue;
+        if (then == Stream::Event::eof) to->last = true;
+        if (then != Stream::Event::reset) continue;
         loop_.flush(*to);
         return drop(pair, true);
     }
-    if (gave) {
+    if (forwarded) {
         loop_.flush(*to);
         finish_sending(*to);
         if (!pairs_.count(&pair)) return;
-        if (auto* from = pair.ends[way]; from && !from->in.empty()) pull(pair, way);
+        if (auto* from = pair.ends[way]; from && !from->in.empty()) read_into_stream(pair, way);
         if (!pairs_.count(&pair)) return;
     }
-    if (!stream.empty() && !treatment(pair, way).holds()) loop_.set(*to, std::max(stream.next(), loop_.now() + Span{1e-4}));
+    if (!stream.empty() && !impairment(pair, way).blocks()) loop_.set(*to, std::max(stream.next(), loop_.now() + Span{1e-4}));
     else loop_.clear(*to);
 }
 
@@ -257,7 +257,7 @@
     auto& pair = *end.pair;
     const int way = 1 - end.way;
     finish_sending(end);
-    if (pairs_.count(&pair)) give(pair, way);
+    if (pairs_.count(&pair)) forward(pair, way);
 }
 
 // The other side hears of a reset as late as of bytes, and not at all while the link is cut.
@@ -266,16 +266,16 @@
     auto& end = static_cast<End&>(c);
     auto& pair = *end.pair;
     const int way = end.way;
-    pair.streams[way].end(loop_.now(), treatment(pair, way), chance_, Stream::Event::breaks);
+    pair.streams[way].end(loop_.now(), impairment(pair, way), chance_, Stream::Event::reset);
     pair.ends[way] = nullptr;
     loop_.end(end, Why::peer_reset);
-    if (pair.ends[1 - way]) give(pair, way);
+    if (pair.ends[1 - way]) forward(pair, way);
     else drop(pair, true);
 }
 
 void Relay::due(Connection& c) {
     auto& end = static_cast<End&>(c);
-    give(*end.pair, 1 - end.way);
+    forward(*end.pair, 1 - end.way);
 }
 
 void Relay::drop(Pair& pair, bool reset) {
@@ -294,34 +294,34 @@
         ++datagram_count_;
         bytes_ += d->bytes.size();
         // A pair of proxies has two links, one each way, so `there` is the way of the datagram.
-        const auto t = treatment_of(*link, 0);
-        if (t.holds() || t.hard || chance_.yes(t.loss)) {
+        const auto t = impairment_of(*link, 0);
+        if (t.blocks() || t.hard || chance_.yes(t.loss)) {
             ++lost_;
             continue;
         }
         const Link answers{Kind::peer, link->to, link->from};
-        Late late{address(ip_of(answers), datagram_port_), address(door_ip(link->to), peers_[link->to]), std::string(d->bytes)};
+        DelayedDatagram delayed{address(ip_of(answers), datagram_port_), address(listen_ip(link->to), peers_[link->to]), std::string(d->bytes)};
         for (int copies = 1 + chance_.yes(t.duplicate); copies > 0; --copies) {
             const Span wait{t.delay + (t.jitter > 0 ? t.jitter * chance_.uniform() : 0)};   // overtakes, as datagrams may
             if (wait <= Span{}) {
-                home_.send(datagrams_->fd, {late.from, late.to, late.bytes});
+                home_.send(datagrams_->fd, {delayed.from, delayed.to, delayed.bytes});
                 continue;
             }
-            late_[next_late_] = late;
-            loop_.wake(loop_.now() + wait, next_late_++);
+            delayed_[next_delayed_] = delayed;
+            loop_.wake(loop_.now() + wait, next_delayed_++);
         }
     }
 }
 
-void Relay::woken(uint64_t cookie) {
-    const auto it = late_.find(cookie);
-    if (it == late_.end()) return;
+void Relay::timer_fired(uint64_t cookie) {
+    const auto it = delayed_.find(cookie);
+    if (it == delayed_.end()) return;
     home_.send(datagrams_->fd, {it->second.from, it->second.to, it->second.bytes});
-    late_.erase(it);
+    delayed_.erase(it);
 }
 
-void Relay::finish() {
-    tell("relayed " + std::to_string(connections_) + " " + std::to_string(most_pairs_) + " " + std::to_string(bytes_) + " " +
+void Relay::write_results() {
+    send_line("relayed " + std::to_string(connections_) + " " + std::to_string(max_pairs_) + " " + std::to_string(bytes_) + " " +
          std::to_string(datagram_count_) + " " + std::to_string(lost_));
 }
 
--- a/src/rig/relay.hpp
+++ b/src/rig/relay.hpp
@@ -17,11 +17,11 @@
     ~Relay() override;
 
 private:
-    struct Rule {
+    struct LinkRule {
         Kind kind;
         Way way;
         std::vector<bool> from, to;
-        Treatment treatment;
+        Impairment impairment;
     };
     struct Backend {
         uint16_t port = 0;                 // ours, that stands for it
@@ -30,45 +30,45 @@
     };
     struct Pair;
     struct End;
-    struct Door;
+    struct LinkListener;
 
-    void told(const std::string& word, std::istringstream& more) override;
-    void woken(uint64_t cookie) override;
-    void finish() override;
+    void on_command(const std::string& word, std::istringstream& more) override;
+    void timer_fired(uint64_t cookie) override;
+    void write_results() override;
     void came(memory::Connection& c) override;
     void went(memory::Connection& c) override;
     void broke(memory::Connection& c, int error) override;
     void due(memory::Connection& c) override;
 
     void open(Kind kind, uint16_t to, Backend& backend);
-    void accept(Door& door);
+    void accept(LinkListener& listener);
     void connect(Pair& pair);
-    void pull(Pair& pair, int way);        // from the sender's ring into the stream
-    void give(Pair& pair, int way);        // what may pass, on to the receiver
+    void read_into_stream(Pair& pair, int way);        // from the sender's ring into the stream
+    void forward(Pair& pair, int way);        // what may pass, on to the receiver
     void finish_sending(End& end);
     void drop(Pair& pair, bool reset);
     void rules_changed();
-    void cut_off(bool cuts, const Rule& rule);
-    const Treatment& treatment(Pair& pair, int way);
-    Treatment treatment_of(const Link& link, int way) const;
+    void update_cut(bool cuts, const LinkRule& rule);
+    const Impairment& impairment(Pair& pair, int way);
+    Impairment impairment_of(const Link& link, int way) const;
     void datagrams_came();
     bool mine(const Link& link) const;
 
     int number_, of_;
     lab::Chance chance_;
-    std::map<int, Rule> rules_;
-    uint64_t rules_seen_ = 1;
+    std::map<int, LinkRule> rules_;
+    uint64_t rules_version_ = 1;
     std::map<std::pair<int, int>, Backend> backends_;   // by kind and party
     std::unordered_map<Pair*, std::unique_ptr<Pair>> pairs_;
-    std::map<uint32_t, std::pair<int, int>> deaf_;      // listener and how many rules cut it, by the link's address
+    std::map<uint32_t, std::pair<int, int>> unresponsive_;      // listener and how many rules cut it, by the link's address
     Listener* datagrams_ = nullptr;
     std::map<uint16_t, uint16_t> peers_;                // datagram port of each proxy
     uint16_t datagram_port_ = 0;
-    struct Late { sockaddr_in from, to; std::string bytes; };
-    std::map<uint64_t, Late> late_;                     // datagrams under way, by cookie
-    uint64_t next_late_ = 0;
+    struct DelayedDatagram { sockaddr_in from, to; std::string bytes; };
+    std::map<uint64_t, DelayedDatagram> delayed_;                     // datagrams under way, by cookie
+    uint64_t next_delayed_ = 0;
     uint64_t bytes_ = 0, connections_ = 0, datagram_count_ = 0, lost_ = 0;
-    size_t most_pairs_ = 0;
+    size_t max_pairs_ = 0;
 };
 
 }  // namespace myrtleroute::rig
--- a/src/rig/relay_cost.cpp
+++ b/src/rig/relay_cost.cpp
@@ -37,7 +37,7 @@
     Echo() : log_(run::Level::error, home_), loop_(log_, home_) {}
     [[noreturn]] void run(int ready) {
         uint16_t port = 0;
-        loop_.adopt(std::make_unique<Listener>(*this, home_.listen_anywhere(port)));
+        loop_.adopt(std::make_unique<Listener>(*this, home_.listen_on_loopback(port)));
         [[maybe_unused]] const auto n = ::write(ready, &port, sizeof port);
         for (;;) loop_.round([](uint64_t) {}, [] {});
     }
@@ -191,11 +191,11 @@
     const pid_t echo_pid = start_echo(echo);
     int ends[2];
     if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0) throw std::runtime_error("no control line");
-    Start what;
-    what.words = {self, "part", "relay", "--file", file, "--seed", "1", "--dir", dir.string(), "--number", "0", "--of", "1"};
+    ProcessOptions what;
+    what.arguments = {self, "part", "relay", "--file", file, "--seed", "1", "--dir", dir.string(), "--number", "0", "--of", "1"};
     what.output = (dir / "relay.log").string();
-    what.control = ends[1];
-    const pid_t relay_pid = start(what);
+    what.control_fd = ends[1];
+    const pid_t relay_pid = spawn(what);
     ::close(ends[1]);
     const auto order = "backend " + std::to_string(static_cast<int>(Kind::server)) + " 0 0 " + std::to_string(echo) + "\n";
     char said[64] = "";
--- a/src/rig/report.hpp
+++ b/src/rig/report.hpp
@@ -8,11 +8,11 @@
 
 namespace myrtleroute::rig {
 
-struct Seen {
-    Day day;
+struct ReportedRun {
+    RunRecord record;
     Figures figures;
     Verdict verdict;
 };
-void write_report(std::ostream& out, const std::vector<Seen>& runs);
+void write_report(std::ostream& out, const std::vector<ReportedRun>& runs);
 
 }  // namespace myrtleroute::rig
--- a/src/rig/rig_home.cpp
+++ b/src/rig/rig_home.cpp
@@ -16,9 +16,9 @@
 namespace {
 
 constexpr int backlog = 4096;
-constexpr size_t most_datagram = 64 * 1024;
+constexpr size_t max_datagram = 64 * 1024;
 
-void say_yes(int fd, int level, int option) {
+void enable_option(int fd, int level, int option) {
     const int on = 1;
     ::setsockopt(fd, level, option, &on, sizeof on);
 }
@@ -26,8 +26,8 @@
 int bound(int type, const sockaddr_in& at, bool shared) {
     const int fd = ::socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) return fd;
-    say_yes(fd, SOL_SOCKET, SO_REUSEADDR);
-    if (shared) say_yes(fd, SOL_SOCKET, SO_REUSEPORT);   // a deaf listener takes single addresses out of it
+    enable_option(fd, SOL_SOCKET, SO_REUSEADDR);
+    if (shared) enable_option(fd, SOL_SOCKET, SO_REUSEPORT);   // a deaf listener takes single addresses out of it
     // Nothing but this machine may come; where the system refuses that, addresses of links still tell it.
     ::setsockopt(fd, SOL_SOCKET, SO_BINDTODEVICE, "lo", 3);
     if (::bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0) return fd;
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-RigHome::RigHome() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), buffer_(most_datagram) {}
+RigHome::RigHome() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), buffer_(max_datagram) {}
 RigHome::~RigHome() { ::close(epoll_); }
 
 // Same contract as poll(2), for all that is open: what was polled once has to stay in the list until it is closed.
@@ -80,10 +80,10 @@
     PosixHome::close(fd);
 }
 
-int RigHome::listen_anywhere(uint16_t& port) {
+int RigHome::listen_on_loopback(uint16_t& port) {
     const int fd = bound(SOCK_STREAM, address(INADDR_ANY, port), true);
     if (fd < 0) return fd;
-    say_yes(fd, IPPROTO_TCP, TCP_NODELAY);   // accepted ones take it over
+    enable_option(fd, IPPROTO_TCP, TCP_NODELAY);   // accepted ones take it over
     port = port_of(fd);
     if (::listen(fd, backlog) == 0) return fd;
     PosixHome::close(fd);
@@ -91,7 +91,7 @@
 }
 
 // A queue of one that is full: the system drops what asks to connect, as a cut network does.
-int RigHome::listen_deaf(const sockaddr_in& at) {
+int RigHome::listen_unresponsive(const sockaddr_in& at) {
     const int fd = bound(SOCK_STREAM, at, true);
     if (fd < 0) return fd;
     if (::listen(fd, 0) != 0) {
@@ -117,16 +117,16 @@
     ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
 }
 
-int RigHome::hold_port(uint16_t& port) {
+int RigHome::reserve_port(uint16_t& port) {
     const int fd = bound(SOCK_STREAM, address(INADDR_LOOPBACK, 0), false);
     if (fd >= 0) port = port_of(fd);
     return fd;
 }
 
-int RigHome::datagrams_anywhere(uint16_t& port) {
+int RigHome::datagrams_on_loopback(uint16_t& port) {
     const int fd = bound(SOCK_DGRAM, address(INADDR_ANY, port), false);
     if (fd < 0) return fd;
-    say_yes(fd, IPPROTO_IP, IP_PKTINFO);
+    enable_option(fd, IPPROTO_IP, IP_PKTINFO);
     port = port_of(fd);
     return fd;
 }
--- a/src/rig/rig_home.hpp
+++ b/src/rig/rig_home.hpp
@@ -22,13 +22,13 @@
     int wait(pollfd* polled, size_t n, int ms) override;
     void close(int fd) override;
 
-    int listen_anywhere(uint16_t& port);          // at all loopback addresses; port 0: one that is free, told
-    int listen_deaf(const sockaddr_in& at);       // what connects to that address alone is never heard
+    int listen_on_loopback(uint16_t& port);          // at all loopback addresses; port 0: one that is free, told
+    int listen_unresponsive(const sockaddr_in& at);       // what connects to that address alone is never heard
     std::optional<Link> link_of(int fd);          // by the address that a connection was made to
     void reset_on_close(int fd);
-    int hold_port(uint16_t& port);                // kept from others while open, without listening
+    int reserve_port(uint16_t& port);                // kept from others while open, without listening
 
-    int datagrams_anywhere(uint16_t& port);
+    int datagrams_on_loopback(uint16_t& port);
     struct Datagram { sockaddr_in from, to; std::string_view bytes; };   // bytes hold until the next call
     std::optional<Datagram> receive(int fd);
     bool send(int fd, const Datagram& datagram);
--- a/src/rig/servers.cpp
+++ b/src/rig/servers.cpp
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-struct Servers::Line : Connection, wire::HttpReader {
-    Line(Servers& by, int fd, Server& of, int from)
+struct Servers::ProxyConnection : Connection, wire::HttpReader {
+    ProxyConnection(Servers& by, int fd, Server& of, int from)
         : Connection(by, fd, 16 * 1024, 256 * 1024), server(&of), proxy(from), http(wire::HttpMachine::Side::ask, *this) {}
     std::string name() const override { return "proxy"; }
     int start(std::string_view, std::string_view where, std::string_view) override {
@@ -43,7 +43,7 @@
     uint64_t call = 0;
     double began = 0;
     size_t record = 0;       // of connections_
-    size_t shot = none;      // that is being worked on
+    size_t attempt = none;      // that is being worked on
     static constexpr size_t none = static_cast<size_t>(-1);
 };
 
@@ -54,14 +54,14 @@
         auto& s = servers_[static_cast<size_t>(i)];
         s.number = i;
         s.size = e_.sizes[static_cast<size_t>(i) % e_.sizes.size()];
-        if (!mine(i)) continue;
+        if (!is_local(i)) continue;
         open(s, false);
-        tell("port " + std::to_string(static_cast<int>(Kind::server)) + " " + std::to_string(i) + " " + std::to_string(s.port));
+        send_line("port " + std::to_string(static_cast<int>(Kind::server)) + " " + std::to_string(i) + " " + std::to_string(s.port));
     }
-    tell("ready");
+    send_line("ready");
 }
 
-void Servers::told(const std::string& word, std::istringstream& more) {
+void Servers::on_command(const std::string& word, std::istringstream& more) {
     if (word != "fault" && word != "over" && word != "die" && word != "back") return;
     int number = 0;
     std::string who;
@@ -71,41 +71,41 @@
         more >> number >> kind >> how >> who;
         const auto in = read_list(who, servers_.size());
         for (auto& s : servers_)
-            if (in[static_cast<size_t>(s.number)]) s.troubles[number] = {static_cast<FaultKind>(kind), how};
+            if (in[static_cast<size_t>(s.number)]) s.faults[number] = {static_cast<FaultKind>(kind), how};
         return;
     }
     more >> who;
     if (word == "over") {
         number = std::stoi(who);
         for (auto& s : servers_)
-            if (s.troubles.erase(number) && mine(s.number)) go_on(s);
+            if (s.faults.erase(number) && is_local(s.number)) start_jobs(s);
         return;
     }
     const auto in = read_list(who, servers_.size());
     for (auto& s : servers_) {
-        if (!mine(s.number) || !in[static_cast<size_t>(s.number)]) continue;
+        if (!is_local(s.number) || !in[static_cast<size_t>(s.number)]) continue;
         if (word == "die") close(s);
         else if (!s.listener) open(s, true);
     }
 }
 
 void Servers::open(Server& s, bool cold) {
-    const int fd = home_.listen_anywhere(s.port);
+    const int fd = home_.listen_on_loopback(s.port);
     if (fd < 0) throw std::runtime_error("server " + std::to_string(s.number) + " can't listen: " + std::strerror(errno));
     s.listener = &loop_.adopt(std::make_unique<Listener>(*this, fd));
-    s.launched = cold ? loop_.now() : long_ago;
-    s.lately.clear();
-    s.tipped_until = long_ago;
+    s.started_at = cold ? loop_.now() : long_ago;
+    s.recent_work.clear();
+    s.overloaded_until = long_ago;
 }
 
 void Servers::close(Server& s) {
     if (!s.listener) return;
     loop_.end(*std::exchange(s.listener, nullptr), Why::stopping);
-    for (auto& job : s.waiting) shots_[job.shot].fate = Fate::dropped;
-    for (auto& job : s.running) shots_[job.shot].fate = Fate::dropped;
+    for (auto& job : s.waiting) attempts_[job.attempt].outcome = AttemptOutcome::dropped;
+    for (auto& job : s.running) attempts_[job.attempt].outcome = AttemptOutcome::dropped;
     s.waiting.clear();
     s.running.clear();
-    while (!s.lines.empty()) end(*s.lines.front(), Why::stopping, true);
+    while (!s.connections.empty()) end(*s.connections.front(), Why::stopping, true);
 }
 
 void Servers::came(Connection& c) {
@@ -119,56 +119,56 @@
                 home_.close(fd);
                 continue;
             }
-            connections_.push_back({at(loop_.now()), 0, link->to, link->from});
-            auto& line = loop_.adopt(std::make_unique<Line>(*this, fd, *s, link->from));
-            line.record = connections_.size() - 1;
-            s->lines.push_back(&line);
-            loop_.set(line, loop_.now() + idle_close);
+            connection_records_.push_back({at(loop_.now()), 0, link->to, link->from});
+            auto& connection = loop_.adopt(std::make_unique<ProxyConnection>(*this, fd, *s, link->from));
+            connection.record = connection_records_.size() - 1;
+            s->connections.push_back(&connection);
+            loop_.set(connection, loop_.now() + idle_close);
         }
         return;
     }
-    auto& line = static_cast<Line&>(c);
-    if (!line.in.empty() && !line.http.begun()) line.began = at(loop_.now());
-    while (!line.in.empty() && !line.http.done() && !line.http.fault()) line.in.drop(line.http.feed(line.in.front()));
-    if (line.http.done() && line.shot == Line::none) asked(line);
-    else if (line.http.fault()) return end(line, Why::bad_call);
-    if (c.open() && c.ended) end(line, Why::peer_closed);
+    auto& connection = static_cast<ProxyConnection&>(c);
+    if (!connection.in.empty() && !connection.http.begun()) connection.began = at(loop_.now());
+    while (!connection.in.empty() && !connection.http.done() && !connection.http.fault()) connection.in.drop(connection.http.feed(connection.in.front()));
+    if (connection.http.done() && connection.attempt == ProxyConnection::none) handle_request(connection);
+    else if (connection.http.fault()) return end(connection, Why::bad_call);
+    if (c.open() && c.ended) end(connection, Why::peer_closed);
 }
 
 void Servers::broke(Connection& c, int) {
-    if (!c.listens) end(static_cast<Line&>(c), Why::peer_reset);
+    if (!c.listens) end(static_cast<ProxyConnection&>(c), Why::peer_reset);
 }
 
-void Servers::due(Connection& c) { end(static_cast<Line&>(c), Why::idle); }
+void Servers::due(Connection& c) { end(static_cast<ProxyConnection&>(c), Why::idle); }
 
 // The connection is gone; what runs goes on and takes effect all the same, what waits is left undone.
-void Servers::end(Line& line, Why why, bool reset) {
-    auto& s = *line.server;
+void Servers::end(ProxyConnection& connection, Why why, bool reset) {
+    auto& s = *connection.server;
     for (auto it = s.waiting.begin(); it != s.waiting.end();) {
-        if (it->line != &line) {
+        if (it->connection != &connection) {
             ++it;
             continue;
         }
-        shots_[it->shot].fate = Fate::refused;
+        attempts_[it->attempt].outcome = AttemptOutcome::refused;
         it = s.waiting.erase(it);
     }
     for (auto& job : s.running)
-        if (job.line == &line) job.line = nullptr;
-    if (line.shot != Line::none) shots_[line.shot].ended = at(loop_.now());
-    connections_[line.record].ended = at(loop_.now());
-    s.lines.remove(&line);
-    if (reset) home_.reset_on_close(line.fd);
-    loop_.end(line, why);
+        if (job.connection == &connection) job.connection = nullptr;
+    if (connection.attempt != ProxyConnection::none) attempts_[connection.attempt].ended = at(loop_.now());
+    connection_records_[connection.record].ended = at(loop_.now());
+    s.connections.remove(&connection);
+    if (reset) home_.reset_on_close(connection.fd);
+    loop_.end(connection, why);
 }
 
-const Servers::Trouble* Servers::trouble(const Server& s, FaultKind kind) const {
-    for (const auto& [number, t] : s.troubles)
+const Servers::ActiveFault* Servers::active_fault(const Server& s, FaultKind kind) const {
+    for (const auto& [number, t] : s.faults)
         if (t.kind == kind) return &t;
     return nullptr;
 }
 
 double Servers::warmth(const Server& s) const {
-    return std::min(1.0, e_.start_capacity + (1 - e_.start_capacity) * ((loop_.now() - s.launched) / e_.warm_after));
+    return std::min(1.0, e_.start_capacity + (1 - e_.start_capacity) * ((loop_.now() - s.started_at) / e_.warm_after));
 }
 
 // The same at every server and in every run.
@@ -179,125 +179,125 @@
 
 // What comes to a cold server within the window must stay under a multiple of what it can do in it; a few calls
 // beyond are no push.
-bool Servers::weigh(Server& s, double work) {
+bool Servers::accept_load(Server& s, double work) {
     const Time now = loop_.now();
-    if (now < s.tipped_until) return false;
+    if (now < s.overloaded_until) return false;
     if (warmth(s) >= 1) return true;
-    s.lately.push_back({at(now), work});
+    s.recent_work.push_back({at(now), work});
     double all = 0, most = 0;
-    while (s.lately.front().at < at(now) - window.s) s.lately.pop_front();
-    for (const auto& a : s.lately) {
+    while (s.recent_work.front().at < at(now) - window.s) s.recent_work.pop_front();
+    for (const auto& a : s.recent_work) {
         all += a.work;
         most = std::max(most, a.work);
     }
     if (all <= e_.tip_multiple * e_.cores * s.size * warmth(s) * window.s + 4 * most) return true;
-    tips_.push_back({s.lately.front().at, at(now), static_cast<uint16_t>(s.number)});
-    s.tipped_until = now + e_.fall;
-    s.lately.clear();
+    overloads_.push_back({s.recent_work.front().at, at(now), static_cast<uint16_t>(s.number)});
+    s.overloaded_until = now + e_.fall;
+    s.recent_work.clear();
     return false;
 }
 
-void Servers::asked(Line& line) {
-    auto& s = *line.server;
+void Servers::handle_request(ProxyConnection& connection) {
+    auto& s = *connection.server;
     const Time now = loop_.now();
-    loop_.set(line, now + idle_close);
-    const bool probe = line.target.starts_with("/alive");
-    line.shot = shots_.size();
-    shots_.push_back({probe ? 0 : line.call, line.began, at(now), 0, 0, 0, static_cast<uint16_t>(s.number),
-                      static_cast<uint16_t>(line.proxy), Fate::waits, false});
-    auto& shot = shots_.back();
+    loop_.set(connection, now + idle_close);
+    const bool probe = connection.target.starts_with("/alive");
+    connection.attempt = attempts_.size();
+    attempts_.push_back({probe ? 0 : connection.call, connection.began, at(now), 0, 0, 0, static_cast<uint16_t>(s.number),
+                      static_cast<uint16_t>(connection.proxy), AttemptOutcome::queued, false});
+    auto& attempt = attempts_.back();
     if (probe) {
-        if (!trouble(s, FaultKind::hang)) say(line, 200, "");
+        if (!active_fault(s, FaultKind::hang)) respond(connection, 200, "");
         return;
     }
-    const auto product = std::find_if(e_.products.begin(), e_.products.end(), [&](auto& p) { return p.name == line.product; });
-    if (product == e_.products.end() || line.call == 0) {
-        shot.fate = Fate::refused;
-        return say(line, line.call ? 400 : 404, "");
+    const auto product = std::find_if(e_.products.begin(), e_.products.end(), [&](auto& p) { return p.name == connection.product; });
+    if (product == e_.products.end() || connection.call == 0) {
+        attempt.outcome = AttemptOutcome::refused;
+        return respond(connection, connection.call ? 400 : 404, "");
     }
-    const double work = work_of(line.call, *product);
-    shot.work = static_cast<float>(work);
-    const auto* full = trouble(s, FaultKind::full);
-    const bool turned_away = s.lines.size() > static_cast<size_t>(e_.connections) ||
+    const double work = work_of(connection.call, *product);
+    attempt.work = static_cast<float>(work);
+    const auto* full = active_fault(s, FaultKind::full);
+    const bool turned_away = s.connections.size() > static_cast<size_t>(e_.connections) ||
                              s.waiting.size() >= static_cast<size_t>(e_.queue) || (full && chance_.yes(full->how));
-    if (!weigh(s, work) || turned_away) {
-        shot.fate = Fate::refused;
-        return say(line, 503, "", "X-Not-Processed: 1\r\n");
+    if (!accept_load(s, work) || turned_away) {
+        attempt.outcome = AttemptOutcome::refused;
+        return respond(connection, 503, "", "X-Not-Processed: 1\r\n");
     }
-    const auto* fails = trouble(s, FaultKind::fail);
-    const auto* breaks = trouble(s, FaultKind::break_off);
+    const auto* fails = active_fault(s, FaultKind::fail);
+    const auto* breaks = active_fault(s, FaultKind::break_off);
     const bool failed = fails && chance_.yes(fails->how);
     if (failed || (breaks && chance_.yes(breaks->how))) {
         const bool ran = chance_.yes(0.5);
-        shot.fate = ran ? Fate::failed_run : Fate::failed_unrun;
-        shot.executed = ran ? at(now) : 0;
-        if (failed) return say(line, 500, "");
-        return end(line, Why::stopping, true);
+        attempt.outcome = ran ? AttemptOutcome::failed_after_execution : AttemptOutcome::failed_before_execution;
+        attempt.executed = ran ? at(now) : 0;
+        if (failed) return respond(connection, 500, "");
+        return end(connection, Why::stopping, true);
     }
-    s.waiting.push_back({line.shot, &line, work, 0});
-    go_on(s);
+    s.waiting.push_back({connection.attempt, &connection, work, 0});
+    start_jobs(s);
 }
 
-void Servers::go_on(Server& s) {
-    if (trouble(s, FaultKind::hang)) return;
-    for (auto* line : std::vector<Line*>(s.lines.begin(), s.lines.end()))   // probes that hung
-        if (line->shot != Line::none && shots_[line->shot].call == 0 && !shots_[line->shot].answered) say(*line, 200, "");
-    const auto* slow = trouble(s, FaultKind::slow);
+void Servers::start_jobs(Server& s) {
+    if (active_fault(s, FaultKind::hang)) return;
+    for (auto* connection : std::vector<ProxyConnection*>(s.connections.begin(), s.connections.end()))   // probes that hung
+        if (connection->attempt != ProxyConnection::none && attempts_[connection->attempt].call == 0 && !attempts_[connection->attempt].answered) respond(*connection, 200, "");
+    const auto* slow = active_fault(s, FaultKind::slow);
     while (!s.waiting.empty() && s.running.size() < static_cast<size_t>(std::max(1.0, e_.cores * s.size))) {
         Job job = s.waiting.front();
         s.waiting.pop_front();
-        shots_[job.shot].fate = Fate::runs;
+        attempts_[job.attempt].outcome = AttemptOutcome::running;
         job.number = next_job_++;
-        working_[job.number] = s.number;
+        job_servers_[job.number] = s.number;
         loop_.wake(loop_.now() + Span{job.work * (slow ? slow->how : 1) / warmth(s)}, job.number);
         s.running.push_back(job);
     }
 }
 
-void Servers::woken(uint64_t cookie) {
-    const auto it = working_.find(cookie);
-    if (it == working_.end()) return;
+void Servers::timer_fired(uint64_t cookie) {
+    const auto it = job_servers_.find(cookie);
+    if (it == job_servers_.end()) return;
     auto& s = servers_[static_cast<size_t>(it->second)];
-    working_.erase(it);
+    job_servers_.erase(it);
     const auto job = std::find_if(s.running.begin(), s.running.end(), [&](auto& j) { return j.number == cookie; });
     if (job == s.running.end()) return;   // the server died meanwhile
     // What a hanging server had begun is done when it goes on.
-    if (trouble(s, FaultKind::hang)) {
-        working_[cookie] = s.number;
+    if (active_fault(s, FaultKind::hang)) {
+        job_servers_[cookie] = s.number;
         return loop_.wake(loop_.now() + Span{0.05}, cookie);
     }
     const Job finished = *job;
     s.running.erase(job);
-    done(s, finished);
-    go_on(s);
+    finish_job(s, finished);
+    start_jobs(s);
 }
 
-void Servers::done(Server& s, Job job) {
-    auto& shot = shots_[job.shot];
-    shot.fate = Fate::executed;
-    shot.executed = at(loop_.now());
-    if (!job.line) return;
+void Servers::finish_job(Server& s, Job job) {
+    auto& attempt = attempts_[job.attempt];
+    attempt.outcome = AttemptOutcome::executed;
+    attempt.executed = at(loop_.now());
+    if (!job.connection) return;
     char body[64];
-    std::snprintf(body, sizeof body, "%llx from %d", static_cast<unsigned long long>(shot.call), s.number);
-    say(*job.line, 200, body);
+    std::snprintf(body, sizeof body, "%llx from %d", static_cast<unsigned long long>(attempt.call), s.number);
+    respond(*job.connection, 200, body);
 }
 
-void Servers::say(Line& line, int status, std::string_view body, std::string_view fields) {
-    auto& shot = shots_[line.shot];
-    shot.answered = true;
-    shot.ended = at(loop_.now());
-    line.shot = Line::none;
-    line.out.push(wire::answer(status, body, true, fields));
-    line.http.next();
-    loop_.set(line, loop_.now() + idle_close);
-    loop_.flush(line);
-    if (!line.in.empty()) came(line);
+void Servers::respond(ProxyConnection& connection, int status, std::string_view body, std::string_view fields) {
+    auto& attempt = attempts_[connection.attempt];
+    attempt.answered = true;
+    attempt.ended = at(loop_.now());
+    connection.attempt = ProxyConnection::none;
+    connection.out.push(wire::answer(status, body, true, fields));
+    connection.http.next();
+    loop_.set(connection, loop_.now() + idle_close);
+    loop_.flush(connection);
+    if (!connection.in.empty()) came(connection);
 }
 
-void Servers::finish() {
-    write_records(file("shots"), shots_);
-    write_records(file("connections"), connections_);
-    write_records(file("tips"), tips_);
+void Servers::write_results() {
+    write_records(file("shots"), attempts_);
+    write_records(file("connections"), connection_records_);
+    write_records(file("tips"), overloads_);
 }
 
 }  // namespace myrtleroute::rig
--- a/src/rig/servers.hpp
+++ b/src/rig/servers.hpp
@@ -16,55 +16,55 @@
     Servers(Experiment e, std::string directory, std::string name, int number, int of);
 
 private:
-    struct Line;
+    struct ProxyConnection;
     struct Job {
-        size_t shot;             // of shots_
-        Line* line;              // null: its connection is closed
+        size_t attempt;             // of shots_
+        ProxyConnection* connection;              // null: its connection is closed
         double work;
         uint64_t number;         // of its end's wake
     };
-    struct Trouble { FaultKind kind; double how; };
-    struct Arrived { double at, work; };
+    struct ActiveFault { FaultKind kind; double how; };
+    struct RecentWork { double at, work; };
     struct Server {
         int number = 0;
         double size = 1;
         uint16_t port = 0;
         Listener* listener = nullptr;
-        Time launched = long_ago, tipped_until = long_ago;
-        std::list<Line*> lines;
+        Time started_at = long_ago, overloaded_until = long_ago;
+        std::list<ProxyConnection*> connections;
         std::deque<Job> waiting;
         std::list<Job> running;
-        std::deque<Arrived> lately;   // while it is cold
-        std::map<int, Trouble> troubles;
+        std::deque<RecentWork> recent_work;   // while it is cold
+        std::map<int, ActiveFault> faults;
     };
 
-    void told(const std::string& word, std::istringstream& more) override;
-    void woken(uint64_t cookie) override;
-    void finish() override;
+    void on_command(const std::string& word, std::istringstream& more) override;
+    void timer_fired(uint64_t cookie) override;
+    void write_results() override;
     void came(memory::Connection& c) override;
     void broke(memory::Connection& c, int error) override;
     void due(memory::Connection& c) override;
 
-    bool mine(int server) const { return server % of_ == number_; }
+    bool is_local(int server) const { return server % of_ == number_; }
     void open(Server& s, bool cold);
     void close(Server& s);
-    void asked(Line& line);
-    bool weigh(Server& s, double work);   // false: it has tipped over
+    void handle_request(ProxyConnection& connection);
+    bool accept_load(Server& s, double work);   // false: it has tipped over
     double warmth(const Server& s) const;
     double work_of(uint64_t call, const Product& p) const;
-    void go_on(Server& s);
-    void done(Server& s, Job job);
-    void say(Line& line, int status, std::string_view body, std::string_view fields = {});
-    void end(Line& line, memory::Why why, bool reset = false);
-    const Trouble* trouble(const Server& s, FaultKind kind) const;
+    void start_jobs(Server& s);
+    void finish_job(Server& s, Job job);
+    void respond(ProxyConnection& connection, int status, std::string_view body, std::string_view fields = {});
+    void end(ProxyConnection& connection, memory::Why why, bool reset = false);
+    const ActiveFault* active_fault(const Server& s, FaultKind kind) const;
 
     int number_, of_;
     lab::Chance chance_;
     std::vector<Server> servers_;
-    std::vector<ShotRecord> shots_;
-    std::vector<ConnectionRecord> connections_;
-    std::vector<TipRecord> tips_;
-    std::map<uint64_t, int> working_;   // which server a wake is for
+    std::vector<AttemptRecord> attempts_;
+    std::vector<ConnectionRecord> connection_records_;
+    std::vector<OverloadRecord> overloads_;
+    std::map<uint64_t, int> job_servers_;   // which server a wake is for
     uint64_t next_job_ = 0;
 };
 
--- a/src/rig/stream.hpp
+++ b/src/rig/stream.hpp
@@ -1,5 +1,5 @@
-// One direction of a link: what a fault does to the bytes that pass. Fed bytes and the time, it gives back what may
-// go on by then; it knows no socket. Order is kept, as TCP keeps it: what is lost comes later.
+// One direction of a link under faults: takes bytes with the time of their arrival and returns those that may be
+// forwarded by a given time. Independent of sockets. Order is kept, as in TCP: lost bytes arrive later.
 #pragma once
 #include <algorithm>
 #include <deque>
@@ -11,18 +11,18 @@
 
 namespace myrtleroute::rig {
 
-// What befalls a direction; faults that overlap add up.
-struct Treatment {
+// Effects of faults on one direction; effects of overlapping faults are combined by add().
+struct Impairment {
     double delay = 0, jitter = 0;   // seconds
-    double rate = 0;                // bytes a second; 0: no bound
-    double loss = 0, mangle = 0, half_close = 0, duplicate = 0;   // shares of the pieces
+    double rate = 0;                // bytes per second; 0: unlimited
+    double loss = 0, mangle = 0, half_close = 0, duplicate = 0;   // probability for each piece
     bool stall = false, cut = false, hard = false;
-    bool holds() const { return stall || cut; }
+    bool blocks() const { return stall || cut; }
     bool none() const {
         return delay <= 0 && jitter <= 0 && rate <= 0 && loss <= 0 && mangle <= 0 && half_close <= 0 && duplicate <= 0 &&
-               !holds() && !hard;
+               !blocks() && !hard;
     }
-    void add(const Treatment& o) {
+    void add(const Impairment& o) {
         delay += o.delay;
         jitter += o.jitter;
         rate = rate > 0 && o.rate > 0 ? std::min(rate, o.rate) : std::max(rate, o.rate);
@@ -36,40 +36,40 @@
     }
 };
 
-constexpr Span resend_after{0.2};          // the least that Linux waits before it sends lost bytes again, then twice that
-constexpr size_t most_held = 256 * 1024;   // bytes under way; more wait at the sender
+constexpr Span retransmission_timeout{0.2};          // Linux' minimum retransmission timeout; doubled for each loss
+constexpr size_t max_in_flight = 256 * 1024;   // bytes in flight; more wait at the sender
 
 class Stream {
 public:
-    enum class Event { none, ends, breaks };   // after the bytes: no more come, or a reset
+    enum class Event { none, eof, reset };   // follows the bytes: end of stream, or a connection reset
 
-    // `room()` bytes at most. The sender's end comes after what it sent.
-    size_t room() const { return most_held - held_; }
-    void take(Time now, std::string_view bytes, const Treatment& t, lab::Chance& chance) {
-        if (over_) return;
+    // Takes at most `room()` bytes. The end of the stream follows the bytes that were sent before it.
+    size_t room() const { return max_in_flight - held_; }
+    void push(Time now, std::string_view bytes, const Impairment& t, lab::Chance& chance) {
+        if (closed_) return;
         Piece piece{arrival(now, bytes.size(), t, chance), std::string(bytes), Event::none};
         if (t.mangle > 0 && chance.yes(t.mangle)) {
-            // From the middle of what is under way, so that the receiver sees a message with a hole, then the reset.
+            // Drops bytes from the middle, so that the receiver sees a message with a gap, then the reset.
             piece.bytes.erase(piece.bytes.size() / 3, piece.bytes.size() / 3);
-            piece.then = Event::breaks;
+            piece.then = Event::reset;
         } else if (t.half_close > 0 && chance.yes(t.half_close)) {
-            piece.then = Event::ends;
+            piece.then = Event::eof;
         }
-        over_ = piece.then != Event::none;
+        closed_ = piece.then != Event::none;
         held_ += piece.bytes.size();
         pieces_.push_back(std::move(piece));
     }
-    void end(Time now, const Treatment& t, lab::Chance& chance, Event how) {
-        if (over_) return;
-        over_ = true;
+    void end(Time now, const Impairment& t, lab::Chance& chance, Event how) {
+        if (closed_) return;
+        closed_ = true;
         pieces_.push_back({arrival(now, 0, t, chance), "", how});
     }
     bool empty() const { return pieces_.empty(); }
-    Time next() const { return pieces_.front().at; }   // when the first of what is held may pass
+    Time next() const { return pieces_.front().at; }   // when the first held piece may pass
     size_t next_size() const { return pieces_.front().bytes.size(); }
-    // The next piece that may pass by then; false: none.
-    bool give(Time now, const Treatment& t, std::string& bytes, Event& then) {
-        if (pieces_.empty() || t.holds() || pieces_.front().at > now) return false;
+    // Returns the next piece that may pass by `now`; false: none.
+    bool pop(Time now, const Impairment& t, std::string& bytes, Event& then) {
+        if (pieces_.empty() || t.blocks() || pieces_.front().at > now) return false;
         bytes = std::move(pieces_.front().bytes);
         then = pieces_.front().then;
         held_ -= bytes.size();
@@ -83,10 +83,10 @@
         std::string bytes;
         Event then;
     };
-    Time arrival(Time now, size_t size, const Treatment& t, lab::Chance& chance) {
+    Time arrival(Time now, size_t size, const Impairment& t, lab::Chance& chance) {
         Time at = now + Span{t.delay + (t.jitter > 0 ? t.jitter * chance.uniform() : 0)};
         if (t.loss > 0)
-            for (Span wait = resend_after; wait.s < 7 && chance.yes(t.loss); wait = wait * 2) at = at + wait;
+            for (Span wait = retransmission_timeout; wait.s < 7 && chance.yes(t.loss); wait = wait * 2) at = at + wait;
         if (t.rate > 0) {
             sent_ = std::max(sent_, now) + Span{static_cast<double>(size) / t.rate};
             at = std::max(at, sent_ + Span{t.delay});
@@ -95,7 +95,7 @@
     }
     std::deque<Piece> pieces_;
     size_t held_ = 0;
-    bool over_ = false;
+    bool closed_ = false;
     Time last_ = long_ago, sent_ = long_ago;
 };
 
--- a/src/soak/fleet.cpp
+++ b/src/soak/fleet.cpp
@@ -129,11 +129,11 @@
 void Fleet::launch(Process& process, double now) {
     const auto file = options_.directory + "/" + process.name;
     std::ofstream(file + ".conf") << settings(process);
-    rig::Start start;
-    start.words = {options_.program, role_name(process.role)};
-    start.variables = {{"MYRTLEROUTE_SETTINGS", file + ".conf"}};
+    rig::ProcessOptions start;
+    start.arguments = {options_.program, role_name(process.role)};
+    start.environment = {{"MYRTLEROUTE_SETTINGS", file + ".conf"}};
     start.output = file + ".log";
-    process.pid = std::max<pid_t>(0, rig::start(start));
+    process.pid = std::max<pid_t>(0, rig::spawn(start));
     process.told_to_end = false;
     process.kill_at = 0;
     process.started_at = now;
@@ -154,7 +154,7 @@
 }
 
 void Fleet::reap(double now) {
-    for (auto ended = rig::next_ended(); ended.pid; ended = rig::next_ended()) {
+    for (auto ended = rig::next_exit(); ended.pid; ended = rig::next_exit()) {
         const auto process =
             std::find_if(processes_.begin(), processes_.end(), [&](const auto& p) { return p.pid == ended.pid; });
         if (process == processes_.end()) continue;
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -38,12 +38,12 @@
 };
 
 // All that a stream gives by then, an end as `|`, a reset as `!`.
-std::string given(Stream& s, double now, const Treatment& t = {}) {
+std::string popped(Stream& s, double now, const Impairment& t = {}) {
     std::string all, bytes;
     auto then = Stream::Event::none;
-    while (s.give({now}, t, bytes, then)) {
+    while (s.pop({now}, t, bytes, then)) {
         all += bytes;
-        if (then != Stream::Event::none) all += then == Stream::Event::ends ? "|" : "!";
+        if (then != Stream::Event::none) all += then == Stream::Event::eof ? "|" : "!";
     }
     return all;
 }
@@ -54,88 +54,88 @@
     lab::Chance chance(1, 1);
     Stream s;
     SECTION("none: at once") {
-        s.take({1}, "ab", {}, chance);
-        s.take({1}, "c", {}, chance);
-        s.end({1}, {}, chance, Stream::Event::ends);
-        CHECK(given(s, 1) == "abc|");
+        s.push({1}, "ab", {}, chance);
+        s.push({1}, "c", {}, chance);
+        s.end({1}, {}, chance, Stream::Event::eof);
+        CHECK(popped(s, 1) == "abc|");
     }
     SECTION("delay with jitter: later, and never one before the other") {
-        Treatment t;
+        Impairment t;
         t.delay = 0.1;
         t.jitter = 0.1;
         std::string sent;
         for (char c = 'a'; c <= 'z'; ++c) {
-            s.take({1}, std::string(1, c), t, chance);
+            s.push({1}, std::string(1, c), t, chance);
             sent += c;
         }
-        CHECK(given(s, 1.09, t).empty());
-        CHECK(given(s, 1.21, t) == sent);
+        CHECK(popped(s, 1.09, t).empty());
+        CHECK(popped(s, 1.21, t) == sent);
     }
     SECTION("stall and cut: kept, and given when it is over") {
-        Treatment t;
+        Impairment t;
         t.cut = GENERATE(false, true);
         t.stall = !t.cut;
-        s.take({1}, "abc", t, chance);
-        CHECK(given(s, 50, t).empty());
-        CHECK(given(s, 50) == "abc");
+        s.push({1}, "abc", t, chance);
+        CHECK(popped(s, 50, t).empty());
+        CHECK(popped(s, 50) == "abc");
     }
     SECTION("throttle: so many bytes a second") {
-        Treatment t;
+        Impairment t;
         t.rate = 10;
-        for (int i = 0; i < 4; ++i) s.take({1}, "0123456789", t, chance);
-        CHECK(given(s, 2.01, t).size() == 10);
-        CHECK(given(s, 4.01, t).size() == 20);
+        for (int i = 0; i < 4; ++i) s.push({1}, "0123456789", t, chance);
+        CHECK(popped(s, 2.01, t).size() == 10);
+        CHECK(popped(s, 4.01, t).size() == 20);
     }
     SECTION("loss: late by what it takes to send again, in order") {
-        Treatment t;
+        Impairment t;
         t.loss = 1;
-        s.take({1}, "a", t, chance);
-        s.take({1.01}, "b", {}, chance);
-        CHECK(given(s, 1.1, t).empty());
-        CHECK(given(s, 20, t) == "ab");
+        s.push({1}, "a", t, chance);
+        s.push({1.01}, "b", {}, chance);
+        CHECK(popped(s, 1.1, t).empty());
+        CHECK(popped(s, 20, t) == "ab");
     }
     SECTION("mangle: a hole, then a reset; half-close: the end, and nothing behind it") {
-        Treatment t;
+        Impairment t;
         (GENERATE(false, true) ? t.mangle : t.half_close) = 1;
-        s.take({1}, "abcdefghi", t, chance);
-        s.take({1}, "more", t, chance);
-        s.end({1}, t, chance, Stream::Event::ends);
-        CHECK(given(s, 1, t) == (t.mangle > 0 ? "abcghi!" : "abcdefghi|"));
+        s.push({1}, "abcdefghi", t, chance);
+        s.push({1}, "more", t, chance);
+        s.end({1}, t, chance, Stream::Event::eof);
+        CHECK(popped(s, 1, t) == (t.mangle > 0 ? "abcghi!" : "abcdefghi|"));
     }
     SECTION("bounded: no more room than it says") {
-        Treatment t;
+        Impairment t;
         t.stall = true;
-        s.take({1}, std::string(most_held, 'x'), t, chance);
+        s.push({1}, std::string(max_in_flight, 'x'), t, chance);
         CHECK(s.room() == 0);
-        CHECK(given(s, 1).size() == most_held);
-        CHECK(s.room() == most_held);
+        CHECK(popped(s, 1).size() == max_in_flight);
+        CHECK(s.room() == max_in_flight);
     }
 }
 
 TEST_CASE("arrivals: the same for the same seed, their mean as said, bursts and moves where they are said") {
     Experiment e;
     e.proxies = 50;
-    e.lasts = {40};
+    e.duration = {40};
     e.products = {{.name = "a", .share = 3}, {.name = "b", .share = 1}};
-    e.law = GENERATE("equal", "pareto", "zipf", "one");
+    e.distribution = GENERATE("equal", "pareto", "zipf", "one");
     const auto all = rates(e);
     double sum = 0;
     for (const double r : all) sum += r;
     CHECK(sum == Approx(e.rate * e.proxies));
-    if (e.law == "one") CHECK(*std::max_element(all.begin(), all.end()) == Approx(0.2 * sum));
+    if (e.distribution == "one") CHECK(*std::max_element(all.begin(), all.end()) == Approx(0.2 * sum));
     double calls = 0, of_b = 0;
     for (int p = 0; p < e.proxies; ++p) {
         Arrivals one(e, all, p), other(e, all, p);
-        for (; one.next().at.s < e.lasts.s; one.advance(), other.advance()) {
+        for (; one.next().at.s < e.duration.s; one.advance(), other.advance()) {
             REQUIRE(one.next().at == other.next().at);
             ++calls;
             of_b += one.next().product == 1;
         }
     }
-    CHECK(calls == Approx(e.rate * e.proxies * e.lasts.s).epsilon(0.05));
+    CHECK(calls == Approx(e.rate * e.proxies * e.duration.s).epsilon(0.05));
     CHECK(of_b / calls == Approx(0.25).epsilon(0.1));
     // One proxy's burst is its own.
-    e.law = "equal";
+    e.distribution = "equal";
     e.bursts.push_back({read_group("proxies 0", e), {10}, {10}, 5});
     const auto equal = rates(e);
     const auto within = [&](int p) {
@@ -196,9 +196,9 @@
 }
 
 TEST_CASE("how evenly, of numbers known beforehand, and a histogram within its error") {
-    const auto e = even({1, 2, 3, 0, 4});
-    CHECK(e.most == Approx(2));
-    CHECK(e.least == 0);
+    const auto e = spread_of({1, 2, 3, 0, 4});
+    CHECK(e.max == Approx(2));
+    CHECK(e.min == 0);
     CHECK(e.idle == 1);
     CHECK(e.cv == Approx(std::sqrt(2.0) / 2));
     Histogram h;
@@ -214,38 +214,38 @@
     Experiment e;
     e.proxies = 300;
     e.servers = 60;
-    CHECK(shape(e, 20000).servers >= 1);
+    CHECK(process_counts(e, 20000).servers >= 1);
     e.relayed = {Kind::server};
-    CHECK(shape(e, 20000).relays >= 1);
-    CHECK_THROWS_AS(shape(e, 1500), CantStart);
+    CHECK(process_counts(e, 20000).relays >= 1);
+    CHECK_THROWS_AS(process_counts(e, 1500), StartFailure);
 }
 
 namespace {
 
 // A run of two proxies, two servers and one call, 100 s on the clock, that kept all rules.
-Day sound_day(Idempotency repeat) {
-    Day d;
+RunRecord passing_record(Idempotency repeat) {
+    RunRecord d;
     d.e.proxies = d.e.servers = 2;
     d.e.products = {{.name = "seat", .repeat = repeat}};
     d.e.faults.resize(1);
     d.start = 100;
     d.end = 125;
-    d.whole = true;
+    d.complete = true;
     for (int p = 0; p < 2; ++p) {
-        d.lives.push_back({p, 99, 0, ""});
+        d.incarnations.push_back({p, 99, 0, ""});
         for (double t = 99.5; t < 126; t += 5) {
-            d.told.push_back({t, 0, static_cast<uint16_t>(p), true});
-            d.told.push_back({t + 4.9, 2, static_cast<uint16_t>(p), false});
+            d.discovery_records.push_back({t, 0, static_cast<uint16_t>(p), true});
+            d.discovery_records.push_back({t + 4.9, 2, static_cast<uint16_t>(p), false});
         }
     }
-    std::sort(d.told.begin(), d.told.end(), [](auto& a, auto& b) { return a.at < b.at; });
-    d.list = {{99, 0, 1, 0, 0, Listed::serving}, {99, 0, 2, 1, 0, Listed::serving}};
-    d.calls = {{call_id(0, 1), 110, 110, 110.1, 0, 200, CallEnd::answered, 1}};
-    d.shots = {{call_id(0, 1), 110.01, 110.01, 110.09, 110.09, 0.05f, 0, 0, Fate::executed, true}};
+    std::sort(d.discovery_records.begin(), d.discovery_records.end(), [](auto& a, auto& b) { return a.at < b.at; });
+    d.list = {{99, 0, 1, 0, 0, ListedState::serving}, {99, 0, 2, 1, 0, ListedState::serving}};
+    d.calls = {{call_id(0, 1), 110, 110, 110.1, 0, 200, CallOutcome::answered, 1}};
+    d.attempts = {{call_id(0, 1), 110.01, 110.01, 110.09, 110.09, 0.05f, 0, 0, AttemptOutcome::executed, true}};
     return d;
 }
-void second_shot(Day& d, double at, double executed) {
-    d.shots.push_back({call_id(0, 1), at, at, at + 0.05, executed, 0.05f, 1, 0, Fate::executed, true});
+void second_attempt(RunRecord& d, double at, double executed) {
+    d.attempts.push_back({call_id(0, 1), at, at, at + 0.05, executed, 0.05f, 1, 0, AttemptOutcome::executed, true});
 }
 
 }  // namespace
@@ -255,50 +255,50 @@
         const char* name;
         Rule rule;
         Idempotency repeat;
-        void (*spoil)(Day&);
+        void (*spoil)(RunRecord&);
         FaultKind fault;      // that would excuse it
         Kind link;
         bool excusable;
     };
     const auto c = GENERATE(values<Case>({
         {"no answer", Rule::one_answer, Idempotency::idempotent,
-         [](Day& d) { d.calls[0].end = CallEnd::broken, d.calls[0].status = 0; }, FaultKind::kill, Kind::none, true},
-        {"late", Rule::one_answer, Idempotency::idempotent, [](Day& d) { d.calls[0].ended = 112.5; }, FaultKind::pause, Kind::none, true},
+         [](RunRecord& d) { d.calls[0].end = CallOutcome::disconnected, d.calls[0].status = 0; }, FaultKind::kill, Kind::none, true},
+        {"late", Rule::one_answer, Idempotency::idempotent, [](RunRecord& d) { d.calls[0].ended = 112.5; }, FaultKind::pause, Kind::none, true},
         {"never", Rule::one_answer, Idempotency::idempotent,
-         [](Day& d) { d.calls[0].end = CallEnd::unanswered, d.calls[0].ended = 112.7; }, FaultKind::cut, Kind::application, true},
-        {"another's answer", Rule::right_answer, Idempotency::idempotent, [](Day& d) { d.calls[0].end = CallEnd::wrong; }, FaultKind::hang,
+         [](RunRecord& d) { d.calls[0].end = CallOutcome::timed_out, d.calls[0].ended = 112.7; }, FaultKind::cut, Kind::application, true},
+        {"another's answer", Rule::right_answer, Idempotency::idempotent, [](RunRecord& d) { d.calls[0].end = CallOutcome::wrong; }, FaultKind::hang,
          Kind::none, false},
-        {"booked twice", Rule::no_effect_twice, Idempotency::non_idempotent, [](Day& d) { second_shot(d, 110.095, 110.098); },
+        {"booked twice", Rule::no_effect_twice, Idempotency::non_idempotent, [](RunRecord& d) { second_attempt(d, 110.095, 110.098); },
          FaultKind::cut, Kind::server, false},
         {"refunded beyond its window", Rule::no_effect_twice, Idempotency::deduplicated,
-         [](Day& d) { d.e.products[0].window = 0.01, second_shot(d, 110.095, 110.098); }, FaultKind::cut, Kind::server, false},
-        {"a false promise", Rule::no_false_promise, Idempotency::non_idempotent, [](Day& d) { d.calls[0].status = 429; },
+         [](RunRecord& d) { d.e.products[0].window = 0.01, second_attempt(d, 110.095, 110.098); }, FaultKind::cut, Kind::server, false},
+        {"a false promise", Rule::no_false_promise, Idempotency::non_idempotent, [](RunRecord& d) { d.calls[0].status = 429; },
          FaultKind::break_off, Kind::none, false},
         {"a copy", Rule::no_second_copy, Idempotency::idempotent,
-         [](Day& d) { d.shots[0].ended = 111, d.calls[0].ended = 111, second_shot(d, 110.2, 110.3); }, FaultKind::cut, Kind::server, true},
-        {"a shot after", Rule::no_shot_after, Idempotency::idempotent, [](Day& d) { second_shot(d, 111, 111.1); }, FaultKind::cut,
+         [](RunRecord& d) { d.attempts[0].ended = 111, d.calls[0].ended = 111, second_attempt(d, 110.2, 110.3); }, FaultKind::cut, Kind::server, true},
+        {"a shot after", Rule::no_shot_after, Idempotency::idempotent, [](RunRecord& d) { second_attempt(d, 111, 111.1); }, FaultKind::cut,
          Kind::server, true},
         {"a drain ignored", Rule::drains, Idempotency::idempotent,
-         [](Day& d) { d.list.push_back({100.5, 0, 2, 0, 0, Listed::draining}); }, FaultKind::silent, Kind::none, false},
+         [](RunRecord& d) { d.list.push_back({100.5, 0, 2, 0, 0, ListedState::draining}); }, FaultKind::silent, Kind::none, false},
         {"a cold server", Rule::cold_servers, Idempotency::idempotent,
-         [](Day& d) {
-             d.list.push_back({100.5, 1.7e9, 2, 0, 0, Listed::serving});
-             d.tips.push_back({109.5, 110.5, 0});
+         [](RunRecord& d) {
+             d.list.push_back({100.5, 1.7e9, 2, 0, 0, ListedState::serving});
+             d.overloads.push_back({109.5, 110.5, 0});
          },
          FaultKind::die, Kind::none, false},
         {"deaf", Rule::listens, Idempotency::idempotent,
-         [](Day& d) { std::erase_if(d.told, [](auto& t) { return t.proxy == 1 && t.at > 104.45 && t.at < 119; }); }, FaultKind::silent,
+         [](RunRecord& d) { std::erase_if(d.discovery_records, [](auto& t) { return t.proxy == 1 && t.at > 104.45 && t.at < 119; }); }, FaultKind::silent,
          Kind::none, true},
-        {"lost", Rule::no_crash, Idempotency::idempotent, [](Day& d) { d.lost.push_back("proxy 1"); }, FaultKind::kill, Kind::none, false},
-        {"left", Rule::all_back, Idempotency::idempotent, [](Day& d) { d.left.push_back("proxy 1"); }, FaultKind::pause, Kind::none, false},
+        {"lost", Rule::no_crash, Idempotency::idempotent, [](RunRecord& d) { d.lost.push_back("proxy 1"); }, FaultKind::kill, Kind::none, false},
+        {"left", Rule::all_back, Idempotency::idempotent, [](RunRecord& d) { d.left.push_back("proxy 1"); }, FaultKind::pause, Kind::none, false},
     }));
     CAPTURE(c.name);
-    Day d = sound_day(c.repeat);
-    CHECK(judge(d).kept());
+    RunRecord d = passing_record(c.repeat);
+    CHECK(judge(d).passed());
     c.spoil(d);
     const auto verdict = judge(d);
-    REQUIRE(verdict.breaks.size() == 1);
-    CHECK(std::string(name_of(verdict.breaks[0].rule)) == name_of(c.rule));
+    REQUIRE(verdict.violations.size() == 1);
+    CHECK(std::string(name_of(verdict.violations[0].rule)) == name_of(c.rule));
     // The same under a fault that explains it; one that befell others explains nothing.
     auto& f = d.e.faults[0];
     f.kind = c.fault;
@@ -307,9 +307,9 @@
     const bool of_all = c.fault == FaultKind::silent;
     for (const int who : {0, 1}) {
         f.who.members = {who};
-        d.befell = {{0, 109, 119, {who}}};
+        d.applied_faults = {{0, 109, 119, {who}}};
         const bool its = of_all || who == (c.rule == Rule::listens ? 1 : 0);
-        CHECK(judge(d).kept() == (c.excusable && its));
+        CHECK(judge(d).passed() == (c.excusable && its));
     }
 }
 
@@ -348,11 +348,11 @@
     std::filesystem::permissions(fails, std::filesystem::perms::owner_all);
     const auto how = GENERATE(values<std::string>({"kill", "interrupt", "bad program"}));
     CAPTURE(how);
-    Start what;
-    what.words = {MYRTLEROUTE_FLEET, "run", file, "--dir", folder.path + "/" + std::to_string(how.size()), "--program",
+    ProcessOptions what;
+    what.arguments = {MYRTLEROUTE_FLEET, "run", file, "--dir", folder.path + "/" + std::to_string(how.size()), "--program",
                   how == "bad program" ? fails : MYRTLEROUTE_PROGRAM};
     what.output = folder.path + "/out";
-    const pid_t pid = start(what);
+    const pid_t pid = spawn(what);
     REQUIRE(pid > 0);
     std::set<pid_t> all;
     int status = -1;
@@ -385,27 +385,27 @@
     const auto file = folder.file("day.toml", "proxies = 2\nservers = 1\n");
     int ends[2];
     REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) == 0);
-    Start what;
-    what.words = {MYRTLEROUTE_FLEET, "part", "relay", "--file", file, "--seed", "1", "--dir", folder.path};
+    ProcessOptions what;
+    what.arguments = {MYRTLEROUTE_FLEET, "part", "relay", "--file", file, "--seed", "1", "--dir", folder.path};
     what.output = folder.path + "/out";
-    what.control = ends[1];
-    const pid_t pid = start(what);
+    what.control_fd = ends[1];
+    const pid_t pid = spawn(what);
     ::close(ends[1]);
     RigHome home;
     std::vector<int> sockets;
     for (const int proxy : {0, 1}) {
         const int fd = ::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
-        sockaddr_in at = address(door_ip(proxy), 0);
+        sockaddr_in at = address(listen_ip(proxy), 0);
         socklen_t size = sizeof at;
         REQUIRE(::bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
         REQUIRE(::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size) == 0);
-        const auto line = "backend 4 " + std::to_string(proxy) + " " + std::to_string(door_ip(proxy)) + " " +
+        const auto line = "backend 4 " + std::to_string(proxy) + " " + std::to_string(listen_ip(proxy)) + " " +
                           std::to_string(ntohs(at.sin_port)) + "\n";
         REQUIRE(::write(ends[0], line.data(), line.size()) > 0);
         sockets.push_back(fd);
     }
     std::string said;
-    const auto tell = [&](const std::string& line) { REQUIRE(::write(ends[0], line.data(), line.size()) > 0); };
+    const auto send_line = [&](const std::string& line) { REQUIRE(::write(ends[0], line.data(), line.size()) > 0); };
     while (std::count(said.begin(), said.end(), '\n') < 2) {
         char bytes[256];
         const auto n = ::read(ends[0], bytes, sizeof bytes);
@@ -435,14 +435,14 @@
     send(1, 0, "back");
     CHECK(heard(0, 10) == "back" + as(1, 0));
     // Rules are taken in the order in which they are told, so what follows them says that they are on.
-    tell("rule 1 4 0 0 0 0 0 0 0 0 0 1 0 0 1\nrule 2 4 0 0 0 0 0 0 0 1 0 0 0 1 0\n");
+    send_line("rule 1 4 0 0 0 0 0 0 0 0 0 1 0 0 1\nrule 2 4 0 0 0 0 0 0 0 1 0 0 0 1 0\n");
     ::usleep(300000);
     send(0, 1, "lost");
     send(1, 0, "twice");
     CHECK(heard(0, 10) == "twice" + as(1, 0));
     CHECK(heard(0, 10) == "twice" + as(1, 0));
     CHECK(heard(1, 0.2).empty());
-    tell("over 1\n");
+    send_line("over 1\n");
     ::usleep(300000);
     send(0, 1, "again");
     CHECK(heard(1, 10) == "again" + as(0, 1));
