--- a/src/rig/conductor.cpp
+++ b/src/rig/conductor.cpp
@@ -14,19 +14,19 @@
 #include <iostream>
 #include <toml++/toml.h>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "rig/lines.hpp"
 #include "rig/lists.hpp"
 
 namespace myrtleroute::rig {
 
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
 constexpr Span start_timeout{60}, end_timeout{10}, list_lag{1}, throttle_period{0.05}, poll_interval{0.02};
-constexpr double max_servers_per_proxy = 40;     // servers that a proxy has connections to at a time, for the count of descriptors
+constexpr double max_servers_per_proxy = 40;     // with open connections, for the count of descriptors
 constexpr size_t spare_descriptors = 500, max_processes = 16;
 constexpr double memory_mb = 192, sockets = 1024;
 
@@ -35,7 +35,7 @@
 }  // namespace
 
 ProcessCounts process_counts(const Experiment& e, size_t most) {
-    const double lines = e.proxies * std::min<double>(e.servers, max_servers_per_proxy);   // between proxies and servers
+    const double lines = e.proxies * std::min<double>(e.servers, max_servers_per_proxy);   // connections between proxies and servers
     const auto needed = [&](double descriptors, const char* what) {
         const double n = std::ceil(descriptors / static_cast<double>(most > 2 * spare_descriptors ? most - spare_descriptors : 1));
         if (n > max_processes)
@@ -48,7 +48,7 @@
     s.servers = std::max({1, std::min({4, e.servers, e.proxies / 50}), needed(lines + e.servers, "the servers")});
     s.loads = std::max(1, e.proxies / 150);
     if (!e.relayed.empty()) {
-        double cut = 0;   // deaf listeners, two descriptors each
+        double cut = 0;   // unresponsive listeners, two descriptors each
         for (const auto& f : e.faults)
             if (f.kind == FaultKind::cut) cut += 2.0 * static_cast<double>(f.who.members.size() * f.to.members.size());
         s.relays = std::max(std::min(4, 1 + e.proxies / 100), needed(2 * lines + cut + e.servers, "the relays"));
@@ -57,7 +57,8 @@
 }
 
 struct Conductor::ControlConnection : Connection {
-    ControlConnection(memory::Owner& by, int fd, Part& of) : Connection(by, fd, 256 * 1024, 4 * 1024 * 1024), part(&of) {}
+    ControlConnection(memory::ConnectionHandler& by, int fd, Part& of)
+        : Connection(by, fd, 256 * 1024, 4 * 1024 * 1024), part(&of) {}
     std::string name() const override { return "part"; }
     Part* part;
     std::string text;
@@ -66,53 +67,53 @@
 namespace {
 
 struct Signals : Connection {
-    Signals(memory::Owner& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
+    Signals(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
     std::string name() const override { return "signals"; }
 };
 
 }  // namespace
 
 Conductor::Conductor(const Experiment& e, size_t arm, int repeat, std::string directory, RunOptions how)
-    : e_(e), arm_(e.arms[arm]), options_(std::move(how)), counts_(process_counts(e, options_.max_descriptors)), log_(run::Level::error, home_),
-      loop_(log_, home_), proxies_(static_cast<size_t>(e.proxies)), server_incarnations_(static_cast<size_t>(e.servers)) {
+    : e_(e), arm_(e.arms[arm]), options_(std::move(how)), counts_(process_counts(e, options_.max_descriptors)), log_(run::Level::error, system_),
+      loop_(log_, system_), proxies_(static_cast<size_t>(e.proxies)), server_incarnations_(static_cast<size_t>(e.servers)) {
     record_.e = e;
     record_.directory = std::move(directory);
     record_.arm = arm_.name;
     record_.repeat = repeat;
     record_.program = !arm_.program.empty() ? arm_.program : !options_.program.empty() ? options_.program : "run of " + options_.deploy;
-    const int signals = home_.hear_signals();
-    if (signals >= 0) loop_.adopt(std::make_unique<Signals>(*this, signals));
+    const int signals = system_.watch_signals();
+    if (signals >= 0) loop_.add(std::make_unique<Signals>(*this, signals));
 }
 
-// Whatever happened before, nothing that was started is left.
+// Kills and collects every process that is still running, also after an exception.
 Conductor::~Conductor() {
     for (const auto& part : parts_)
         if (part->pid > 0) ::kill(part->pid, SIGKILL);
     for (const auto& [pid, number] : proxy_by_pid_) ::kill(pid, SIGKILL);
-    const Time most = home_.now() + Span{2};
-    while (home_.now() < most && (!proxy_by_pid_.empty() || std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->pid > 0; }))) {
+    const Time most = system_.now() + Span{2};
+    while (system_.now() < most && (!proxy_by_pid_.empty() || std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->pid > 0; }))) {
         reap();
-        home_.PosixHome::wait(nullptr, 0, 5);   // nothing but time
+        system_.PosixSystem::poll(nullptr, 0, 5);   // sleeps 5 ms
     }
-    if (proxy_port_fd_ >= 0) home_.close(proxy_port_fd_);
-    loop_.end_all(Why::stopping);
+    if (proxy_port_fd_ >= 0) system_.close(proxy_port_fd_);
+    loop_.close_all(CloseReason::stopping);
 }
 
-void Conductor::came(Connection& c) {
+void Conductor::on_readable(Connection& c) {
     if (c.listens) {
-        while (const int number = home_.next_signal(c.fd)) interrupted_ |= number == SIGINT || number == SIGTERM;
+        while (const int number = system_.next_signal(c.fd)) interrupted_ |= number == SIGINT || number == SIGTERM;
         return;
     }
     auto& line = static_cast<ControlConnection&>(c);
     take_lines(line.in, line.text, [&](const std::string& text) { on_line(*line.part, text); });
     if (!c.ended) return;
     line.part->line = nullptr;
-    loop_.end(c, Why::peer_closed);
+    loop_.close(c, CloseReason::peer_closed);
 }
 
-void Conductor::broke(Connection& c, int) {
+void Conductor::on_error(Connection& c, int) {
     static_cast<ControlConnection&>(c).part->line = nullptr;
-    loop_.end(c, Why::peer_reset);
+    loop_.close(c, CloseReason::peer_reset);
 }
 
 void Conductor::on_line(Part& part, const std::string& text) {
@@ -143,7 +144,7 @@
 
 void Conductor::send(Part& part, const std::string& line) {
     if (!part.line) return;
-    if (!part.line->out.push(line + "\n")) throw std::runtime_error(part.name + " does not take what it is told");
+    if (!part.line->out.push(line + "\n")) throw std::runtime_error(part.name + ": the control connection's buffer is full");
     loop_.flush(*part.line);
 }
 
@@ -155,7 +156,7 @@
 Conductor::Part& Conductor::start_part(const std::string& kind, int number, int of) {
     int ends[2];
     if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends) != 0)
-        throw StartFailure("no control line: " + std::string(std::strerror(errno)));
+        throw StartFailure("no control connection: " + std::string(std::strerror(errno)));
     parts_.push_back(std::make_unique<Part>());
     auto& part = *parts_.back();
     part.name = kind + "-" + std::to_string(number);
@@ -165,9 +166,9 @@
     what.output = record_.directory + "/" + part.name + ".log";
     what.control_fd = ends[1];
     part.pid = spawn(what);
-    home_.close(ends[1]);
+    system_.close(ends[1]);
     if (part.pid < 0) throw StartFailure(part.name + " can't be started: " + std::strerror(errno));
-    part.line = &loop_.adopt(std::make_unique<ControlConnection>(*this, ends[0], part));
+    part.line = &loop_.add(std::make_unique<ControlConnection>(*this, ends[0], part));
     record_.parts.push_back({part.name, 0, 0, 0});
     return part;
 }
@@ -179,7 +180,7 @@
     try {
         const auto deploy = toml::parse_file(options_.deploy);
         const auto run = deploy["run"].value<std::string>();
-        if (!run) throw StartFailure(options_.deploy + ": run must be a text");
+        if (!run) throw StartFailure(options_.deploy + ": run must be a string");
         return {"/bin/sh", "-c", *run};
     } catch (const toml::parse_error& fault) {
         throw StartFailure(options_.deploy + ": " + std::string(fault.description()));
@@ -209,7 +210,7 @@
     settings.merge_patch(e_.settings);
     settings.merge_patch(arm_.settings);
     if (proxy.settings.is_object()) settings.merge_patch(proxy.settings);
-    lab::Chance chance(e_.seed, 0x50524f58u + static_cast<uint64_t>(i) * 1000 + static_cast<uint64_t>(proxy.starts));
+    lab::RandomStream chance(e_.seed, 0x50524f58u + static_cast<uint64_t>(i) * 1000 + static_cast<uint64_t>(proxy.starts));
     std::ostringstream seed;
     seed << std::hex << std::setw(16) << std::setfill('0') << chance.number();
     const Link link{Kind::discovery, static_cast<uint16_t>(i), 0};
@@ -241,7 +242,7 @@
     proxy.restart_on_exit = false;
     proxy_by_pid_[proxy.pid] = i;
     proxy.incarnation = record_.incarnations.size();
-    record_.incarnations.push_back({i, home_.now().s, 0, ""});
+    record_.incarnations.push_back({i, system_.now().s, 0, ""});
 }
 
 void Conductor::reap() {
@@ -264,16 +265,16 @@
         proxy_by_pid_.erase(it);
         auto& proxy = proxies_[static_cast<size_t>(number)];
         auto& incarnation = record_.incarnations[proxy.incarnation];
-        incarnation.to = home_.now().s;
+        incarnation.to = system_.now().s;
         incarnation.exit = (ended.by_signal ? "signal " : "status ") + std::to_string(ended.code);
         proxy.pid = 0;
         record_.cpu += ended.cpu;
         record_.max_memory_mb = std::max(record_.max_memory_mb, static_cast<double>(ended.max_memory) / 1024);
-        record_.memory_mb += static_cast<double>(ended.max_memory) / 1024;   // made a mean at the end
+        record_.memory_mb += static_cast<double>(ended.max_memory) / 1024;   // sum; divided in stop_all()
         const bool sound = !proxy.expected_running && (proxy.no_start || ended.by_signal || ended.code == 0);
         if (!sound) record_.lost.push_back("proxy " + std::to_string(number) + " ended: " + incarnation.exit + "; " + record_.directory + "/p" +
                                         std::to_string(number) + ".log has the rest");
-        if (proxy.no_start && !ending_) schedule(home_.now() + Span{1}, [this, number] {
+        if (proxy.no_start && !ending_) schedule(system_.now() + Span{1}, [this, number] {
             if (proxies_[static_cast<size_t>(number)].pid == 0) start_proxy(number);
         });
         else if (proxy.restart_on_exit && !ending_) start_proxy(number);
@@ -282,12 +283,12 @@
 
 void Conductor::schedule(Time when, std::function<void()> what) {
     scheduled_[next_scheduled_] = std::move(what);
-    loop_.wake(when, next_scheduled_++);
+    loop_.schedule(when, next_scheduled_++);
 }
 
 void Conductor::run_once() {
     schedule(loop_.now() + poll_interval, [] {});
-    loop_.round(
+    loop_.run_once(
         [this](uint64_t cookie) {
             const auto it = scheduled_.find(cookie);
             const auto what = std::move(it->second);
@@ -300,29 +301,29 @@
 }
 
 bool Conductor::wait_for(const std::function<bool()>& condition, Span most) {
-    const Time until = home_.now() + most;
+    const Time until = system_.now() + most;
     while (!condition()) {
         if (interrupted_) throw std::runtime_error("interrupted");
         if (!ending_)
             for (const auto& lost : record_.lost)
                 if (start_ == long_ago || !lost.starts_with("proxy")) throw StartFailure(lost);
-        if (home_.now() > until) return false;
+        if (system_.now() > until) return false;
         run_once();
     }
     return true;
 }
 
 void Conductor::start_all() {
-    const Time from = home_.now();
-    proxy_port_fd_ = home_.reserve_port(proxy_port_);
-    if (proxy_port_fd_ < 0) throw StartFailure("no port for the proxies");
+    const Time from = system_.now();
+    proxy_port_fd_ = system_.reserve_port(proxy_port_);
+    if (proxy_port_fd_ < 0) throw StartFailure("no free port for the proxies");
     for (int i = 0; i < counts_.servers; ++i) start_part("servers", i, counts_.servers);
     start_part("discovery", 0, 1);
     const auto ready = [this] {
         return std::all_of(parts_.begin(), parts_.end(), [](auto& p) { return p->ready || !p->name.starts_with("servers"); }) &&
                std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->ready && p->name == "discovery-0"; });
     };
-    if (!wait_for(ready, start_timeout)) throw StartFailure("the servers' stand-ins are not ready after " + std::to_string(start_timeout.s) + " s");
+    if (!wait_for(ready, start_timeout)) throw StartFailure("the server and discovery processes are not ready after " + std::to_string(start_timeout.s) + " s");
 
     size_t wanted = 0;
     for (int r = 0; r < counts_.relays; ++r) {
@@ -363,11 +364,11 @@
     }
     if (!wait_for([this] { return loads_up_ == static_cast<size_t>(counts_.loads); }, start_timeout))
         throw StartFailure("not all proxies are up after " + std::to_string(start_timeout.s) + " s; their logs are in " + record_.directory);
-    record_.started_in = (home_.now() - from).s;
+    record_.started_in = (system_.now() - from).s;
 }
 
 void Conductor::run_load() {
-    start_ = home_.now() + Span{0.2};
+    start_ = system_.now() + Span{0.2};
     record_.start = start_.s;
     record_.end = start_.s + e_.duration.s;
     std::ostringstream go;
@@ -379,13 +380,13 @@
     Span most;
     for (const auto& p : e_.products) most = std::max(most, p.timeout);
     if (!wait_for([this] { return loads_done_ == static_cast<size_t>(counts_.loads); }, e_.duration + most + Span{30}))
-        throw std::runtime_error("the load did not come to its end");
-    // Faults that last beyond the load are over with it; what was stopped has to go on to end.
+        throw std::runtime_error("the load processes did not finish in time");
+    // Faults that last beyond the load end with it; stopped processes must continue in order to exit.
     for (const auto& [pid, number] : proxy_by_pid_) ::kill(pid, SIGCONT);
 }
 
 size_t Conductor::record_fault(int fault, std::vector<int> who, double duration) {
-    record_.applied_faults.push_back({fault, home_.now().s, home_.now().s + duration, std::move(who)});
+    record_.applied_faults.push_back({fault, system_.now().s, system_.now().s + duration, std::move(who)});
     return record_.applied_faults.size() - 1;
 }
 
@@ -393,14 +394,14 @@
     const auto& f = e_.faults[static_cast<size_t>(number)];
     const auto target = name_of(f.kind).target;
     const auto over = [this, number](const std::string& kind) {
-        schedule(home_.now() + e_.faults[static_cast<size_t>(number)].duration,
+        schedule(system_.now() + e_.faults[static_cast<size_t>(number)].duration,
            [this, number, kind] { send_to_all(kind, "over " + std::to_string(number)); });
     };
     if (target == FaultTarget::process || f.kind == FaultKind::die || f.kind == FaultKind::drain) {
         for (size_t k = 0; k < f.who.members.size(); ++k) {
             const int member = f.who.members[k];
             const Span wait = f.stagger * (static_cast<double>(k) / static_cast<double>(f.who.members.size()));
-            schedule(home_.now() + wait, [this, number, member, target] {
+            schedule(system_.now() + wait, [this, number, member, target] {
                 target == FaultTarget::process ? process_fault(number, member) : server_fault(number, member);
             });
         }
@@ -416,7 +417,7 @@
         if (f.kind != FaultKind::absent) return;
         const auto backend = " " + std::to_string(static_cast<int>(Kind::discovery)) + " 0";
         send_to_all("relay", "down" + backend);
-        schedule(home_.now() + f.duration, [this, backend] { send_to_all("relay", "up" + backend); });
+        schedule(system_.now() + f.duration, [this, backend] { send_to_all("relay", "up" + backend); });
     } else {
         record_fault(number, f.who.members, f.duration.s);
         std::ostringstream rule;
@@ -442,15 +443,15 @@
 void Conductor::throttle_process(int member, double share, Time until, bool now) {
     auto& proxy = proxies_[static_cast<size_t>(member)];
     if (proxy.pid > 0) ::kill(proxy.pid, now ? SIGSTOP : SIGCONT);
-    if (!now && home_.now() >= until) return;
-    schedule(home_.now() + throttle_period * (now ? share : 1 - share), [=, this] { throttle_process(member, share, until, !now); });
+    if (!now && system_.now() >= until) return;
+    schedule(system_.now() + throttle_period * (now ? share : 1 - share), [=, this] { throttle_process(member, share, until, !now); });
 }
 
 void Conductor::process_fault(int number, int member) {
     const auto& f = e_.faults[static_cast<size_t>(number)];
     auto& proxy = proxies_[static_cast<size_t>(member)];
     const auto later = [&](std::function<void()> what) {
-        if (f.duration > Span{}) schedule(home_.now() + f.duration, std::move(what));
+        if (f.duration > Span{}) schedule(system_.now() + f.duration, std::move(what));
     };
     switch (f.kind) {
         case FaultKind::kill: case FaultKind::no_start:
@@ -473,7 +474,7 @@
             return;
         case FaultKind::slow_process:
             record_fault(number, one(member), f.duration.s);
-            return throttle_process(member, std::min(f.how, 0.99), home_.now() + f.duration, true);
+            return throttle_process(member, std::min(f.how, 0.99), system_.now() + f.duration, true);
         case FaultKind::other_build:
             proxy.program = f.program;
             proxy.settings = f.settings;
@@ -513,9 +514,9 @@
     const auto back = [this, who, backend, list](int of_incarnation) {
         send_to_all("servers", "back " + who);
         send_to_all("relay", "up" + backend);
-        list(ListedState::serving, home_.unix_time(), of_incarnation);
+        list(ListedState::serving, system_.unix_time(), of_incarnation);
     };
-    const Time now = home_.now();
+    const Time now = system_.now();
     if (f.kind == FaultKind::die) {
         record_fault(number, one(member), f.duration > Span{} ? f.duration.s : e_.duration.s);
         die();
@@ -534,36 +535,36 @@
 }
 
 void Conductor::stop_all() {
-    const Time from = home_.now();
+    const Time from = system_.now();
     ending_ = true;
     for (auto& proxy : proxies_) proxy.expected_running = proxy.no_start = proxy.restart_on_exit = false;
     for (const auto& [pid, number] : proxy_by_pid_) {
         ::kill(pid, SIGCONT);
         ::kill(pid, SIGTERM);
     }
-    const Time proxies_until = home_.now() + end_timeout;
-    while (!proxy_by_pid_.empty() && home_.now() < proxies_until) run_once();
+    const Time proxies_until = system_.now() + end_timeout;
+    while (!proxy_by_pid_.empty() && system_.now() < proxies_until) run_once();
     for (const auto& [pid, number] : proxy_by_pid_) {
         record_.left.push_back("proxy " + std::to_string(number) + " did not end within " + std::to_string(end_timeout.s) + " s of SIGTERM");
         ::kill(pid, SIGKILL);
     }
     for (const auto& part : parts_) send(*part, "end");
     const auto running = [this] { return std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->pid > 0; }); };
-    const Time until = home_.now() + end_timeout;
-    while ((running() || !proxy_by_pid_.empty()) && home_.now() < until) run_once();
+    const Time until = system_.now() + end_timeout;
+    while ((running() || !proxy_by_pid_.empty()) && system_.now() < until) run_once();
     for (const auto& part : parts_)
         if (part->pid > 0) record_.left.push_back(part->name + " did not end");
-    record_.ended_in = (home_.now() - from).s;
+    record_.ended_in = (system_.now() - from).s;
     record_.memory_mb /= std::max<double>(1, static_cast<double>(record_.incarnations.size()));
 }
 
 void Conductor::print_progress() {
-    if (!options_.terminal || home_.now() - shown_ < Span{1}) return;
-    shown_ = home_.now();
+    if (!options_.terminal || system_.now() - shown_ < Span{1}) return;
+    shown_ = system_.now();
     std::cerr << '\r' << e_.name << ", " << arm_.name << ' ' << record_.repeat + 1 << '/' << e_.repeats << ": ";
     if (start_ == long_ago) std::cerr << "starting, " << proxy_by_pid_.size() << " of " << e_.proxies << " proxies   ";
     else if (ending_) std::cerr << "ending                    ";
-    else std::cerr << std::max(0.0, std::ceil(e_.duration.s - (home_.now() - start_).s)) << " s left             ";
+    else std::cerr << std::max(0.0, std::ceil(e_.duration.s - (system_.now() - start_).s)) << " s left             ";
     std::cerr << std::flush;
 }
 
@@ -582,7 +583,7 @@
     } catch (const std::exception&) {
         if (!interrupted_) error = std::current_exception();
     }
-    record_.end = std::min(record_.end, home_.now().s);
+    record_.end = std::min(record_.end, system_.now().s);
     stop_all();
     if (options_.terminal) std::cerr << "\r\033[K";
     write_record(record_);
--- a/src/rig/conductor.hpp
+++ b/src/rig/conductor.hpp
@@ -1,5 +1,5 @@
-// The conductor of one run: starts servers, discovery, relays, load and the proxies, plays the faults over time, ends
-// all that it started, by id, whatever happens, and leaves the run's folder.
+// The conductor of one run: starts servers, discovery, relays, load and the proxies, applies the faults at their times,
+// ends each process that it started, by process id and on every exit path, and writes the run's folder.
 #pragma once
 #include <functional>
 #include <map>
@@ -7,32 +7,32 @@
 
 #include "rig/run_record.hpp"
 #include "rig/process.hpp"
-#include "rig/rig_home.hpp"
+#include "rig/rig_system.hpp"
 #include "run/loop.hpp"
 
 namespace myrtleroute::rig {
 
 struct RunOptions {
-    std::string program;       // of the proxies, where the arm names none; empty: `run` of the deploy file
+    std::string program;       // of the proxies, if the arm names none; empty: `run` of the deploy file
     std::string deploy = "deploy/balancer.toml";
-    std::string self;          // this program's path
-    std::string file;          // the experiment's
-    std::string log_level;     // MYRTLEROUTE_LOG level for the proxies
-    bool terminal = false;     // progress with time left
-    size_t max_descriptors = 0;   // that a process may have, of the system
+    std::string self;          // path of this program
+    std::string file;          // path of the experiment
+    std::string log_level;     // MYRTLEROUTE_LOG of the proxies; empty: unset
+    bool terminal = false;     // print progress and time left to stderr
+    size_t max_descriptors = 0;   // RLIMIT_NOFILE of a process
 };
 
 struct StartFailure : std::runtime_error {
     using runtime_error::runtime_error;
 };
 
-// How many processes of each kind an experiment takes, so that none runs out of descriptors.
+// Number of processes of each kind that an experiment needs so that none runs out of descriptors.
 struct ProcessCounts {
     int servers = 1, relays = 0, loads = 1;
 };
-ProcessCounts process_counts(const Experiment& e, size_t max_descriptors);   // throws CantStart where it can't be
+ProcessCounts process_counts(const Experiment& e, size_t max_descriptors);   // throws StartFailure if there are too few descriptors
 
-class Conductor : public memory::Owner {
+class Conductor : public memory::ConnectionHandler {
 public:
     Conductor(const Experiment& e, size_t arm, int repeat, std::string directory, RunOptions how);
     ~Conductor() override;
@@ -49,18 +49,18 @@
     };
     struct Proxy {
         pid_t pid = 0;
-        bool expected_running = true;             // its end now is a loss
-        bool restart_on_exit = false;             // start it once it has ended
+        bool expected_running = true;             // its exit is reported as a crash
+        bool restart_on_exit = false;             // start it again after its exit
         bool no_start = false;
         int starts = 0;
-        std::string program;            // another than the arm's
+        std::string program;            // instead of the arm's
         nlohmann::json settings;
-        size_t incarnation = 0;                // of the day's
+        size_t incarnation = 0;                // index in the record
     };
 
-    void came(memory::Connection& c) override;
-    void broke(memory::Connection& c, int error) override;
-    void due(memory::Connection&) override {}
+    void on_readable(memory::Connection& c) override;
+    void on_error(memory::Connection& c, int error) override;
+    void on_timer(memory::Connection&) override {}
 
     Part& start_part(const std::string& kind, int number, int of);
     void start_proxy(int number);
@@ -71,7 +71,7 @@
     void send_to_all(const std::string& kind, const std::string& line);
     void run_once();
     void reap();
-    // False: not so within the time; throws where something that was needed has ended, or somebody interrupts.
+    // Runs the loop until the condition holds; false: timeout. Throws if a needed process has exited, or on an interrupt.
     bool wait_for(const std::function<bool()>& condition, Span most);
     void start_all();
     void run_load();
@@ -89,15 +89,15 @@
     const Arm& arm_;
     RunOptions options_;
     ProcessCounts counts_;
-    RigHome home_;
+    RigSystem system_;
     run::Log log_;
     run::Loop loop_;
     RunRecord record_;
     std::vector<std::unique_ptr<Part>> parts_;
     std::vector<Proxy> proxies_;
     std::vector<int> server_incarnations_;
-    std::map<pid_t, int> proxy_by_pid_;                            // of proxies
-    std::map<std::pair<int, int>, uint16_t> ports_;       // of servers and discovery
+    std::map<pid_t, int> proxy_by_pid_;                            // proxy by process id
+    std::map<std::pair<int, int>, uint16_t> ports_;       // by kind and party: servers and discovery
     std::map<std::tuple<int, int, int>, uint16_t> relay_ports_;   // by relay, kind, party
     std::map<uint64_t, std::function<void()>> scheduled_;
     uint64_t next_scheduled_ = 0;
--- a/src/rig/discovery.cpp
+++ b/src/rig/discovery.cpp
@@ -12,7 +12,7 @@
 namespace myrtleroute::rig {
 
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
@@ -21,9 +21,9 @@
 
 }  // namespace
 
-struct Discovery::ProxyConnection : Connection, wire::HttpReader {
+struct Discovery::ProxyConnection : Connection, wire::HttpHandler {
     ProxyConnection(Discovery& by, int fd, int from)
-        : Connection(by, fd, 16 * 1024, 1024 * 1024), proxy(from), http(wire::HttpMachine::Side::ask, *this) {}
+        : Connection(by, fd, 16 * 1024, 1024 * 1024), proxy(from), http(wire::HttpParser::Side::request, *this) {}
     std::string name() const override { return "proxy"; }
     int start(std::string_view, std::string_view where, std::string_view) override {
         target = where;
@@ -35,10 +35,10 @@
         const auto at = target.find(key);
         if (at == target.npos) return {};
         const auto text = std::string_view(target).substr(at + key.size());
-        return wire::whole<uint64_t>(text.substr(0, text.find('&')));
+        return wire::parse_integer<uint64_t>(text.substr(0, text.find('&')));
     }
     int proxy;
-    wire::HttpMachine http;
+    wire::HttpParser http;
     std::string target;
     bool request_open = false, watches = false;
     uint32_t from = 0;
@@ -52,9 +52,9 @@
 }
 
 void Discovery::open() {
-    const int fd = home_.listen_on_loopback(port_);
+    const int fd = system_.listen_on_loopback(port_);
     if (fd < 0) throw std::runtime_error("discovery can't listen: " + std::string(std::strerror(errno)));
-    listener_ = &loop_.adopt(std::make_unique<Listener>(*this, fd));
+    listener_ = &loop_.add(std::make_unique<Listener>(*this, fd));
 }
 
 void Discovery::on_command(const std::string& word, std::istringstream& more) {
@@ -86,7 +86,7 @@
         if (kind == "late") delays_[number] = how;
         if (kind == "silent") ++silent_faults_;
         if (kind == "absent" && absent_faults_++ == 0) {
-            if (listener_) loop_.end(*std::exchange(listener_, nullptr), Why::stopping);
+            if (listener_) loop_.close(*std::exchange(listener_, nullptr), CloseReason::stopping);
             while (!connections_.empty()) end(*connections_.back());
         }
         if (kind == "shrink") {
@@ -114,7 +114,7 @@
             apply_change(server, entry);
         }
         shrunk_.erase(number);
-        loop_.wake(loop_.now(), change_cookie);
+        loop_.schedule(loop_.now(), change_cookie);
     }
 }
 
@@ -125,7 +125,7 @@
                      static_cast<uint16_t>(entry.incarnation), entry.state});
     double wait = 0.001;
     for (const auto& [number, late] : delays_) wait = std::max(wait, late);
-    loop_.wake(loop_.now() + Span{wait}, change_cookie);
+    loop_.schedule(loop_.now() + Span{wait}, change_cookie);
 }
 
 uint32_t Discovery::visible() const {
@@ -164,15 +164,15 @@
     return out.str() + "]}";
 }
 
-void Discovery::came(Connection& c) {
+void Discovery::on_readable(Connection& c) {
     if (c.listens) {
-        for (int fd; (fd = home_.accept(c.fd)) >= 0;) {
-            const auto link = home_.link_of(fd);
+        for (int fd; (fd = system_.accept(c.fd)) >= 0;) {
+            const auto link = system_.link_of(fd);
             if (!link || link->kind != Kind::discovery) {
-                home_.close(fd);
+                system_.close(fd);
                 continue;
             }
-            connections_.push_back(&loop_.adopt(std::make_unique<ProxyConnection>(*this, fd, link->from)));
+            connections_.push_back(&loop_.add(std::make_unique<ProxyConnection>(*this, fd, link->from)));
         }
         return;
     }
@@ -187,7 +187,7 @@
     connection.from = static_cast<uint32_t>(from.value_or(0));
     connection.watches = from && hold && connection.from <= changes_.size();
     if (!connection.watches || visible() > connection.from) return answer(connection, true);
-    loop_.set(connection, loop_.now() + std::min(max_hold, Span{static_cast<double>(*hold) / 1000}));
+    loop_.set_timer(connection, loop_.now() + std::min(max_hold, Span{static_cast<double>(*hold) / 1000}));
 }
 
 void Discovery::answer(ProxyConnection& connection, bool even_unchanged) {
@@ -195,24 +195,24 @@
     if (silent_faults_ || (!even_unchanged && rev <= connection.from)) return;
     const bool whole = !connection.watches;
     const auto to = std::max(rev, connection.watches ? connection.from : 0);
-    connection.out.push(wire::answer(200, format_list(connection.proxy, whole ? 0 : connection.from, to, whole), true));
+    connection.out.push(wire::format_response(200, format_list(connection.proxy, whole ? 0 : connection.from, to, whole), true));
     records_.push_back({at(loop_.now()), to, static_cast<uint16_t>(connection.proxy), false});
     connection.request_open = connection.watches = false;
     connection.http.next();
-    loop_.clear(connection);
+    loop_.clear_timer(connection);
     loop_.flush(connection);
 }
 
-void Discovery::broke(Connection& c, int) {
+void Discovery::on_error(Connection& c, int) {
     if (!c.listens) end(static_cast<ProxyConnection&>(c));
 }
 
-void Discovery::due(Connection& c) { answer(static_cast<ProxyConnection&>(c), true); }
+void Discovery::on_timer(Connection& c) { answer(static_cast<ProxyConnection&>(c), true); }
 
 void Discovery::end(ProxyConnection& connection) {
     if (connection.request_open) records_.push_back({at(loop_.now()), 0, static_cast<uint16_t>(connection.proxy), false});
     std::erase(connections_, &connection);
-    loop_.end(connection, Why::peer_closed);
+    loop_.close(connection, CloseReason::peer_closed);
 }
 
 void Discovery::write_results() {
--- a/src/rig/discovery.hpp
+++ b/src/rig/discovery.hpp
@@ -24,9 +24,9 @@
     void on_command(const std::string& word, std::istringstream& more) override;
     void timer_fired(uint64_t cookie) override;
     void write_results() override;
-    void came(memory::Connection& c) override;
-    void broke(memory::Connection& c, int error) override;
-    void due(memory::Connection& c) override;
+    void on_readable(memory::Connection& c) override;
+    void on_error(memory::Connection& c, int error) override;
+    void on_timer(memory::Connection& c) override;
 
     void open();
     void apply_change(int server, const Entry& entry);
--- a/src/rig/figures.cpp
+++ b/src/rig/figures.cpp
@@ -5,7 +5,7 @@
 #include <iomanip>
 #include <set>
 
-#include "lab/chance.hpp"
+#include "lab/random_stream.hpp"
 #include "rig/arrivals.hpp"
 
 namespace myrtleroute::rig {
@@ -19,13 +19,13 @@
 
 double size_of(const Experiment& e, int server) { return e.sizes[static_cast<size_t>(server) % e.sizes.size()]; }
 
-// Random draws over servers, each as likely as it is large.
+// Random draws of a server, weighted by size.
 class RandomDraw {
 public:
     RandomDraw(const Experiment& e, const std::vector<int>& servers) : servers_(servers) {
         for (const int s : servers) sums_.push_back((sums_.empty() ? 0 : sums_.back()) + size_of(e, s));
     }
-    size_t draw_index(lab::Chance& chance) const {
+    size_t draw_index(lab::RandomStream& chance) const {
         const double at = chance.uniform() * sums_.back();
         return static_cast<size_t>(std::upper_bound(sums_.begin(), sums_.end(), at) - sums_.begin());
     }
@@ -47,7 +47,7 @@
     return m;
 }
 
-// Servers listed as serving from one time to another.
+// Servers listed as serving during the whole interval.
 std::vector<int> serving_throughout(const RunRecord& d, double from, double to) {
     std::vector<int> all;
     for (int s = 0; s < d.e.servers; ++s) {
@@ -75,7 +75,7 @@
     return spread_of(reached);
 }
 
-Spread random_spread(const Experiment& e, const std::vector<int>& servers, uint64_t n, lab::Chance& chance) {
+Spread random_spread(const Experiment& e, const std::vector<int>& servers, uint64_t n, lab::RandomStream& chance) {
     if (servers.empty()) return {};
     const RandomDraw draw(e, servers);
     std::vector<Spread> all;
@@ -88,7 +88,7 @@
     return mean(all);
 }
 
-// The most proxies that chose one server in one tenth of a second.
+// Highest number of proxies that chose the same server within 0.1 s.
 double herd(const std::vector<Chosen>& in_order) {
     size_t max = 0;
     for (size_t i = 0; i < in_order.size();) {
@@ -113,7 +113,7 @@
 Causes causes(const RunRecord& d, const std::vector<Chosen>& chosen, const std::vector<Window>& windows) {
     const auto servers = static_cast<size_t>(d.e.servers), proxies = static_cast<size_t>(d.e.proxies);
     Causes all;
-    std::vector<double> rest_sum(servers);   // of all windows, over their means
+    std::vector<double> rest_sum(servers);   // summed over windows, relative to each mean
     double chance_sum = 0, residual_sum = 0;
     for (const auto& w : windows) {
         const double to = w.from + d.e.window.s;
@@ -153,7 +153,7 @@
         residual_sum += residual / square;
     }
     const auto n = static_cast<double>(std::max<size_t>(1, windows.size()));
-    // Were the choice the same in each window, its mean over windows would vary as much as one window's.
+    // If the choice were the same in each window, the mean over windows would have the variance of a single window.
     all.chance = chance_sum;
     const double excess = residual_sum - chance_sum;
     all.persistent = n > 1 ? (variance(rest_sum) / n - residual_sum / n) * n / (n - 1) : 0;
@@ -196,8 +196,8 @@
     for (size_t i = 0; i < seconds; ++i) f.service_by_second.push_back(asked[i] > 0 ? got[i] / asked[i] : 1);
 }
 
-// See even_again in figures.hpp; 0 where nothing befell the fleet.
-double even_after(const RunRecord& d, const std::vector<Chosen>& chosen, double duration, lab::Chance& chance) {
+// Computes Figures::even_after; 0 if no fault was applied.
+double even_after(const RunRecord& d, const std::vector<Chosen>& chosen, double duration, lab::RandomStream& chance) {
     double over = -1;
     for (const auto& b : d.applied_faults) over = std::max(over, std::min(b.to > 0 ? b.to - d.start : duration, duration));
     if (over < 0) return 0;
@@ -249,7 +249,7 @@
         if (at >= 0 && at < static_cast<double>(seconds)) ++f.heat[s.server][static_cast<size_t>(at)];
     }
     std::sort(chosen.begin(), chosen.end(), [](auto& a, auto& b) { return a.at < b.at; });
-    lab::Chance chance(d.e.seed, 0x46494755);
+    lab::RandomStream chance(d.e.seed, 0x46494755);
     const double duration = std::min(d.e.duration.s, d.end - d.start);
     std::vector<Spread> all_ours, all_random;
     for (double from = 0; from + d.e.window.s <= duration + 1e-9; from += d.e.window.s) {
@@ -259,7 +259,7 @@
         w.actual = actual(d, chosen, servers, from, to, w.calls);
         w.random = random_spread(d.e, servers, w.calls, chance);
         for (const auto& b : d.applied_faults) {
-            // Servers that came back have little to do until they are warm.
+            // Servers that were restarted get less load until they are warm.
             const auto kind = d.e.faults[static_cast<size_t>(b.fault)].kind;
             const Span cold = kind == FaultKind::die || kind == FaultKind::drain ? d.e.warm_after : Span{};
             w.fault_free &= b.from - d.start > to || b.to - d.start + cold.s < from - d.e.window.s;
--- a/src/rig/judge.cpp
+++ b/src/rig/judge.cpp
@@ -22,8 +22,8 @@
 #undef X
 };
 
-constexpr double protocol_slack = 0.05;   // as the protocol page has it, beside the experiment's own
-constexpr double aftermath = 1;                // for what a fault leaves behind: held bytes, a stopped process's backlog
+constexpr double protocol_slack = 0.05;   // of the protocol page; added to the experiment's slack
+constexpr double aftermath = 1;                // seconds after a fault in which it still excuses: held bytes, the backlog of a stopped process
 constexpr double max_memory_mb = 192;
 
 struct Excuse { double from, to; const char* why; };
@@ -60,7 +60,7 @@
     }
 
 private:
-    // Which times of which proxies, and of which links, a fault stands for.
+    // Collects the intervals in which a fault excuses violations, by proxy and by link.
     void excuses() {
         for (const auto& b : d_.applied_faults) {
             const auto& f = e_.faults[static_cast<size_t>(b.fault)];
@@ -86,7 +86,7 @@
                             for (const int s : f.to.members) link_excuses_[{p, s}].push_back(excuse);
                     }
                     break;
-                case FaultTarget::server: break;   // excuse nothing: that is what the proxies are for
+                case FaultTarget::server: break;   // excuses nothing: proxies must handle failing servers
             }
         }
     }
@@ -109,7 +109,7 @@
     double seconds_into_run(double t) const { return std::round((t - d_.start) * 1000) / 1000; }
 
     void add_violation(Rule rule, uint64_t call, const std::string& what) { v_.violations.push_back({rule, call, what}); }
-    // Counted as excused where there is an excuse, else it breaks the rule.
+    // Counts an excused violation if `why` names a fault, else records the violation.
     void add_violation(Rule rule, const CallRecord& c, const AttemptRecord* attempts, size_t n, const char* why, const std::string& what) {
         if (why) {
             ++v_.excused[std::string(name_of(rule)) + " by " + why];
@@ -117,10 +117,10 @@
         }
         std::ostringstream text;
         text << what << "; call " << std::hex << c.call << std::dec << " of " << e_.products[c.product].name << " at proxy "
-             << proxy_of(c.call) << ", sent " << seconds_into_run(c.sent) << " s, ended " << seconds_into_run(c.ended) << " s with " << c.status << ", shots:";
+             << proxy_of(c.call) << ", sent " << seconds_into_run(c.sent) << " s, ended " << seconds_into_run(c.ended) << " s with " << c.status << ", attempts:";
         for (size_t i = 0; i < n; ++i) {
-            text << " [server " << attempts[i].server << " began " << seconds_into_run(attempts[i].began) << " whole " << seconds_into_run(attempts[i].received);
-            if (attempts[i].executed > 0) text << " run " << seconds_into_run(attempts[i].executed);
+            text << " [server " << attempts[i].server << " began " << seconds_into_run(attempts[i].began) << " received " << seconds_into_run(attempts[i].received);
+            if (attempts[i].executed > 0) text << " executed " << seconds_into_run(attempts[i].executed);
             text << (attempts[i].answered ? " answered " : " closed ") << (attempts[i].ended > 0 ? seconds_into_run(attempts[i].ended) : -1) << ']';
         }
         add_violation(rule, c.call, text.str());
@@ -131,12 +131,12 @@
         const int proxy = proxy_of(c.call);
         const auto& excuses = call_excuses_[static_cast<size_t>(proxy)];
         const char* why = excused(excuses, c.sent, c.ended);
-        if (c.end == CallOutcome::not_connected) return;   // nobody took it
+        if (c.end == CallOutcome::not_connected) return;   // no proxy accepted it
         const double limit = p.timeout.s + e_.grace.s + slack_ + starved(c.sent, c.ended);
-        if (c.end == CallOutcome::disconnected) add_violation(Rule::one_answer, c, attempts, n, why, "its connection ended without an answer");
+        if (c.end == CallOutcome::disconnected) add_violation(Rule::one_answer, c, attempts, n, why, "its connection closed without an answer");
         if (c.end == CallOutcome::timed_out || (c.end == CallOutcome::answered && c.ended - c.sent > limit))
             add_violation(Rule::one_answer, c, attempts, n, why, "no answer in time");
-        if (c.end == CallOutcome::wrong) add_violation(Rule::right_answer, c, attempts, n, why, "answered with what no server made for it");
+        if (c.end == CallOutcome::wrong) add_violation(Rule::right_answer, c, attempts, n, why, "answered 200 with a body that no server sent for it");
         int effects = 0;
         double first = 0;
         for (size_t i = 0; i < n; ++i) {
@@ -145,21 +145,21 @@
                 const bool again = effects > 0 && (p.repeat == Idempotency::non_idempotent || s.began - first > p.window + protocol_slack);
                 if (again && p.repeat != Idempotency::idempotent)
                     add_violation(Rule::no_effect_twice, c, attempts, n, nullptr, "took effect again at server " + std::to_string(s.server));
-                if (effects++ == 0) first = s.received;   // the window is the sender's to keep
+                if (effects++ == 0) first = s.received;   // the deduplication window counts from the first execution
             }
             const char* link_cause = link_excused(proxy, s.server, c.sent, s.received);
             if (s.began > c.ended + slack_ + starved(c.ended, s.began))
-                add_violation(Rule::no_shot_after, c, attempts, n, link_cause ? link_cause : why, "a shot after its end, to server " + std::to_string(s.server));
+                add_violation(Rule::no_shot_after, c, attempts, n, link_cause ? link_cause : why, "an attempt after its end, to server " + std::to_string(s.server));
             for (size_t k = 0; k < i; ++k) {
                 const auto& earlier = attempts[k];
                 const double left = (earlier.ended > 0 ? earlier.ended : s.received + 1e9) - s.received;
                 if (left <= slack_ + starved(s.received - 1, s.received + 1)) continue;
                 const char* link = link_excused(proxy, earlier.server, c.sent, s.received);
-                add_violation(Rule::no_second_copy, c, attempts, n, link_cause ? link_cause : link ? link : why, "a second shot while the first was out");
+                add_violation(Rule::no_second_copy, c, attempts, n, link_cause ? link_cause : link ? link : why, "a second attempt while an earlier one was open");
             }
         }
         if ((c.status == 429 || c.status == 503) && p.repeat == Idempotency::non_idempotent && effects > 0)
-            add_violation(Rule::no_false_promise, c, attempts, n, nullptr, "rate-limited, and yet it took effect");
+            add_violation(Rule::no_false_promise, c, attempts, n, nullptr, "rate-limited although it took effect");
     }
 
     const Incarnation* incarnation_at(int proxy, double t) const {
@@ -168,7 +168,7 @@
             if (l.proxy == proxy && l.from <= t) found = &l;
         return found;
     }
-    // When the proxy's process that ran at `t` was told a change; never: a time beyond all.
+    // When discovery reported a change to the proxy process that ran at `t`; 1e18: never.
     double notified_at(int proxy, uint32_t rev, double listed, double t) const {
         const auto* incarnation = incarnation_at(proxy, t);
         if (!incarnation) return 1e18;
@@ -176,7 +176,7 @@
             if (r->request || r->rev < rev || r->at < std::max(listed, incarnation->from)) continue;
             double at = r->at;
             for (const auto& x : discovery_excuses_[static_cast<size_t>(proxy)])
-                if (x.from <= at && at <= x.to) at = x.to;   // it lay in the link until then
+                if (x.from <= at && at <= x.to) at = x.to;   // the fault held the answer until then
             return at;
         }
         return 1e18;
@@ -186,7 +186,7 @@
         for (size_t i = 0; i < d_.list.size(); ++i) {
             const auto& entry = d_.list[i];
             if (entry.state != ListedState::draining) continue;
-            double until = 1e18;   // it serves again
+            double until = 1e18;   // until it serves again
             for (size_t k = i + 1; k < d_.list.size() && until > 1e17; ++k)
                 if (d_.list[k].server == entry.server && d_.list[k].state == ListedState::serving) until = d_.list[k].at;
             for (const auto& s : d_.attempts) {
@@ -201,7 +201,7 @@
                 }
                 std::ostringstream text;
                 text << "proxy " << s.proxy << " sent call " << std::hex << s.call << std::dec << " to server " << s.server << " at "
-                     << seconds_into_run(s.began) << " s, told of its drain at " << seconds_into_run(notified) << " s";
+                     << seconds_into_run(s.began) << " s, notified of its drain at " << seconds_into_run(notified) << " s";
                 add_violation(Rule::drains, s.call, text.str());
             }
         }
@@ -222,11 +222,11 @@
                 who.insert(s.proxy);
             }
             if (known < all * 2 / 3) {
-                ++v_.excused["cold_servers by calls of proxies that had not been told of the start"];
+                ++v_.excused["cold_servers by calls of proxies that had not been notified of the start"];
                 continue;
             }
             std::ostringstream text;
-            text << "server " << tip.server << " was pushed over at " << seconds_into_run(tip.at) << " s with " << all << " s of work since "
+            text << "server " << tip.server << " was overloaded at " << seconds_into_run(tip.at) << " s with " << all << " s of work since "
                  << seconds_into_run(tip.from) << " s, " << known << " s of it from " << who.size() << " proxies that knew of its start";
             add_violation(Rule::cold_servers, 0, text.str());
         }
@@ -244,7 +244,7 @@
                     if (x.from <= now && x.to >= from) from = std::max(from, x.to);
                 if (asks || now - from <= limit + starved(from, now)) return;
                 std::ostringstream text;
-                text << "proxy " << incarnation.proxy << " neither watched nor asked from " << seconds_into_run(from) << " s to " << seconds_into_run(now) << " s";
+                text << "proxy " << incarnation.proxy << " neither watched nor called discovery from " << seconds_into_run(from) << " s to " << seconds_into_run(now) << " s";
                 add_violation(Rule::listens, 0, text.str());
             };
             for (const auto* r : records_[static_cast<size_t>(incarnation.proxy)]) {
@@ -261,7 +261,7 @@
     const Experiment& e_;
     double slack_;
     Verdict v_;
-    std::vector<std::vector<Excuse>> call_excuses_, discovery_excuses_;   // of calls; of what discovery tells
+    std::vector<std::vector<Excuse>> call_excuses_, discovery_excuses_;   // by proxy: for calls; for discovery's answers
     std::map<std::pair<int, int>, std::vector<Excuse>> link_excuses_;
     std::vector<std::vector<const DiscoveryRecord*>> records_;
 };
@@ -284,7 +284,7 @@
             if (b.rule == rule && shown++ < limit) out << "  " << b.what << '\n';
     }
     if (v.passed()) out << "all rules were kept over " << v.judged << " calls\n";
-    if (v.starved > 0.5) out << "the machine kept processes of the rig waiting for " << v.starved << " s in all\n";
+    if (v.starved > 0.5) out << "the machine scheduled processes of the rig late by " << v.starved << " s in all\n";
 }
 
 }  // namespace myrtleroute::rig
--- a/src/rig/load.cpp
+++ b/src/rig/load.cpp
@@ -8,22 +8,22 @@
 namespace myrtleroute::rig {
 
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
-constexpr Span health_check_interval{0.05}, timeout_grace{0.5};   // an answer that comes later than that is none
+constexpr Span health_check_interval{0.05}, timeout_grace{0.5};   // past the timeout, a call without an answer is given up
 
 }  // namespace
 
 struct Load::ProxyConnection : Connection {
     ProxyConnection(Load& by, int fd, Application& of)
-        : Connection(by, fd, 128 * 1024, 64 * 1024), application(&of), http(wire::HttpMachine::Side::answer, reader) {}
+        : Connection(by, fd, 128 * 1024, 64 * 1024), application(&of), http(wire::HttpParser::Side::response, reader) {}
     std::string name() const override { return "proxy"; }
     Application* application;
-    wire::ReplyReader reader;
-    wire::HttpMachine http;
-    size_t call = none;        // of calls_
+    wire::ResponseReader reader;
+    wire::HttpParser http;
+    size_t call = none;        // index in calls_
     bool is_health_check = false, used = false;
     static constexpr size_t none = static_cast<size_t>(-1);
 };
@@ -45,14 +45,14 @@
         uint16_t port;
         more >> proxy >> ip >> port;
         application(proxy).at = address(ip, port);
-    } else if (word == "ask") {   // whether they are up
+    } else if (word == "ask") {   // health check of all proxies
         unhealthy_ = applications_.size();
         for (auto& a : applications_) check_health(a);
     } else if (word == "go") {
         for (auto& a : applications_)
             if (a.arrivals->next().at.s < e_.duration.s) {
                 ++unfinished_;
-                loop_.wake(start() + Span{a.arrivals->next().at.s}, static_cast<uint64_t>(a.proxy));
+                loop_.schedule(start() + Span{a.arrivals->next().at.s}, static_cast<uint64_t>(a.proxy));
             }
         report_if_done();
     }
@@ -60,20 +60,20 @@
 
 Load::ProxyConnection* Load::connect(Application& a) {
     bool at_once = false;
-    const int fd = home_.connect_to(a.at, at_once);
+    const int fd = system_.connect(a.at, at_once);
     if (fd < 0) return nullptr;
     auto connection = std::make_unique<ProxyConnection>(*this, fd, a);
     connection->connecting = !at_once;
-    return &loop_.adopt(std::move(connection));
+    return &loop_.add(std::move(connection));
 }
 
 void Load::check_health(Application& a) {
     if (a.up) return;
     auto* connection = connect(a);
-    if (!connection) return loop_.wake(loop_.now() + health_check_interval, static_cast<uint64_t>(a.proxy));
+    if (!connection) return loop_.schedule(loop_.now() + health_check_interval, static_cast<uint64_t>(a.proxy));
     connection->is_health_check = true;
     connection->out.push("GET /up HTTP/1.1\r\nHost: api.internal\r\n\r\n");
-    loop_.set(*connection, loop_.now() + Span{1});
+    loop_.set_timer(*connection, loop_.now() + Span{1});
     if (!connection->connecting) loop_.flush(*connection);
 }
 
@@ -82,7 +82,7 @@
     if (start() == long_ago) return check_health(a);
     while (a.arrivals->next().at.s < e_.duration.s && start() + Span{a.arrivals->next().at.s} <= loop_.now()) call(a);
     if (a.arrivals->next().at.s < e_.duration.s)
-        return loop_.wake(start() + Span{a.arrivals->next().at.s}, cookie);
+        return loop_.schedule(start() + Span{a.arrivals->next().at.s}, cookie);
     --unfinished_;
     report_if_done();
 }
@@ -123,11 +123,11 @@
                                    p.repeat == Idempotency::idempotent ? "" : "book");
     connection->call = index;
     connection->out.push(std::string_view(text, static_cast<size_t>(size)));
-    loop_.set(*connection, loop_.now() + p.timeout + timeout_grace + e_.slack);
+    loop_.set_timer(*connection, loop_.now() + p.timeout + timeout_grace + e_.slack);
     if (!connection->connecting) loop_.flush(*connection);
 }
 
-void Load::came(Connection& c) {
+void Load::on_readable(Connection& c) {
     auto& connection = static_cast<ProxyConnection&>(c);
     while (!connection.in.empty() && !connection.http.done() && !connection.http.fault()) connection.in.drop(connection.http.feed(connection.in.front()));
     if (connection.http.done() && (connection.is_health_check || connection.call != ProxyConnection::none)) on_response(connection);
@@ -138,7 +138,7 @@
 void Load::on_response(ProxyConnection& connection) {
     auto& a = *connection.application;
     const int status = connection.reader.status;
-    const bool keeps = connection.http.keeps();
+    const bool keeps = connection.http.keeps_alive();
     if (connection.is_health_check) {
         if (status == 200 && !std::exchange(a.up, true) && --unhealthy_ == 0) send_line("up");
         return close(connection, CallOutcome::disconnected);
@@ -151,7 +151,7 @@
     finish_call(connection, wrong ? CallOutcome::wrong : CallOutcome::answered);
     connection.used = true;
     connection.http.next();
-    if (!keeps || connection.ended) return loop_.end(connection, Why::told_to_close);
+    if (!keeps || connection.ended) return loop_.close(connection, CloseReason::told_to_close);
     a.idle.push_back(&connection);
 }
 
@@ -159,7 +159,7 @@
     auto& record = calls_[std::exchange(connection.call, ProxyConnection::none)];
     record.ended = at(loop_.now());
     record.end = how;
-    loop_.clear(connection);
+    loop_.clear_timer(connection);
     --in_flight_;
     report_if_done();
 }
@@ -168,22 +168,22 @@
     auto& a = *connection.application;
     std::erase(a.idle, &connection);
     const size_t index = connection.call;
-    const bool idle_close_race = how == CallOutcome::disconnected && connection.used && !connection.http.begun();
+    const bool idle_close_race = how == CallOutcome::disconnected && connection.used && !connection.http.started();
     if (index != ProxyConnection::none && idle_close_race && calls_[index].tries == 1) {
-        // The proxy was closing what it took for idle: the call goes once more, on a new connection.
+        // The proxy closed the idle connection while the call was being sent: it is sent once more, on a new connection.
         connection.call = ProxyConnection::none;
-        loop_.end(connection, Why::peer_closed);
+        loop_.close(connection, CloseReason::peer_closed);
         calls_[index].tries = 2;
         return send(a, calls_[index], index, true);
     }
     if (index != ProxyConnection::none) finish_call(connection, connection.connecting ? CallOutcome::not_connected : how);
     const bool again = connection.is_health_check && !a.up;
-    loop_.end(connection, Why::peer_closed);
-    if (again) loop_.wake(loop_.now() + health_check_interval, static_cast<uint64_t>(a.proxy));
+    loop_.close(connection, CloseReason::peer_closed);
+    if (again) loop_.schedule(loop_.now() + health_check_interval, static_cast<uint64_t>(a.proxy));
 }
 
-void Load::broke(Connection& c, int) { close(static_cast<ProxyConnection&>(c), CallOutcome::disconnected); }
-void Load::due(Connection& c) { close(static_cast<ProxyConnection&>(c), CallOutcome::timed_out); }
+void Load::on_error(Connection& c, int) { close(static_cast<ProxyConnection&>(c), CallOutcome::disconnected); }
+void Load::on_timer(Connection& c) { close(static_cast<ProxyConnection&>(c), CallOutcome::timed_out); }
 
 void Load::report_if_done() {
     if (start() == long_ago || unfinished_ || in_flight_ || done_sent_) return;
--- a/src/rig/load.hpp
+++ b/src/rig/load.hpp
@@ -1,5 +1,5 @@
-// The applications: for each proxy of this process one, which calls when the seed says, whatever became of the calls
-// before, on connections that it keeps, and writes down what it was answered.
+// The applications: one for each proxy that this process serves. Each calls at the arrival times of the seed, whatever the
+// outcome of earlier calls, on persistent connections, and records the answers.
 #pragma once
 #include <unordered_map>
 
@@ -24,18 +24,18 @@
     void on_command(const std::string& word, std::istringstream& more) override;
     void timer_fired(uint64_t cookie) override;
     void write_results() override;
-    void came(memory::Connection& c) override;
-    void broke(memory::Connection& c, int error) override;
-    void due(memory::Connection& c) override;
+    void on_readable(memory::Connection& c) override;
+    void on_error(memory::Connection& c, int error) override;
+    void on_timer(memory::Connection& c) override;
 
     Application& application(int proxy) { return applications_[static_cast<size_t>(proxy / of_)]; }
     void call(Application& a);
     void send(Application& a, CallRecord& record, size_t index, bool new_connection);
     void check_health(Application& a);
     ProxyConnection* connect(Application& a);
-    void finish_call(ProxyConnection& connection, CallOutcome how);            // the call on it
+    void finish_call(ProxyConnection& connection, CallOutcome how);            // ends the call on the connection
     void on_response(ProxyConnection& connection);
-    void close(ProxyConnection& connection, CallOutcome how);            // the connection
+    void close(ProxyConnection& connection, CallOutcome how);            // closes the connection
     void report_if_done();
 
     int number_, of_;
--- a/src/rig/main.cpp
+++ b/src/rig/main.cpp
@@ -1,5 +1,5 @@
-// The rig's command line. Exit status: 0 all rules were kept, 1 one was broken, 2 what was asked is at fault or could
-// not be started, 130 interrupted (what was measured is kept).
+// Command line of the rig. Exit status: 0 all rules were kept, 1 a rule was broken, 2 invalid arguments or experiment, or a
+// process could not be started, 130 interrupted (the results so far are kept).
 #include <CLI/CLI.hpp>
 
 #include <sys/resource.h>
@@ -48,7 +48,7 @@
     return failed;
 }
 
-// A run that kept the rules needs its processes' logs no more.
+// Removes the proxies' logs and configurations; used for runs without a violation.
 void remove_logs(const fs::path& dir) {
     std::vector<fs::path> logs;
     for (const auto& entry : fs::directory_iterator(dir))
@@ -64,7 +64,7 @@
     bool keep = false, quiet = false;
 };
 
-// Folders of runs in or below one.
+// Run folders: the folder itself or its direct subfolders.
 std::vector<std::string> runs_in(const std::string& dir) {
     std::vector<std::string> found;
     if (fs::exists(dir + "/run.json")) return {dir};
@@ -146,33 +146,33 @@
 }  // namespace
 
 int main(int count, char** words) {
-    CLI::App app("Hundreds of real processes on loopback, faults between them, and what they do together");
+    CLI::App app("Runs a fleet of hundreds of real processes on loopback under injected faults and checks it against rules");
     app.require_subcommand(1);
     CommandLine arguments;
-    auto* runs = app.add_subcommand("run", "play an experiment");
+    auto* runs = app.add_subcommand("run", "run an experiment");
     runs->add_option("FILE", arguments.file, "the experiment")->required();
     runs->add_option("--program", arguments.options.program, "the proxies' program (else `run` of the deploy file)");
     runs->add_option("--deploy", arguments.options.deploy, "the deploy file")->capture_default_str();
-    runs->add_option("--dir", arguments.dir, "where the runs are left");
-    runs->add_option("--seed", arguments.seed, "instead of the file's")->check(CLI::Range(0, 1 << 30));
-    runs->add_option("--repeats", arguments.repeats, "instead of the file's")->check(CLI::Range(1, 1000));
-    runs->add_option("--arm", arguments.only_arm, "only this one");
+    runs->add_option("--dir", arguments.dir, "folder for the runs");
+    runs->add_option("--seed", arguments.seed, "overrides the value in the file")->check(CLI::Range(0, 1 << 30));
+    runs->add_option("--repeats", arguments.repeats, "overrides the value in the file")->check(CLI::Range(1, 1000));
+    runs->add_option("--arm", arguments.only_arm, "run only this arm");
     runs->add_option("--log", arguments.options.log_level, "log level of the proxies");
-    runs->add_flag("--keep", arguments.keep, "keep the logs of sound runs too");
-    runs->add_flag("--quiet", arguments.quiet, "the verdict only");
+    runs->add_flag("--keep", arguments.keep, "keep the logs of runs without a violation too");
+    runs->add_flag("--quiet", arguments.quiet, "print the verdict only");
 
     std::string dir = "rig", kind;
-    auto* lists = app.add_subcommand("list", "the experiments in a folder");
+    auto* lists = app.add_subcommand("list", "list the experiments in a folder");
     lists->add_option("DIR", dir)->capture_default_str();
-    auto* reports = app.add_subcommand("report", "the page of the runs in a folder");
+    auto* reports = app.add_subcommand("report", "write the report of the runs in a folder");
     reports->add_option("DIR", dir)->required();
     auto* judges = app.add_subcommand("judge", "judge the runs in a folder again");
     judges->add_option("DIR", dir)->required();
-    app.add_subcommand("faults", "the kinds of faults");
+    app.add_subcommand("faults", "list the kinds of faults");
 
     std::vector<int> links{1, 100, 3000};
-    auto* costs = app.add_subcommand("relay-cost", "what a relay adds: latency, connections and bytes a second");
-    costs->add_option("--links", links, "at so many")->capture_default_str();
+    auto* costs = app.add_subcommand("relay-cost", "measure the cost of a relay: latency, connections and bytes per second");
+    costs->add_option("--links", links, "numbers of links to measure")->capture_default_str();
 
     int number = 0, of = 1;
     auto* parts = app.add_subcommand("part", "one of the rig's own processes; started by `run`")->group("");
--- a/src/rig/part.cpp
+++ b/src/rig/part.cpp
@@ -22,22 +22,22 @@
 
 }  // namespace
 
-struct Part::Control : memory::Connection, memory::Owner {
+struct Part::Control : memory::Connection, memory::ConnectionHandler {
     Control(Part& part, int fd) : Connection(*this, fd, 256 * 1024, 1024 * 1024), part(part) {}
     std::string name() const override { return "conductor"; }
-    void came(Connection& c) override { part.read_commands(c); }
-    void broke(Connection&, int) override { part.stopping_ = true; }
-    void due(Connection&) override {}
+    void on_readable(Connection& c) override { part.read_commands(c); }
+    void on_error(Connection&, int) override { part.stopping_ = true; }
+    void on_timer(Connection&) override {}
     Part& part;
     std::string line;
 };
 
 Part::Part(Experiment e, std::string directory, std::string name)
-    : e_(std::move(e)), log_(run::Level::warning, home_), loop_(log_, home_), directory_(std::move(directory)),
+    : e_(std::move(e)), log_(run::Level::warning, system_), loop_(log_, system_), directory_(std::move(directory)),
       name_(std::move(name)) {
     ::fcntl(control_fd, F_SETFL, O_NONBLOCK);
     ::fcntl(control_fd, F_SETFD, FD_CLOEXEC);
-    control_ = &loop_.adopt(std::make_unique<Control>(*this, control_fd));
+    control_ = &loop_.add(std::make_unique<Control>(*this, control_fd));
 }
 
 void Part::read_commands(memory::Connection& c) {
@@ -66,7 +66,7 @@
     const Time now = loop_.now();
     if (now - next_check_ > max_delay) starved_.push_back({at(next_check_), at(now)});
     next_check_ = now + check_interval;
-    loop_.wake(next_check_, check_cookie);
+    loop_.schedule(next_check_, check_cookie);
     if (now - second_at_ < Span{1}) return;
     const double cpu = processor_time();
     busiest_ = std::max(busiest_, (cpu - cpu_) / (now - second_at_).s);
@@ -75,10 +75,10 @@
 }
 
 int Part::run() {
-    next_check_ = second_at_ = home_.now();
+    next_check_ = second_at_ = system_.now();
     check_delay();
     const auto any_timer_fired = [this](uint64_t cookie) { cookie == check_cookie ? check_delay() : timer_fired(cookie); };
-    while (!stopping_) loop_.round(any_timer_fired, [] {});
+    while (!stopping_) loop_.run_once(any_timer_fired, [] {});
     write_results();
     write_records(file("starved"), starved_);
     std::ostringstream busy;
--- a/src/rig/relay.cpp
+++ b/src/rig/relay.cpp
@@ -9,7 +9,7 @@
 namespace myrtleroute::rig {
 
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
@@ -18,22 +18,22 @@
 }  // namespace
 
 struct Relay::LinkListener : Listener {
-    LinkListener(memory::Owner& by, int fd, Kind of, uint16_t party) : Listener(by, fd), kind(of), to(party) {}
+    LinkListener(memory::ConnectionHandler& by, int fd, Kind of, uint16_t party) : Listener(by, fd), kind(of), to(party) {}
     Kind kind;
     uint16_t to;
 };
 
 struct Relay::End : Connection {
-    End(memory::Owner& by, int fd, Pair& of, int sends) : Connection(by, fd, max_in_bytes, max_out_bytes), pair(&of), way(sends) {}
+    End(memory::ConnectionHandler& by, int fd, Pair& of, int sends) : Connection(by, fd, max_in_bytes, max_out_bytes), pair(&of), way(sends) {}
     std::string name() const override { return "link"; }
     Pair* pair;
-    int way;                     // of what this end sends: 0 there, 1 back
-    bool last = false, done = false;   // nothing follows what is in `out`; and the other end knows
+    int way;                     // direction in which this end sends: 0 forward, 1 backward
+    bool last = false, done = false;   // `out` holds the last bytes; the write side has been shut down
 };
 
 struct Relay::Pair {
     Link link;
-    End* ends[2] = {nullptr, nullptr};   // by the way of what they send
+    End* ends[2] = {nullptr, nullptr};   // by the direction in which they send
     Stream streams[2];
     Impairment impairments[2];
     uint64_t rules_version = 0;
@@ -58,9 +58,9 @@
         if (static_cast<Kind>(kind) == Kind::peer) {
             peers_[static_cast<uint16_t>(to)] = port;
             if (!datagrams_) {
-                const int fd = home_.datagrams_on_loopback(datagram_port_);
-                if (fd < 0) throw std::runtime_error("no port for datagrams");
-                datagrams_ = &loop_.adopt(std::make_unique<Listener>(*this, fd));
+                const int fd = system_.datagrams_on_loopback(datagram_port_);
+                if (fd < 0) throw std::runtime_error("no free port for datagrams");
+                datagrams_ = &loop_.add(std::make_unique<Listener>(*this, fd));
             }
             backend.port = datagram_port_;
         } else {
@@ -72,7 +72,8 @@
         more >> kind >> to;
         auto& backend = backends_[{kind, to}];
         if (word == "up" && !backend.listener) open(static_cast<Kind>(kind), static_cast<uint16_t>(to), backend);
-        if (word == "down" && backend.listener) loop_.end(*std::exchange(backend.listener, nullptr), Why::stopping);
+        if (word == "down" && backend.listener)
+            loop_.close(*std::exchange(backend.listener, nullptr), CloseReason::stopping);
     } else if (word == "rule") {
         int number, kind, way;
         std::string from, to;
@@ -99,23 +100,24 @@
 }
 
 void Relay::open(Kind kind, uint16_t to, Backend& backend) {
-    const int fd = home_.listen_on_loopback(backend.port);
+    const int fd = system_.listen_on_loopback(backend.port);
     if (fd < 0) throw std::runtime_error("the relay can't listen: " + std::string(std::strerror(errno)));
-    backend.listener = &loop_.adopt(std::make_unique<LinkListener>(*this, fd, kind, to));
+    backend.listener = &loop_.add(std::make_unique<LinkListener>(*this, fd, kind, to));
 }
 
-// What is cut hears no connect: a deaf listener at the link's own address stands before the one for all.
+// A cut link accepts no connection: an unresponsive listener at the link's own address takes precedence over the one for
+// all addresses.
 void Relay::update_cut(bool cuts, const LinkRule& rule) {
     for (const auto& [key, backend] : backends_) {
         if (key.first != static_cast<int>(rule.kind) || rule.kind == Kind::peer || !rule.to[static_cast<size_t>(key.second)]) continue;
         for (int from = 0; from < e_.proxies; ++from) {
             const Link link{rule.kind, static_cast<uint16_t>(from), static_cast<uint16_t>(key.second)};
-            const bool one = rule.kind == Kind::application && from != key.second;   // an application has one proxy
+            const bool one = rule.kind == Kind::application && from != key.second;   // an application has links to one proxy only
             if (!rule.from[static_cast<size_t>(from)] || !mine(link) || one) continue;
             auto& [fd, rules] = unresponsive_[ip_of(link)];
-            if (cuts && rules++ == 0) fd = home_.listen_unresponsive(address(ip_of(link), backend.port));
+            if (cuts && rules++ == 0) fd = system_.listen_unresponsive(address(ip_of(link), backend.port));
             if (!cuts && --rules == 0) {
-                if (fd >= 0) home_.close(fd);
+                if (fd >= 0) system_.close(fd);
                 unresponsive_.erase(ip_of(link));
             }
         }
@@ -155,44 +157,44 @@
 }
 
 void Relay::accept(LinkListener& listener) {
-    for (int fd; (fd = home_.accept(listener.fd)) >= 0;) {
-        const auto link = home_.link_of(fd);
+    for (int fd; (fd = system_.accept(listener.fd)) >= 0;) {
+        const auto link = system_.link_of(fd);
         if (!link || link->kind != listener.kind || link->to != listener.to) {
-            home_.close(fd);
+            system_.close(fd);
             continue;
         }
         auto owned = std::make_unique<Pair>();
         auto& pair = *owned;
         pair.link = *link;
         if (impairment(pair, 0).hard || impairment(pair, 1).hard) {
-            home_.reset_on_close(fd);
-            home_.close(fd);
+            system_.reset_on_close(fd);
+            system_.close(fd);
             continue;
         }
         pairs_.emplace(&pair, std::move(owned));
         max_pairs_ = std::max(max_pairs_, pairs_.size());
         ++connections_;
-        pair.ends[0] = &loop_.adopt(std::make_unique<End>(*this, fd, pair, 0));
+        pair.ends[0] = &loop_.add(std::make_unique<End>(*this, fd, pair, 0));
         connect(pair);
     }
 }
 
-// A connection that slipped in before the cut is carried on once it is over.
+// A connection that was accepted just before a cut is forwarded after the cut has ended.
 void Relay::connect(Pair& pair) {
     if (impairment(pair, 0).cut || impairment(pair, 1).cut) return;
     const auto it = backends_.find({static_cast<int>(pair.link.kind), pair.link.to});
     sockaddr_in at = it->second.at;
     if (at.sin_addr.s_addr == 0) at.sin_addr.s_addr = htonl(ip_of(pair.link));
     bool at_once = false;
-    const int fd = home_.connect_to(at, at_once);
+    const int fd = system_.connect(at, at_once);
     if (fd < 0) return drop(pair, true);
     auto end = std::make_unique<End>(*this, fd, pair, 1);
     end->connecting = !at_once;
-    pair.ends[1] = &loop_.adopt(std::move(end));
+    pair.ends[1] = &loop_.add(std::move(end));
     read_into_stream(pair, 0);
 }
 
-void Relay::came(Connection& c) {
+void Relay::on_readable(Connection& c) {
     if (datagrams_ && c.fd == datagrams_->fd) return datagrams_came();
     if (c.listens) return accept(static_cast<LinkListener&>(c));
     auto& end = static_cast<End&>(c);
@@ -212,7 +214,7 @@
         took = true;
     }
     if (from->ended && from->in.empty()) pair.streams[way].end(loop_.now(), t, chance_, Stream::Event::eof);
-    else if (took) loop_.flush(*from);   // looks again whether it may be read
+    else if (took) loop_.flush(*from);   // re-evaluates whether the connection is read
     forward(pair, way);
 }
 
@@ -239,19 +241,19 @@
         if (auto* from = pair.ends[way]; from && !from->in.empty()) read_into_stream(pair, way);
         if (!pairs_.count(&pair)) return;
     }
-    if (!stream.empty() && !impairment(pair, way).blocks()) loop_.set(*to, std::max(stream.next(), loop_.now() + Span{1e-4}));
-    else loop_.clear(*to);
+    if (!stream.empty() && !impairment(pair, way).blocks()) loop_.set_timer(*to, std::max(stream.next(), loop_.now() + Span{1e-4}));
+    else loop_.clear_timer(*to);
 }
 
 void Relay::finish_sending(End& end) {
     if (!end.last || end.done || !end.out.empty() || end.connecting) return;
     end.done = true;
-    home_.end_sending(end.fd);
+    system_.shutdown_write(end.fd);
     auto& pair = *end.pair;
     if (pair.ends[0] && pair.ends[1] && pair.ends[0]->done && pair.ends[1]->done) drop(pair, false);
 }
 
-void Relay::went(Connection& c) {
+void Relay::on_written(Connection& c) {
     if (c.listens) return;
     auto& end = static_cast<End&>(c);
     auto& pair = *end.pair;
@@ -260,20 +262,20 @@
     if (pairs_.count(&pair)) forward(pair, way);
 }
 
-// The other side hears of a reset as late as of bytes, and not at all while the link is cut.
-void Relay::broke(Connection& c, int) {
+// A reset reaches the other side with the same delay as bytes, and not while the link is cut.
+void Relay::on_error(Connection& c, int) {
     if (c.listens) return;
     auto& end = static_cast<End&>(c);
     auto& pair = *end.pair;
     const int way = end.way;
     pair.streams[way].end(loop_.now(), impairment(pair, way), chance_, Stream::Event::reset);
     pair.ends[way] = nullptr;
-    loop_.end(end, Why::peer_reset);
+    loop_.close(end, CloseReason::peer_reset);
     if (pair.ends[1 - way]) forward(pair, way);
     else drop(pair, true);
 }
 
-void Relay::due(Connection& c) {
+void Relay::on_timer(Connection& c) {
     auto& end = static_cast<End&>(c);
     forward(*end.pair, 1 - end.way);
 }
@@ -281,34 +283,34 @@
 void Relay::drop(Pair& pair, bool reset) {
     for (auto* end : pair.ends) {
         if (!end) continue;
-        if (reset) home_.reset_on_close(end->fd);
-        loop_.end(*end, reset ? Why::peer_reset : Why::peer_closed);
+        if (reset) system_.reset_on_close(end->fd);
+        loop_.close(*end, reset ? CloseReason::peer_reset : CloseReason::peer_closed);
     }
     pairs_.erase(&pair);
 }
 
 void Relay::datagrams_came() {
-    while (const auto d = home_.receive(datagrams_->fd)) {
+    while (const auto d = system_.receive(datagrams_->fd)) {
         const auto link = link_at(ntohl(d->to.sin_addr.s_addr));
         if (!link || link->kind != Kind::peer || !peers_.count(link->to)) continue;
         ++datagram_count_;
         bytes_ += d->bytes.size();
-        // A pair of proxies has two links, one each way, so `there` is the way of the datagram.
+        // A pair of proxies has two links, one for each direction, so a datagram always goes forward.
         const auto t = impairment_of(*link, 0);
-        if (t.blocks() || t.hard || chance_.yes(t.loss)) {
+        if (t.blocks() || t.hard || chance_.bernoulli(t.loss)) {
             ++lost_;
             continue;
         }
         const Link answers{Kind::peer, link->to, link->from};
         DelayedDatagram delayed{address(ip_of(answers), datagram_port_), address(listen_ip(link->to), peers_[link->to]), std::string(d->bytes)};
-        for (int copies = 1 + chance_.yes(t.duplicate); copies > 0; --copies) {
-            const Span wait{t.delay + (t.jitter > 0 ? t.jitter * chance_.uniform() : 0)};   // overtakes, as datagrams may
+        for (int copies = 1 + chance_.bernoulli(t.duplicate); copies > 0; --copies) {
+            const Span wait{t.delay + (t.jitter > 0 ? t.jitter * chance_.uniform() : 0)};   // may reorder, as datagrams do
             if (wait <= Span{}) {
-                home_.send(datagrams_->fd, {delayed.from, delayed.to, delayed.bytes});
+                system_.send(datagrams_->fd, {delayed.from, delayed.to, delayed.bytes});
                 continue;
             }
             delayed_[next_delayed_] = delayed;
-            loop_.wake(loop_.now() + wait, next_delayed_++);
+            loop_.schedule(loop_.now() + wait, next_delayed_++);
         }
     }
 }
@@ -316,7 +318,7 @@
 void Relay::timer_fired(uint64_t cookie) {
     const auto it = delayed_.find(cookie);
     if (it == delayed_.end()) return;
-    home_.send(datagrams_->fd, {it->second.from, it->second.to, it->second.bytes});
+    system_.send(datagrams_->fd, {it->second.from, it->second.to, it->second.bytes});
     delayed_.erase(it);
 }
 
--- a/src/rig/relay_cost.hpp
+++ b/src/rig/relay_cost.hpp
@@ -1,4 +1,4 @@
-// Measures what a relay costs by itself, on this machine: an echo behind it, asked directly and through it.
+// Measures the cost of a relay on this machine: exchanges with an echo server, directly and through the relay.
 #pragma once
 #include <ostream>
 #include <string>
@@ -6,8 +6,8 @@
 
 namespace myrtleroute::rig {
 
-// For each number of links a row each way: time of a small exchange, connections and bytes a second.
-// Throws std::runtime_error where the system gives no sockets or processes for it.
+// Prints two rows for each number of links, direct and relayed: time of a small exchange, connections and bytes per second.
+// Throws std::runtime_error if sockets or processes can't be created.
 void relay_cost(std::ostream& out, const std::string& self, const std::vector<int>& links);
 
 }  // namespace myrtleroute::rig
--- a/src/rig/report.cpp
+++ b/src/rig/report.cpp
@@ -23,7 +23,7 @@
 
 double x(const RunRecord& d, double second) { return left + width * second / d.e.duration.s; }
 
-// Faults as shades over the whole height, with their names on hover.
+// Draws faults as shaded areas over the whole height, with their names as tooltips.
 void shade(std::ostream& out, const RunRecord& d, double height) {
     for (const auto& b : d.applied_faults) {
         const double from = std::clamp(b.from - d.start, 0.0, d.e.duration.s), to = std::clamp(b.to - d.start, from, d.e.duration.s);
--- a/src/rig/report.hpp
+++ b/src/rig/report.hpp
@@ -1,4 +1,4 @@
-// The page of a set of runs: plots that a browser shows without a network. docs/rig-operators.md reads one.
+// HTML report of a set of runs: self-contained, with inline SVG plots. docs/rig-operators.md explains it.
 #pragma once
 #include <ostream>
 #include <vector>
--- a/src/rig/servers.cpp
+++ b/src/rig/servers.cpp
@@ -12,17 +12,17 @@
 namespace myrtleroute::rig {
 
 using memory::Connection;
-using memory::Why;
+using memory::CloseReason;
 
 namespace {
 
-constexpr Span idle_close{60}, window{2};   // of connections; in which a cold server's work is weighed
+constexpr Span idle_close{60}, window{2};   // of connections; over which the load of a cold server is summed
 
 }  // namespace
 
-struct Servers::ProxyConnection : Connection, wire::HttpReader {
+struct Servers::ProxyConnection : Connection, wire::HttpHandler {
     ProxyConnection(Servers& by, int fd, Server& of, int from)
-        : Connection(by, fd, 16 * 1024, 256 * 1024), server(&of), proxy(from), http(wire::HttpMachine::Side::ask, *this) {}
+        : Connection(by, fd, 16 * 1024, 256 * 1024), server(&of), proxy(from), http(wire::HttpParser::Side::request, *this) {}
     std::string name() const override { return "proxy"; }
     int start(std::string_view, std::string_view where, std::string_view) override {
         target = where;
@@ -31,19 +31,19 @@
         return 0;
     }
     int field(std::string_view name, std::string_view value) override {
-        if (wire::same(name, "X-Request-ID")) call = std::stoull("0" + std::string(value), nullptr, 16);
-        if (wire::same(name, "X-Priority-Class")) product = value;
+        if (wire::equals_ignore_case(name, "X-Request-ID")) call = std::stoull("0" + std::string(value), nullptr, 16);
+        if (wire::equals_ignore_case(name, "X-Priority-Class")) product = value;
         return 0;
     }
     void body(std::string_view) override {}
     Server* server;
     int proxy;
-    wire::HttpMachine http;
+    wire::HttpParser http;
     std::string target, product;
     uint64_t call = 0;
     double began = 0;
-    size_t record = 0;       // of connections_
-    size_t attempt = none;      // that is being worked on
+    size_t record = 0;       // index in connection_records_
+    size_t attempt = none;      // index of the open attempt
     static constexpr size_t none = static_cast<size_t>(-1);
 };
 
@@ -90,9 +90,9 @@
 }
 
 void Servers::open(Server& s, bool cold) {
-    const int fd = home_.listen_on_loopback(s.port);
+    const int fd = system_.listen_on_loopback(s.port);
     if (fd < 0) throw std::runtime_error("server " + std::to_string(s.number) + " can't listen: " + std::strerror(errno));
-    s.listener = &loop_.adopt(std::make_unique<Listener>(*this, fd));
+    s.listener = &loop_.add(std::make_unique<Listener>(*this, fd));
     s.started_at = cold ? loop_.now() : long_ago;
     s.recent_work.clear();
     s.overloaded_until = long_ago;
@@ -100,49 +100,49 @@
 
 void Servers::close(Server& s) {
     if (!s.listener) return;
-    loop_.end(*std::exchange(s.listener, nullptr), Why::stopping);
+    loop_.close(*std::exchange(s.listener, nullptr), CloseReason::stopping);
     for (auto& job : s.waiting) attempts_[job.attempt].outcome = AttemptOutcome::dropped;
     for (auto& job : s.running) attempts_[job.attempt].outcome = AttemptOutcome::dropped;
     s.waiting.clear();
     s.running.clear();
-    while (!s.connections.empty()) end(*s.connections.front(), Why::stopping, true);
+    while (!s.connections.empty()) end(*s.connections.front(), CloseReason::stopping, true);
 }
 
-void Servers::came(Connection& c) {
+void Servers::on_readable(Connection& c) {
     if (c.listens) {
         auto* s = &servers_[0];
         for (auto& each : servers_)
             if (each.listener == &c) s = &each;
-        for (int fd; (fd = home_.accept(c.fd)) >= 0;) {
-            const auto link = home_.link_of(fd);
+        for (int fd; (fd = system_.accept(c.fd)) >= 0;) {
+            const auto link = system_.link_of(fd);
             if (!link || link->kind != Kind::server || link->to != s->number) {
-                home_.close(fd);
+                system_.close(fd);
                 continue;
             }
             connection_records_.push_back({at(loop_.now()), 0, link->to, link->from});
-            auto& connection = loop_.adopt(std::make_unique<ProxyConnection>(*this, fd, *s, link->from));
+            auto& connection = loop_.add(std::make_unique<ProxyConnection>(*this, fd, *s, link->from));
             connection.record = connection_records_.size() - 1;
             s->connections.push_back(&connection);
-            loop_.set(connection, loop_.now() + idle_close);
+            loop_.set_timer(connection, loop_.now() + idle_close);
         }
         return;
     }
     auto& connection = static_cast<ProxyConnection&>(c);
-    if (!connection.in.empty() && !connection.http.begun()) connection.began = at(loop_.now());
+    if (!connection.in.empty() && !connection.http.started()) connection.began = at(loop_.now());
     while (!connection.in.empty() && !connection.http.done() && !connection.http.fault()) connection.in.drop(connection.http.feed(connection.in.front()));
     if (connection.http.done() && connection.attempt == ProxyConnection::none) handle_request(connection);
-    else if (connection.http.fault()) return end(connection, Why::bad_call);
-    if (c.open() && c.ended) end(connection, Why::peer_closed);
+    else if (connection.http.fault()) return end(connection, CloseReason::bad_call);
+    if (c.open() && c.ended) end(connection, CloseReason::peer_closed);
 }
 
-void Servers::broke(Connection& c, int) {
-    if (!c.listens) end(static_cast<ProxyConnection&>(c), Why::peer_reset);
+void Servers::on_error(Connection& c, int) {
+    if (!c.listens) end(static_cast<ProxyConnection&>(c), CloseReason::peer_reset);
 }
 
-void Servers::due(Connection& c) { end(static_cast<ProxyConnection&>(c), Why::idle); }
+void Servers::on_timer(Connection& c) { end(static_cast<ProxyConnection&>(c), CloseReason::idle); }
 
-// The connection is gone; what runs goes on and takes effect all the same, what waits is left undone.
-void Servers::end(ProxyConnection& connection, Why why, bool reset) {
+// Closes the connection: a running job completes and takes effect, a queued job is dropped.
+void Servers::end(ProxyConnection& connection, CloseReason why, bool reset) {
     auto& s = *connection.server;
     for (auto it = s.waiting.begin(); it != s.waiting.end();) {
         if (it->connection != &connection) {
@@ -157,8 +157,8 @@
     if (connection.attempt != ProxyConnection::none) attempts_[connection.attempt].ended = at(loop_.now());
     connection_records_[connection.record].ended = at(loop_.now());
     s.connections.remove(&connection);
-    if (reset) home_.reset_on_close(connection.fd);
-    loop_.end(connection, why);
+    if (reset) system_.reset_on_close(connection.fd);
+    loop_.close(connection, why);
 }
 
 const Servers::ActiveFault* Servers::active_fault(const Server& s, FaultKind kind) const {
@@ -171,14 +171,14 @@
     return std::min(1.0, e_.start_capacity + (1 - e_.start_capacity) * ((loop_.now() - s.started_at) / e_.warm_after));
 }
 
-// The same at every server and in every run.
+// Depends on seed and call only: the same at every server and in every run.
 double Servers::work_of(uint64_t call, const Product& p) const {
-    lab::Chance chance(e_.seed, call);
+    lab::RandomStream chance(e_.seed, call);
     return e_.work_varies ? p.work * (0.5 + chance.exponential(0.5)) : p.work;
 }
 
-// What comes to a cold server within the window must stay under a multiple of what it can do in it; a few calls
-// beyond are no push.
+// The work that a cold server receives within the window must stay below a multiple of its capacity in that time;
+// a tolerance of four calls avoids overload from single calls.
 bool Servers::accept_load(Server& s, double work) {
     const Time now = loop_.now();
     if (now < s.overloaded_until) return false;
@@ -200,7 +200,7 @@
 void Servers::handle_request(ProxyConnection& connection) {
     auto& s = *connection.server;
     const Time now = loop_.now();
-    loop_.set(connection, now + idle_close);
+    loop_.set_timer(connection, now + idle_close);
     const bool probe = connection.target.starts_with("/alive");
     connection.attempt = attempts_.size();
     attempts_.push_back({probe ? 0 : connection.call, connection.began, at(now), 0, 0, 0, static_cast<uint16_t>(s.number),
@@ -219,20 +219,20 @@
     attempt.work = static_cast<float>(work);
     const auto* full = active_fault(s, FaultKind::full);
     const bool turned_away = s.connections.size() > static_cast<size_t>(e_.connections) ||
-                             s.waiting.size() >= static_cast<size_t>(e_.queue) || (full && chance_.yes(full->how));
+                             s.waiting.size() >= static_cast<size_t>(e_.queue) || (full && chance_.bernoulli(full->how));
     if (!accept_load(s, work) || turned_away) {
         attempt.outcome = AttemptOutcome::refused;
         return respond(connection, 503, "", "X-Not-Processed: 1\r\n");
     }
     const auto* fails = active_fault(s, FaultKind::fail);
     const auto* breaks = active_fault(s, FaultKind::break_off);
-    const bool failed = fails && chance_.yes(fails->how);
-    if (failed || (breaks && chance_.yes(breaks->how))) {
-        const bool ran = chance_.yes(0.5);
+    const bool failed = fails && chance_.bernoulli(fails->how);
+    if (failed || (breaks && chance_.bernoulli(breaks->how))) {
+        const bool ran = chance_.bernoulli(0.5);
         attempt.outcome = ran ? AttemptOutcome::failed_after_execution : AttemptOutcome::failed_before_execution;
         attempt.executed = ran ? at(now) : 0;
         if (failed) return respond(connection, 500, "");
-        return end(connection, Why::stopping, true);
+        return end(connection, CloseReason::stopping, true);
     }
     s.waiting.push_back({connection.attempt, &connection, work, 0});
     start_jobs(s);
@@ -240,7 +240,7 @@
 
 void Servers::start_jobs(Server& s) {
     if (active_fault(s, FaultKind::hang)) return;
-    for (auto* connection : std::vector<ProxyConnection*>(s.connections.begin(), s.connections.end()))   // probes that hung
+    for (auto* connection : std::vector<ProxyConnection*>(s.connections.begin(), s.connections.end()))   // probes received while it hung
         if (connection->attempt != ProxyConnection::none && attempts_[connection->attempt].call == 0 && !attempts_[connection->attempt].answered) respond(*connection, 200, "");
     const auto* slow = active_fault(s, FaultKind::slow);
     while (!s.waiting.empty() && s.running.size() < static_cast<size_t>(std::max(1.0, e_.cores * s.size))) {
@@ -249,7 +249,7 @@
         attempts_[job.attempt].outcome = AttemptOutcome::running;
         job.number = next_job_++;
         job_servers_[job.number] = s.number;
-        loop_.wake(loop_.now() + Span{job.work * (slow ? slow->how : 1) / warmth(s)}, job.number);
+        loop_.schedule(loop_.now() + Span{job.work * (slow ? slow->how : 1) / warmth(s)}, job.number);
         s.running.push_back(job);
     }
 }
@@ -260,11 +260,11 @@
     auto& s = servers_[static_cast<size_t>(it->second)];
     job_servers_.erase(it);
     const auto job = std::find_if(s.running.begin(), s.running.end(), [&](auto& j) { return j.number == cookie; });
-    if (job == s.running.end()) return;   // the server died meanwhile
-    // What a hanging server had begun is done when it goes on.
+    if (job == s.running.end()) return;   // the server was stopped meanwhile
+    // A job that was running when the server hung completes after the hang.
     if (active_fault(s, FaultKind::hang)) {
         job_servers_[cookie] = s.number;
-        return loop_.wake(loop_.now() + Span{0.05}, cookie);
+        return loop_.schedule(loop_.now() + Span{0.05}, cookie);
     }
     const Job finished = *job;
     s.running.erase(job);
@@ -287,11 +287,11 @@
     attempt.answered = true;
     attempt.ended = at(loop_.now());
     connection.attempt = ProxyConnection::none;
-    connection.out.push(wire::answer(status, body, true, fields));
+    connection.out.push(wire::format_response(status, body, true, fields));
     connection.http.next();
-    loop_.set(connection, loop_.now() + idle_close);
+    loop_.set_timer(connection, loop_.now() + idle_close);
     loop_.flush(connection);
-    if (!connection.in.empty()) came(connection);
+    if (!connection.in.empty()) on_readable(connection);
 }
 
 void Servers::write_results() {
--- a/src/roles/proxy/context.hpp
+++ b/src/roles/proxy/context.hpp
@@ -15,7 +15,7 @@
 
 struct Context {
     configuration::NodeSettings settings;
-    run::Home& home;
+    run::System& system;
     run::Log log;   // used by the loop
     run::Loop loop;
     Pcg rng;
@@ -28,9 +28,9 @@
     routing::FleetSize fleet_size;                      // upper estimate of the number of proxies
     Time started;
 
-    Context(configuration::NodeSettings node, run::Home& system, uint64_t seed)
+    Context(configuration::NodeSettings node, run::System& system, uint64_t seed)
         : settings(std::move(node)),
-          home(system),
+          system(system),
           log(run::Level::error, system),
           loop(log, system),
           rng(seed),
@@ -38,7 +38,7 @@
     Time now() const { return loop.now(); }
     size_t max_connections() const {
         constexpr size_t reserved = 64;
-        const size_t allowed = std::min(settings.max_descriptors, home.most_descriptors());
+        const size_t allowed = std::min(settings.max_descriptors, system.max_descriptors());
         return allowed > 2 * reserved ? allowed - reserved : reserved;
     }
 };
--- a/src/roles/proxy/hosts.cpp
+++ b/src/roles/proxy/hosts.cpp
@@ -10,8 +10,8 @@
 namespace myrtleroute::proxy {
 namespace {
 
+using memory::CloseReason;
 using memory::Connection;
-using memory::Why;
 
 constexpr size_t max_in = 64 * 1024, max_out = 6 << 20;
 constexpr size_t max_response = 64 << 20;              // of a stream; memory is bounded by the client's output buffer
@@ -25,22 +25,22 @@
 
 }   // namespace
 
-int ReplyReader::start(std::string_view, std::string_view code, std::string_view) {
-    *this = ReplyReader();
-    status = wire::whole<int>(code).value_or(0);
+int ResponseReader::start(std::string_view, std::string_view code, std::string_view) {
+    *this = ResponseReader();
+    status = wire::parse_integer<int>(code).value_or(0);
     return 0;
 }
 
-int ReplyReader::field(std::string_view name, std::string_view value) {
-    if (wire::same(name, "Keep-Alive")) {
+int ResponseReader::field(std::string_view name, std::string_view value) {
+    if (wire::equals_ignore_case(name, "Keep-Alive")) {
         const auto timeout = value.find("timeout=");
         const auto seconds = timeout == value.npos ? value : value.substr(timeout + 8);
-        keep_alive = wire::decimal(wire::trim(seconds.substr(0, seconds.find(',')))).value_or(0);
+        keep_alive = wire::parse_decimal(wire::trim(seconds.substr(0, seconds.find(',')))).value_or(0);
     }
-    if (wire::of_one_connection(name)) return 0;
-    if (wire::same(name, "X-Request-Id")) request_id = value;
-    if (wire::same(name, "X-Not-Executed")) not_executed = true;
-    if (wire::same(name, "X-Instance-Load"))
+    if (wire::is_hop_by_hop(name)) return 0;
+    if (wire::equals_ignore_case(name, "X-Request-Id")) request_id = value;
+    if (wire::equals_ignore_case(name, "X-Not-Executed")) not_executed = true;
+    if (wire::equals_ignore_case(name, "X-Instance-Load"))
         load = value;
     else
         fields.emplace_back(name, value);
@@ -60,7 +60,7 @@
         slot = std::make_unique<HostRecord>();
         slot->id = id;
     }
-    if (const auto address = wire::read_endpoint(host.address)) slot->address = *address;
+    if (const auto address = wire::parse_endpoint(host.address)) slot->address = *address;
     const bool leaves = host.state == registry::HostState::gone && slot->host.state != host.state;
     slot->host = host;
     if (leaves) slot->gone_since = context_.now();
@@ -99,7 +99,7 @@
     if (auto* idle = idle_connection(host)) return idle;
     if (context_.loop.connections() >= context_.max_connections() && !close_oldest_idle()) return nullptr;
     bool immediate = false;
-    const int fd = context_.home.connect_to(host.address, immediate);
+    const int fd = context_.system.connect(host.address, immediate);
     if (fd < 0) {
         if (errno != EMFILE && errno != ENFILE) failure = Outcome::connect_failed;
         return nullptr;
@@ -108,15 +108,15 @@
     limits.body = max_response;
     auto connection = std::make_unique<HostConnection>(*this, fd, host, max_in, max_out, limits);
     connection->connecting = !immediate;
-    return &context_.loop.adopt(std::move(connection));
+    return &context_.loop.add(std::move(connection));
 }
 
 HostConnection* HostConnections::idle_connection(HostRecord& host) {
     while (!host.idle.empty()) {
         auto& connection = *host.idle.front();
         remove_from_idle(connection);
-        if (context_.home.still_quiet(connection.fd)) return &connection;
-        context_.loop.end(connection, Why::peer_closed);
+        if (context_.system.is_idle(connection.fd)) return &connection;
+        context_.loop.close(connection, CloseReason::peer_closed);
     }
     return nullptr;
 }
@@ -126,15 +126,15 @@
     connection.deadline = connection.sent + timeout;
     connection.stale = connection.streamed = false;
     const Time up_by = connection.sent + connect_timeout;
-    context_.loop.set(connection, connection.connecting ? std::min(connection.deadline, up_by) : connection.deadline);
+    context_.loop.set_timer(connection, connection.connecting ? std::min(connection.deadline, up_by) : connection.deadline);
     if (!connection.connecting) write(connection);
 }
 
-void HostConnections::up(Connection& base) {
+void HostConnections::on_connected(Connection& base) {
     auto& connection = static_cast<HostConnection&>(base);
     if (connection.request && !events_.may_start(*connection.request, connection.number))
-        return end_attempt(connection, Outcome::never_sent, Why::server_left);
-    context_.loop.set(connection, connection.deadline);
+        return end_attempt(connection, Outcome::never_sent, CloseReason::server_left);
+    context_.loop.set_timer(connection, connection.deadline);
     write(connection);
 }
 
@@ -162,11 +162,11 @@
     context_.loop.flush(connection);
 }
 
-void HostConnections::came(Connection& base) {
+void HostConnections::on_readable(Connection& base) {
     auto& connection = static_cast<HostConnection&>(base);
     if (!connection.busy()) {
         remove_from_idle(connection);
-        return context_.loop.end(connection, Why::peer_closed);
+        return context_.loop.close(connection, CloseReason::peer_closed);
     }
     while (connection.open() && connection.busy() && !connection.in.empty() && !connection.http.done() &&
            !connection.http.fault()) {
@@ -179,15 +179,15 @@
             connection.stale = false;
         }
     }
-    if (connection.ended && !connection.http.done()) connection.http.closed();
+    if (connection.ended && !connection.http.done()) connection.http.connection_closed();
     if (!connection.http.fault() && connection.reader.head_done && !connection.stale) take_body(connection);
     if (!connection.open() || !connection.busy()) return;
     if (connection.http.done() && !connection.stale) return response_complete(connection);
     const bool wrote_all = connection.out.empty();
     if (connection.http.fault())
-        end_attempt(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, Why::bad_answer);
+        end_attempt(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, CloseReason::bad_answer);
     else if (connection.ended)
-        end_attempt(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, Why::peer_closed);
+        end_attempt(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, CloseReason::peer_closed);
 }
 
 void HostConnections::head_came(HostConnection& connection) {
@@ -200,7 +200,8 @@
     auto& host = *connection.host;
     events_.host_active(host.service, host.id);
     auto load = std::string_view(reader.load);
-    const auto running = wire::decimal(wire::next_part(load)), waiting = wire::decimal(wire::next_part(load));
+    const auto running = wire::parse_decimal(wire::next_item(load)),
+               waiting = wire::parse_decimal(wire::next_item(load));
     // A request counts as running from its first token. Before that it costs the host most, so waiting requests
     // weigh more.
     if (running && waiting) events_.load_reported(host.service, host.id, running_weight * *running + *waiting);
@@ -252,21 +253,21 @@
 // Returns the connection to the idle pool, or closes it if it can't be reused.
 void HostConnections::release(HostConnection& connection) {
     auto& host = *connection.host;
-    const bool keeps = connection.http.keeps() && connection.in.empty() && !connection.ended && !connection.error &&
-                       connection.out.empty() && host.host.state != registry::HostState::gone;
+    const bool keeps = connection.http.keeps_alive() && connection.in.empty() && !connection.ended &&
+                       !connection.error && connection.out.empty() && host.host.state != registry::HostState::gone;
     const bool has_room = host.idle.size() < max_idle;
     if (keeps && !has_room) idle_limit_reached_.add();
     if (connection.reader.keep_alive > 0) connection.keep_alive = connection.reader.keep_alive;
     connection.request = nullptr;
-    connection.is_probe = connection.deaf = false;
-    if (!keeps || !has_room) return context_.loop.end(connection, Why::told_to_close);
+    connection.is_probe = connection.read_paused = false;
+    if (!keeps || !has_room) return context_.loop.close(connection, CloseReason::told_to_close);
     connection.http.next();
     connection.reader = {};
     connection.idle = true;
     connection.idle_position = idle_.insert(idle_.begin(), &connection);
     connection.host_idle_position = host.idle.insert(host.idle.begin(), &connection);
     const Span kept = connection.keep_alive > 0 ? Span{connection.keep_alive * keep_alive_share} : default_keep_alive;
-    context_.loop.set(connection, context_.now() + kept);
+    context_.loop.set_timer(connection, context_.now() + kept);
     context_.loop.flush(connection);   // resumes reading
 }
 
@@ -274,12 +275,12 @@
     pending_ends_.push_back({call, number, outcome, 0, 0, false});
 }
 
-void HostConnections::end_attempt(HostConnection& connection, Outcome outcome, Why why) {
+void HostConnections::end_attempt(HostConnection& connection, Outcome outcome, CloseReason why) {
     auto* request = std::exchange(connection.request, nullptr);
     const int number = connection.number;
     auto& host = *connection.host;
     const bool probe = connection.is_probe;
-    context_.loop.end(connection, why);
+    context_.loop.close(connection, why);
     if (probe) {
         pending_ends_.push_back({0, 0, outcome, host.id, host.service, false});
         return;
@@ -305,7 +306,7 @@
     if (number < 0 || number >= static_cast<int>(request.attempts.size())) return;
     auto* connection = request.attempts[static_cast<size_t>(number)];
     if (!connection) return;
-    end_attempt(*connection, connection->connecting ? Outcome::never_sent : Outcome::cancelled, Why::cancelled);
+    end_attempt(*connection, connection->connecting ? Outcome::never_sent : Outcome::cancelled, CloseReason::cancelled);
 }
 
 void HostConnections::abandon(Request& request) {
@@ -326,46 +327,46 @@
 
 void HostConnections::resume_reading(Request& request) {
     for (auto* connection : request.attempts)
-        if (connection && std::exchange(connection->deaf, false)) context_.loop.flush(*connection);
+        if (connection && std::exchange(connection->read_paused, false)) context_.loop.flush(*connection);
 }
 
-void HostConnections::broke(Connection& base, int error) {
+void HostConnections::on_error(Connection& base, int error) {
     auto& connection = static_cast<HostConnection&>(base);
     if (!connection.busy()) {
         remove_from_idle(connection);
-        return context_.loop.end(connection, Why::peer_reset);
+        return context_.loop.close(connection, CloseReason::peer_reset);
     }
     const bool may_have_run = !connection.connecting && connection.out.empty();
     end_attempt(connection, may_have_run ? Outcome::reset : Outcome::connect_failed,
-                error == ECONNREFUSED ? Why::nobody_listens : Why::peer_reset);
+                error == ECONNREFUSED ? CloseReason::nobody_listens : CloseReason::peer_reset);
 }
 
-void HostConnections::due(Connection& base) {
+void HostConnections::on_timer(Connection& base) {
     auto& connection = static_cast<HostConnection&>(base);
     if (connection.idle) {
         remove_from_idle(connection);
-        return context_.loop.end(connection, Why::idle);
+        return context_.loop.close(connection, CloseReason::idle);
     }
     // A host that has been cut off from the network sends nothing, and its idle connections are reset once it is
     // back.
     if (connection.host->last_response < connection.sent) close_idle(*connection.host);
     const bool may_have_run = !connection.connecting && connection.out.empty();
     end_attempt(connection, may_have_run ? Outcome::timed_out : Outcome::connect_failed,
-                connection.connecting ? Why::connect_timed_out : Why::answer_timed_out);
+                connection.connecting ? CloseReason::connect_timed_out : CloseReason::answer_timed_out);
 }
 
 void HostConnections::remove_from_idle(HostConnection& connection) {
     if (!std::exchange(connection.idle, false)) return;
     idle_.erase(connection.idle_position);
     connection.host->idle.erase(connection.host_idle_position);
-    context_.loop.clear(connection);
+    context_.loop.clear_timer(connection);
 }
 
 void HostConnections::close_idle(HostRecord& host) {
     while (!host.idle.empty()) {
         auto& connection = *host.idle.front();
         remove_from_idle(connection);
-        context_.loop.end(connection, Why::server_left);
+        context_.loop.close(connection, CloseReason::server_left);
     }
 }
 
@@ -374,7 +375,7 @@
     if (idle_.empty()) return false;
     auto& connection = *idle_.back();
     remove_from_idle(connection);
-    context_.loop.end(connection, Why::shed);
+    context_.loop.close(connection, CloseReason::shed);
     return true;
 }
 
--- a/src/roles/proxy/hosts.hpp
+++ b/src/roles/proxy/hosts.hpp
@@ -34,7 +34,7 @@
 };
 
 // Collects a response's head; the body accumulates in `content` until it is taken.
-class ReplyReader : public wire::HttpReader {
+class ResponseReader : public wire::HttpHandler {
 public:
     int status = 0;
     std::vector<Field> fields;
@@ -44,14 +44,14 @@
 
     int start(std::string_view version, std::string_view code, std::string_view reason) override;
     int field(std::string_view name, std::string_view value) override;
-    int head_ends(Body) override {
+    int head_ended(Body) override {
         head_done = true;
         return 0;
     }
     void body(std::string_view bytes) override { content.append(bytes); }
 };
 
-class HostConnections : public memory::Owner {
+class HostConnections : public memory::ConnectionHandler {
 public:
     struct Events {
         // A successful response that is forwarded as it arrives.
@@ -84,10 +84,10 @@
     void settle();                           // reports the ends
     bool settled() const { return pending_ends_.empty(); }
 
-    void up(memory::Connection& connection) override;
-    void came(memory::Connection& connection) override;
-    void broke(memory::Connection& connection, int error) override;
-    void due(memory::Connection& connection) override;
+    void on_connected(memory::Connection& connection) override;
+    void on_readable(memory::Connection& connection) override;
+    void on_error(memory::Connection& connection, int error) override;
+    void on_timer(memory::Connection& connection) override;
 
 private:
     struct PendingEnd {
@@ -106,7 +106,7 @@
     void take_body(HostConnection& connection);
     void response_complete(HostConnection& connection);
     void release(HostConnection& connection);
-    void end_attempt(HostConnection& connection, Outcome outcome, memory::Why why);
+    void end_attempt(HostConnection& connection, Outcome outcome, memory::CloseReason why);
     void queue_attempt_end(CallId call, int number, Outcome outcome);
     void remove_from_idle(HostConnection& connection);
     bool close_oldest_idle();
@@ -120,12 +120,13 @@
 };
 
 struct HostConnection : memory::Connection {
-    HostConnection(memory::Owner& by, int fd, HostRecord& to, size_t max_in, size_t max_out, wire::HttpLimits limits)
+    HostConnection(memory::ConnectionHandler& by, int fd, HostRecord& to, size_t max_in, size_t max_out,
+                   wire::HttpLimits limits)
         : Connection(by, fd, max_in, max_out),
           host(&to),
           connections(to.connections),
-          http(wire::HttpMachine::Side::answer, reader, limits) {
-        hears_leaving = true;
+          http(wire::HttpParser::Side::response, reader, limits) {
+        detect_peer_close = true;
         ++*connections;
     }
     ~HostConnection() override { --*connections; }
@@ -134,8 +135,8 @@
 
     HostRecord* host;
     std::shared_ptr<int> connections;   // counter shared with the host's record
-    ReplyReader reader;
-    wire::HttpMachine http;
+    ResponseReader reader;
+    wire::HttpParser http;
     Request* request = nullptr;
     int number = 0;   // number of the attempt
     bool is_probe = false;
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -51,7 +51,7 @@
 }  // namespace
 
 TEST_CASE("a stream under faults: order kept, nothing made up, held while cut, an end after all bytes") {
-    lab::Chance chance(1, 1);
+    lab::RandomStream chance(1, 1);
     Stream s;
     SECTION("none: at once") {
         s.push({1}, "ab", {}, chance);
@@ -186,7 +186,7 @@
     std::string said;
     try {
         read_experiment(path);
-    } catch (const BadScenario& fault) {
+    } catch (const ScenarioError& fault) {
         said = fault.what();
     }
     CAPTURE(text, said);
@@ -391,7 +391,7 @@
     what.control_fd = ends[1];
     const pid_t pid = spawn(what);
     ::close(ends[1]);
-    RigHome home;
+    RigSystem system;
     std::vector<int> sockets;
     for (const int proxy : {0, 1}) {
         const int fd = ::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
--- a/tests/system/proxy_test.cpp
+++ b/tests/system/proxy_test.cpp
@@ -162,7 +162,7 @@
         if (reset)
             host->reset();
         else
-            host->end_sending();
+            host->shutdown_write();
         world.advance(Span{0.1});
         const auto answer = client.take();
         CHECK(contains(answer, reset ? "HTTP/1.1 502 " : "HTTP/1.1 200 OK"));
--- a/tests/system/proxy_world.hpp
+++ b/tests/system/proxy_world.hpp
@@ -12,26 +12,26 @@
 #include <vector>
 
 #include "lab/net.hpp"
-#include "lab/virtual_home.hpp"
+#include "lab/virtual_system.hpp"
 #include "messages/messages.hpp"
 #include "roles/proxy/proxy.hpp"
 
 namespace myrtleroute::testing {
 
 // A connection end controlled by the test.
-class ScriptedEnd : public lab::Ear {
+class ScriptedEnd : public lab::SocketObserver {
 public:
     ScriptedEnd(lab::Net& net, lab::Handle socket) : net_(net), socket_(std::move(socket)) {}
-    void heard(lab::Socket& socket) override {
+    void socket_changed(lab::Socket& socket) override {
         if (!reads) return;
         received += net_.read_all(socket);
         ended = ended || socket.fin_in;
-        broken = broken || socket.state == lab::Socket::State::over;
+        broken = broken || socket.state == lab::Socket::State::reset;
     }
     void send(const std::string& bytes) { net_.send(*socket_, bytes); }
-    void end_sending() { net_.end_sending(*socket_); }
+    void shutdown_write() { net_.shutdown_write(*socket_); }
     void close() { net_.close(*socket_); }
-    void reset() { net_.abort(*socket_); }
+    void reset() { net_.reset(*socket_); }
     // Returns the bytes received since the last call.
     std::string take() { return std::exchange(received, {}); }
     bool up() const { return socket_->state == lab::Socket::State::up; }
@@ -46,18 +46,18 @@
 };
 
 // Listens at an address and accepts every connection.
-class ScriptedListener : public lab::Ear {
+class ScriptedListener : public lab::SocketObserver {
 public:
     ScriptedListener(lab::Net& net, int machine, const Endpoint& at) : net_(net), machine_{machine} {
         in_addr address{};
         inet_pton(AF_INET, at.address.c_str(), &address);
         socket_ = net_.listen(machine_, *this, lab::address_of(ntohl(address.s_addr), at.port));
     }
-    void heard(lab::Socket& listener) override {
+    void socket_changed(lab::Socket& listener) override {
         while (auto socket = net_.accept(listener)) {
             ends.push_back(std::make_unique<ScriptedEnd>(net_, socket));
-            socket->ear = ends.back().get();
-            ends.back()->heard(*socket);
+            socket->observer = ends.back().get();
+            ends.back()->socket_changed(*socket);
         }
     }
     lab::Machine& machine() { return machine_; }
@@ -78,7 +78,7 @@
 
     // `change`: modifies the settings that the proxy starts with.
     explicit ProxyWorld(size_t hosts = 2, const std::function<void(configuration::NodeSettings&)>& change = {})
-        : control(net, 2, {"10.0.0.2", internal_port}), home_(queue, net, machine_, [this] { wake(queue.now()); }) {
+        : control(net, 2, {"10.0.0.2", internal_port}), system_(queue, net, machine_, [this] { wake(queue.now()); }) {
         for (size_t i = 0; i < hosts; ++i)
             this->hosts.push_back(std::make_unique<ScriptedListener>(net, 10 + static_cast<int>(i), host_address(i)));
         configuration::NodeSettings settings;
@@ -92,14 +92,14 @@
         settings.seeds = {{"10.0.0.2", control_port}};
         settings.retry_budget_slack = 50;
         if (change) change(settings);
-        proxy_ = std::make_unique<proxy::Proxy>(settings, home_, 1, [] { return std::nullopt; });
+        proxy_ = std::make_unique<proxy::Proxy>(settings, system_, 1, [] { return std::nullopt; });
         started_ = proxy_->start();
         wake(queue.now());
         advance(Span{0.1});
     }
     ~ProxyWorld() {
         proxy_.reset();
-        home_.end_process();
+        system_.end_process();
     }
 
     // Sends what a control node sends on a new subscription.
@@ -131,7 +131,7 @@
         inet_pton(AF_INET, proxy_address, &address);
         const auto to = lab::address_of(ntohl(address.s_addr), port);
         // The ScriptedEnd listens to the socket, which must exist first.
-        clients_.push_back(std::make_unique<LateEar>());
+        clients_.push_back(std::make_unique<LateObserver>());
         auto socket = net.connect(client_machine_, *clients_.back(), to);
         clients_.back()->end = std::make_unique<ScriptedEnd>(net, socket);
         advance(Span{0.01});
@@ -184,7 +184,7 @@
         const auto value = at + series.size() + 2;
         return text.substr(value, text.find('\n', value) - value);
     }
-    void signal(int number) { home_.signal(number); }
+    void signal(int number) { system_.signal(number); }
     bool is_over() const { return proxy_->over(); }
     bool started() const { return started_; }
 
@@ -199,10 +199,10 @@
     std::vector<std::unique_ptr<ScriptedListener>> hosts;
 
 private:
-    struct LateEar : lab::Ear {
+    struct LateObserver : lab::SocketObserver {
         std::unique_ptr<ScriptedEnd> end;
-        void heard(lab::Socket& socket) override {
-            if (end) end->heard(socket);
+        void socket_changed(lab::Socket& socket) override {
+            if (end) end->socket_changed(socket);
         }
     };
     static Endpoint host_address(size_t i) { return {"10.9.0." + std::to_string(i + 1), 80}; }
@@ -217,15 +217,15 @@
         if (!proxy_ || proxy_->over()) return;
         const auto before = wake_;
         proxy_->round();
-        if (proxy_->over()) return home_.end_process();
+        if (proxy_->over()) return system_.end_process();
         if (wake_ != before) return;   // a network event has already scheduled the next iteration
-        wake(home_.sleeps() ? home_.until() : queue.now());
+        wake(system_.is_waiting() ? system_.waits_until() : queue.now());
     }
 
     lab::Machine machine_{1}, client_machine_{3};
-    lab::VirtualHome home_;
+    lab::VirtualSystem system_;
     std::unique_ptr<proxy::Proxy> proxy_;
-    std::vector<std::unique_ptr<LateEar>> clients_;
+    std::vector<std::unique_ptr<LateObserver>> clients_;
     uint64_t wake_ = 0;
     bool started_ = false;
 };
