--- a/bench/loopback_cost.cpp
+++ b/bench/loopback_cost.cpp
@@ -1,5 +1,5 @@
-// CPU time that the program takes for a call, over loopback: user and system seconds per 10,000 calls, of the
-// whole process from start to end, for each of several programs in turn so that they can be compared.
+// Measures the CPU time of calls over loopback: user and system seconds per 10,000 calls, of the whole process from
+// start to exit. Several programs are measured alternately so that they can be compared.
 //
 //     bench_loopback_cost [ROUNDS [CALLS]] PROGRAM...
 #include <signal.h>
@@ -29,7 +29,7 @@
 
 constexpr int at_a_time = 8, servers = 3;
 
-std::string address(int number) {   // that no other run has, on ports below those that the system gives out
+std::string address(int number) {   // unique to this run; ports are below the ephemeral range
     const int pid = ::getpid();
     return "127." + std::to_string(200 + (pid >> 16) % 50) + "." + std::to_string(pid >> 8 & 255) + "." +
            std::to_string(pid & 255) + ":" + std::to_string(20000 + number);
@@ -45,7 +45,7 @@
     void body(std::string_view) override {}
 };
 
-struct Peer : Connection {   // of a server or of discovery
+struct Peer : Connection {   // connection of the program to a server or to discovery
     Peer(memory::ConnectionHandler& by, int fd)
         : Connection(by, fd, 80'000, 80'000), http(wire::HttpParser::Side::request, asked) {}
     std::string name() const override { return "peer"; }
@@ -66,7 +66,7 @@
 class Peers : public memory::ConnectionHandler {
 public:
     explicit Peers(run::Loop& loop) : loop_(loop) {
-        for (int i = 0; i <= servers; ++i)   // the last is discovery
+        for (int i = 0; i <= servers; ++i)   // the last one serves discovery
             loop.add(std::make_unique<Door>(*this, loop.system().listen(*wire::parse_endpoint(address(i + 1)))));
     }
     void on_readable(Connection& c) override {
@@ -79,7 +79,7 @@
         if (c.ended || peer.http.fault()) return loop_.close(c, CloseReason::peer_closed);
         if (!peer.http.done()) return;
         peer.http.next();
-        if (peer.asked.target.find("hold_ms") != std::string::npos) return;   // nothing ever changes
+        if (peer.asked.target.find("hold_ms") != std::string::npos) return;   // a watch: the list never changes
         const bool list = peer.asked.target.starts_with("/discovery");
         c.out.push(wire::format_response(200, list ? targets() : std::string(200, 'a'), true));
         loop_.flush(c);
@@ -120,7 +120,7 @@
         caller.http.next();
         call(c);
     }
-    void on_error(Connection&, int) override { std::abort(); }   // then nothing is measured
+    void on_error(Connection&, int) override { std::abort(); }   // the measurement is invalid
     void on_timer(Connection&) override {}
 
 private:
@@ -148,7 +148,7 @@
            R"("WarmAfterS":9,"StartCapacity":0.3,"TipMultiple":4,"GraceToAnswerS":0.02}}})";
 }
 
-// Seconds of the processor for 10,000 calls; below 0 where not all were fulfilled.
+// Returns CPU seconds per 10,000 calls; below 0 if not all calls were answered 200.
 double measure(const std::string& program, int calls) {
     char path[] = "/tmp/myrtleroute-cost-XXXXXX";
     ::close(::mkstemp(path));
--- a/bench/paired_runs.py
+++ b/bench/paired_runs.py
@@ -1,4 +1,4 @@
-"""Plays of the operators' bench in several builds on the same days and seeds, and the differences between them."""
+"""Runs the operators' bench with several builds on the same days and seeds and computes paired differences."""
 import concurrent.futures
 import dataclasses
 import json
@@ -16,9 +16,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Day:
-    """One day of a site, with a seed of its own luck."""
+    """A day of a site with its random seed."""
     site: str   # path of the site file
-    name: str   # of a standard day, or a file with a day
+    name: str   # name of a standard day, or path of a day file
     seed: int
 
     def label(self):
@@ -27,14 +27,14 @@
 
 @dataclasses.dataclass
 class Play:
-    """What the bench reports of a day."""
-    worth: float                 # parts less prices; 1 is all that was owed
-    readings: dict               # by name: parts, prices (as what they cost, negative) and worth of classes
-    broken: dict                 # rules, with how often
+    """The bench's report of one day."""
+    worth: float                 # parts minus prices; 1 is the maximum
+    readings: dict               # by name: parts, prices (negative costs) and worth of classes
+    broken: dict                 # number of violations by rule
 
 
 class PlayFailed(Exception):
-    """The bench gave no report; its words."""
+    """The bench wrote no report; the text is its last output."""
 
 
 def play(bench, tree, day, why, options):
@@ -59,7 +59,7 @@
 
 
 def play_all(bench, trees, days, why, options, jobs):
-    """Plays every day in every tree; trees: path by name. Returns plays by (tree's name, day)."""
+    """Runs each day in each tree (path by name). Returns the reports by (tree's name, day)."""
     for tree in trees.values():
         subprocess.run([bench, "build"], cwd=tree, check=True, capture_output=True)
     plays = {}
@@ -83,7 +83,7 @@
 
 
 def differences(plays, base, trial, days):
-    """Of the trial against the base: the worth of each pair, and the mean of each reading that differs."""
+    """Differences of trial and base: worth of each pair, and mean with interval of each reading that differs."""
     worths = [plays[trial, day].worth - plays[base, day].worth for day in days]
     readings = {}
     for name in sorted({name for day in days for name in plays[base, day].readings}):
@@ -94,7 +94,7 @@
 
 
 def broken_rules(plays, tree, days):
-    """Rules that were broken in a tree, each with the days."""
+    """Rules that were broken in a tree, each with the labels of its days."""
     rules = {}
     for day in days:
         for rule in plays[tree, day].broken:
@@ -103,7 +103,7 @@
 
 
 def parse_days(site, text):
-    """`quiet-1:1,2;mix:7` as days of a site."""
+    """`quiet-1:1,2;mix:7` parsed as days of a site."""
     days = []
     for part in text.split(";"):
         name, _, seeds = part.partition(":")
--- a/src/rig/discovery.cpp
+++ b/src/rig/discovery.cpp
@@ -58,7 +58,7 @@
 }
 
 void Discovery::on_command(const std::string& word, std::istringstream& more) {
-    if (word == "port") {   // of a server, for the proxies of one relay
+    if (word == "port") {   // port of a server for the proxies of one relay
         size_t relay;
         int server;
         uint16_t port;
@@ -72,7 +72,7 @@
         double boot;
         more >> server >> state >> boot >> incarnation;
         auto entry = current_[static_cast<size_t>(server)];
-        if (incarnation != entry.incarnation && entry.state != ListedState::removed) {   // the old name goes
+        if (incarnation != entry.incarnation && entry.state != ListedState::removed) {   // the old incarnation is removed from the list
             entry.state = ListedState::removed;
             apply_change(server, entry);
         }
@@ -143,7 +143,7 @@
 
 std::string Discovery::format_list(int proxy, uint32_t from, uint32_t to, bool whole) const {
     static constexpr const char* states[] = {"SERVING", "DRAINING", "DELETED"};
-    std::map<std::pair<int, int>, Entry> latest;   // by server and life
+    std::map<std::pair<int, int>, Entry> latest;   // by server and incarnation
     for (uint32_t i = from; i < to; ++i) latest[{changes_[i].server, changes_[i].entry.incarnation}] = changes_[i].entry;
     const auto& ports = ports_[static_cast<size_t>(proxy) % ports_.size()];
     std::ostringstream out;
--- a/src/rig/rig_system.cpp
+++ b/src/rig/rig_system.cpp
@@ -27,8 +27,8 @@
     const int fd = ::socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) return fd;
     enable_option(fd, SOL_SOCKET, SO_REUSEADDR);
-    if (shared) enable_option(fd, SOL_SOCKET, SO_REUSEPORT);   // a deaf listener takes single addresses out of it
-    // Nothing but this machine may come; where the system refuses that, addresses of links still tell it.
+    if (shared) enable_option(fd, SOL_SOCKET, SO_REUSEPORT);   // lets an unresponsive listener take over single addresses
+    // Accepts traffic of this machine only; if the system refuses the option, link_of() still rejects other addresses.
     ::setsockopt(fd, SOL_SOCKET, SO_BINDTODEVICE, "lo", 3);
     if (::bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0) return fd;
     const int error = errno;
@@ -48,8 +48,8 @@
 RigSystem::RigSystem() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), buffer_(max_datagram) {}
 RigSystem::~RigSystem() { ::close(epoll_); }
 
-// Same contract as poll(2), for all that is open: what was polled once has to stay in the list until it is closed.
-// Looking through the list costs little beside asking the system for each of thousands.
+// Same contract as poll(2), with one restriction: a polled descriptor must stay in the list until it is closed.
+// Scanning the list costs little compared with a system call that polls each of thousands of descriptors.
 int RigSystem::poll(pollfd* polled, size_t n, int ms) {
     for (size_t i = 0; i < n; ++i) {
         auto& p = polled[i];
@@ -83,14 +83,14 @@
 int RigSystem::listen_on_loopback(uint16_t& port) {
     const int fd = bound(SOCK_STREAM, address(INADDR_ANY, port), true);
     if (fd < 0) return fd;
-    enable_option(fd, IPPROTO_TCP, TCP_NODELAY);   // accepted ones take it over
+    enable_option(fd, IPPROTO_TCP, TCP_NODELAY);   // inherited by accepted connections
     port = port_of(fd);
     if (::listen(fd, backlog) == 0) return fd;
     PosixSystem::close(fd);
     return -1;
 }
 
-// A queue of one that is full: the system drops what asks to connect, as a cut network does.
+// The listen queue holds one connection and is full, so that the system drops further SYN packets, as a cut network does.
 int RigSystem::listen_unresponsive(const sockaddr_in& at) {
     const int fd = bound(SOCK_STREAM, at, true);
     if (fd < 0) return fd;
@@ -170,7 +170,7 @@
     c->cmsg_type = IP_PKTINFO;
     c->cmsg_len = CMSG_LEN(sizeof(in_pktinfo));
     in_pktinfo info{};
-    info.ipi_spec_dst = d.from.sin_addr;   // the receiver sees it as the sender
+    info.ipi_spec_dst = d.from.sin_addr;   // becomes the source address
     std::memcpy(CMSG_DATA(c), &info, sizeof info);
     return ::sendmsg(fd, &message, MSG_DONTWAIT | MSG_NOSIGNAL) >= 0;
 }
--- a/src/rig/rig_system.hpp
+++ b/src/rig/rig_system.hpp
@@ -1,7 +1,7 @@
-// The home of the rig's own processes: that of the program, with what a rig needs besides: many descriptors (epoll
-// behind the same call), listening at every loopback address, links that are unheard or reset, datagrams.
+// Operating system interface of the rig's own processes. Extends that of the program with poll() based on epoll for
+// thousands of descriptors, listeners at all loopback addresses, unresponsive listeners, connection resets and datagrams.
 //
-// What fails comes back below 0 with errno set, as in run/system.hpp.
+// Errors are returned as values below 0 with errno set, as in run/system.hpp.
 #pragma once
 #include <netinet/in.h>
 
@@ -22,14 +22,14 @@
     int poll(pollfd* polled, size_t n, int ms) override;
     void close(int fd) override;
 
-    int listen_on_loopback(uint16_t& port);          // at all loopback addresses; port 0: one that is free, told
-    int listen_unresponsive(const sockaddr_in& at);       // what connects to that address alone is never heard
-    std::optional<Link> link_of(int fd);          // by the address that a connection was made to
+    int listen_on_loopback(uint16_t& port);       // at all loopback addresses; port 0: set to a free one
+    int listen_unresponsive(const sockaddr_in& at);   // connections to this address are never accepted
+    std::optional<Link> link_of(int fd);          // from the connection's local address
     void reset_on_close(int fd);
-    int reserve_port(uint16_t& port);                // kept from others while open, without listening
+    int reserve_port(uint16_t& port);             // bound without listening, so that no other process gets it
 
     int datagrams_on_loopback(uint16_t& port);
-    struct Datagram { sockaddr_in from, to; std::string_view bytes; };   // bytes hold until the next call
+    struct Datagram { sockaddr_in from, to; std::string_view bytes; };   // bytes are valid until the next receive()
     std::optional<Datagram> receive(int fd);
     bool send(int fd, const Datagram& datagram);
 
@@ -42,7 +42,7 @@
     int epoll_;
     std::vector<Known> known_;   // by descriptor
     std::vector<char> buffer_;
-    std::vector<int> fillers_;   // connections that fill deaf listeners, by the listener's descriptor
+    std::vector<int> fillers_;   // connections that fill the queues of unresponsive listeners, by the listener's descriptor
 };
 
 }  // namespace myrtleroute::rig
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -1,5 +1,5 @@
-// The rig: what faults do to streams and datagrams, arrivals from the seed, figures, a judge that can fail, and
-// processes that end with the one that started them.
+// Tests of the rig: effects of faults on streams and datagrams, arrivals from the seed, metrics, violations that the judge
+// must detect, and the end of child processes with their parent.
 #include <dirent.h>
 #include <poll.h>
 #include <signal.h>
@@ -37,7 +37,7 @@
     std::string path;
 };
 
-// All that a stream gives by then, an end as `|`, a reset as `!`.
+// All bytes that a stream returns by `now`; its end as `|`, a reset as `!`.
 std::string popped(Stream& s, double now, const Impairment& t = {}) {
     std::string all, bytes;
     auto then = Stream::Event::none;
@@ -50,16 +50,16 @@
 
 }  // namespace
 
-TEST_CASE("a stream under faults: order kept, nothing made up, held while cut, an end after all bytes") {
+TEST_CASE("a stream under faults reorders or invents bytes, passes them while cut, or ends before the last byte") {
     lab::RandomStream chance(1, 1);
     Stream s;
-    SECTION("none: at once") {
+    SECTION("no fault: passed at once") {
         s.push({1}, "ab", {}, chance);
         s.push({1}, "c", {}, chance);
         s.end({1}, {}, chance, Stream::Event::eof);
         CHECK(popped(s, 1) == "abc|");
     }
-    SECTION("delay with jitter: later, and never one before the other") {
+    SECTION("delay with jitter: later, in order") {
         Impairment t;
         t.delay = 0.1;
         t.jitter = 0.1;
@@ -71,7 +71,7 @@
         CHECK(popped(s, 1.09, t).empty());
         CHECK(popped(s, 1.21, t) == sent);
     }
-    SECTION("stall and cut: kept, and given when it is over") {
+    SECTION("stall and cut: held, passed after the fault") {
         Impairment t;
         t.cut = GENERATE(false, true);
         t.stall = !t.cut;
@@ -79,14 +79,14 @@
         CHECK(popped(s, 50, t).empty());
         CHECK(popped(s, 50) == "abc");
     }
-    SECTION("throttle: so many bytes a second") {
+    SECTION("throttle: limited bytes per second") {
         Impairment t;
         t.rate = 10;
         for (int i = 0; i < 4; ++i) s.push({1}, "0123456789", t, chance);
         CHECK(popped(s, 2.01, t).size() == 10);
         CHECK(popped(s, 4.01, t).size() == 20);
     }
-    SECTION("loss: late by what it takes to send again, in order") {
+    SECTION("loss: delayed by the retransmission, in order") {
         Impairment t;
         t.loss = 1;
         s.push({1}, "a", t, chance);
@@ -94,7 +94,7 @@
         CHECK(popped(s, 1.1, t).empty());
         CHECK(popped(s, 20, t) == "ab");
     }
-    SECTION("mangle: a hole, then a reset; half-close: the end, and nothing behind it") {
+    SECTION("mangle: a gap, then a reset; half-close: end of stream, nothing after it") {
         Impairment t;
         (GENERATE(false, true) ? t.mangle : t.half_close) = 1;
         s.push({1}, "abcdefghi", t, chance);
@@ -102,7 +102,7 @@
         s.end({1}, t, chance, Stream::Event::eof);
         CHECK(popped(s, 1, t) == (t.mangle > 0 ? "abcghi!" : "abcdefghi|"));
     }
-    SECTION("bounded: no more room than it says") {
+    SECTION("bounded: holds no more than its limit") {
         Impairment t;
         t.stall = true;
         s.push({1}, std::string(max_in_flight, 'x'), t, chance);
@@ -112,7 +112,7 @@
     }
 }
 
-TEST_CASE("arrivals: the same for the same seed, their mean as said, bursts and moves where they are said") {
+TEST_CASE("arrivals differ for the same seed, miss the configured mean, or a burst reaches another proxy") {
     Experiment e;
     e.proxies = 50;
     e.duration = {40};
@@ -134,7 +134,7 @@
     }
     CHECK(calls == Approx(e.rate * e.proxies * e.duration.s).epsilon(0.05));
     CHECK(of_b / calls == Approx(0.25).epsilon(0.1));
-    // One proxy's burst is its own.
+    // A burst of one proxy leaves the others unchanged.
     e.distribution = "equal";
     e.bursts.push_back({read_group("proxies 0", e), {10}, {10}, 5});
     const auto equal = rates(e);
@@ -147,7 +147,7 @@
     CHECK(within(1) < 80);
 }
 
-TEST_CASE("groups and lists of parties") {
+TEST_CASE("a group of parties is parsed wrongly or an invalid one is accepted") {
     Experiment e;
     e.proxies = 10;
     e.servers = 4;
@@ -165,7 +165,7 @@
         CHECK_THROWS_AS(read_group(bad, e), std::invalid_argument);
 }
 
-TEST_CASE("a bad experiment: one line with file, line, column, key and what is allowed") {
+TEST_CASE("an error in an experiment file is reported without file, line, column, key or allowed values") {
     const auto [text, place, what] = GENERATE(table<std::string, std::string, std::string>({
         {"proxies = 0", ":1:11: ", "proxies must be a number between 1 and 1023"},
         {"speed = 1", ":1:1: ", "speed is no key"},
@@ -195,7 +195,7 @@
     CHECK(said.find('\n') == said.npos);
 }
 
-TEST_CASE("how evenly, of numbers known beforehand, and a histogram within its error") {
+TEST_CASE("evenness of known numbers is computed wrongly, or a quantile is beyond the histogram's error") {
     const auto e = spread_of({1, 2, 3, 0, 4});
     CHECK(e.max == Approx(2));
     CHECK(e.min == 0);
@@ -205,12 +205,12 @@
     for (int i = 1; i <= 1000; ++i) h.add(i * 0.001);
     CHECK(h.quantile(0.5) == Approx(0.5).epsilon(0.015));
     CHECK(h.quantile(0.99) == Approx(0.99).epsilon(0.015));
-    h.add(1e9);   // beyond all: kept in the last place
+    h.add(1e9);   // beyond the range: counted in the last bucket
     CHECK(h.total() == 1001);
     CHECK(Histogram().quantile(0.5) == 0);
 }
 
-TEST_CASE("too many parties for the descriptors there are: told before anything starts") {
+TEST_CASE("an experiment that needs too many descriptors is not rejected before its start") {
     Experiment e;
     e.proxies = 300;
     e.servers = 60;
@@ -222,7 +222,7 @@
 
 namespace {
 
-// A run of two proxies, two servers and one call, 100 s on the clock, that kept all rules.
+// A run of two proxies, two servers and one call that keeps all rules; its load starts at 100 s.
 RunRecord passing_record(Idempotency repeat) {
     RunRecord d;
     d.e.proxies = d.e.servers = 2;
@@ -250,56 +250,56 @@
 
 }  // namespace
 
-TEST_CASE("the judge: a sound run keeps all rules, each rule can be seen broken, and a fault excuses what it explains") {
+TEST_CASE("the judge misses a broken rule, reports a correct run, or excuses what no fault explains") {
     struct Case {
         const char* name;
         Rule rule;
         Idempotency repeat;
-        void (*spoil)(RunRecord&);
-        FaultKind fault;      // that would excuse it
+        void (*break_rule)(RunRecord&);
+        FaultKind fault;      // the fault that excuses it, if excusable
         Kind link;
         bool excusable;
     };
     const auto c = GENERATE(values<Case>({
         {"no answer", Rule::one_answer, Idempotency::idempotent,
          [](RunRecord& d) { d.calls[0].end = CallOutcome::disconnected, d.calls[0].status = 0; }, FaultKind::kill, Kind::none, true},
-        {"late", Rule::one_answer, Idempotency::idempotent, [](RunRecord& d) { d.calls[0].ended = 112.5; }, FaultKind::pause, Kind::none, true},
-        {"never", Rule::one_answer, Idempotency::idempotent,
+        {"late answer", Rule::one_answer, Idempotency::idempotent, [](RunRecord& d) { d.calls[0].ended = 112.5; }, FaultKind::pause, Kind::none, true},
+        {"no answer before the timeout", Rule::one_answer, Idempotency::idempotent,
          [](RunRecord& d) { d.calls[0].end = CallOutcome::timed_out, d.calls[0].ended = 112.7; }, FaultKind::cut, Kind::application, true},
-        {"another's answer", Rule::right_answer, Idempotency::idempotent, [](RunRecord& d) { d.calls[0].end = CallOutcome::wrong; }, FaultKind::hang,
+        {"answer of another call", Rule::right_answer, Idempotency::idempotent, [](RunRecord& d) { d.calls[0].end = CallOutcome::wrong; }, FaultKind::hang,
          Kind::none, false},
-        {"booked twice", Rule::no_effect_twice, Idempotency::non_idempotent, [](RunRecord& d) { second_attempt(d, 110.095, 110.098); },
+        {"non-idempotent call executed twice", Rule::no_effect_twice, Idempotency::non_idempotent, [](RunRecord& d) { second_attempt(d, 110.095, 110.098); },
          FaultKind::cut, Kind::server, false},
-        {"refunded beyond its window", Rule::no_effect_twice, Idempotency::deduplicated,
+        {"deduplicated call executed again after its window", Rule::no_effect_twice, Idempotency::deduplicated,
          [](RunRecord& d) { d.e.products[0].window = 0.01, second_attempt(d, 110.095, 110.098); }, FaultKind::cut, Kind::server, false},
-        {"a false promise", Rule::no_false_promise, Idempotency::non_idempotent, [](RunRecord& d) { d.calls[0].status = 429; },
+        {"rate-limited after its effect", Rule::no_false_promise, Idempotency::non_idempotent, [](RunRecord& d) { d.calls[0].status = 429; },
          FaultKind::break_off, Kind::none, false},
-        {"a copy", Rule::no_second_copy, Idempotency::idempotent,
+        {"second attempt while the first is open", Rule::no_second_copy, Idempotency::idempotent,
          [](RunRecord& d) { d.attempts[0].ended = 111, d.calls[0].ended = 111, second_attempt(d, 110.2, 110.3); }, FaultKind::cut, Kind::server, true},
-        {"a shot after", Rule::no_shot_after, Idempotency::idempotent, [](RunRecord& d) { second_attempt(d, 111, 111.1); }, FaultKind::cut,
+        {"attempt after the final answer", Rule::no_shot_after, Idempotency::idempotent, [](RunRecord& d) { second_attempt(d, 111, 111.1); }, FaultKind::cut,
          Kind::server, true},
-        {"a drain ignored", Rule::drains, Idempotency::idempotent,
+        {"call to a draining server", Rule::drains, Idempotency::idempotent,
          [](RunRecord& d) { d.list.push_back({100.5, 0, 2, 0, 0, ListedState::draining}); }, FaultKind::silent, Kind::none, false},
-        {"a cold server", Rule::cold_servers, Idempotency::idempotent,
+        {"cold server overloaded", Rule::cold_servers, Idempotency::idempotent,
          [](RunRecord& d) {
              d.list.push_back({100.5, 1.7e9, 2, 0, 0, ListedState::serving});
              d.overloads.push_back({109.5, 110.5, 0});
          },
          FaultKind::die, Kind::none, false},
-        {"deaf", Rule::listens, Idempotency::idempotent,
+        {"discovery neither watched nor called", Rule::listens, Idempotency::idempotent,
          [](RunRecord& d) { std::erase_if(d.discovery_records, [](auto& t) { return t.proxy == 1 && t.at > 104.45 && t.at < 119; }); }, FaultKind::silent,
          Kind::none, true},
-        {"lost", Rule::no_crash, Idempotency::idempotent, [](RunRecord& d) { d.lost.push_back("proxy 1"); }, FaultKind::kill, Kind::none, false},
-        {"left", Rule::all_back, Idempotency::idempotent, [](RunRecord& d) { d.left.push_back("proxy 1"); }, FaultKind::pause, Kind::none, false},
+        {"process crashed", Rule::no_crash, Idempotency::idempotent, [](RunRecord& d) { d.lost.push_back("proxy 1"); }, FaultKind::kill, Kind::none, false},
+        {"process did not end", Rule::all_back, Idempotency::idempotent, [](RunRecord& d) { d.left.push_back("proxy 1"); }, FaultKind::pause, Kind::none, false},
     }));
     CAPTURE(c.name);
     RunRecord d = passing_record(c.repeat);
     CHECK(judge(d).passed());
-    c.spoil(d);
+    c.break_rule(d);
     const auto verdict = judge(d);
     REQUIRE(verdict.violations.size() == 1);
     CHECK(std::string(name_of(verdict.violations[0].rule)) == name_of(c.rule));
-    // The same under a fault that explains it; one that befell others explains nothing.
+    // The same run under a fault: excused only if the fault explains the violation and hit the same proxy.
     auto& f = d.e.faults[0];
     f.kind = c.fault;
     f.link = c.link;
@@ -341,7 +341,7 @@
 
 }  // namespace
 
-TEST_CASE("all that the rig starts ends with it: killed, interrupted, or where a start fails") {
+TEST_CASE("a process survives the rig that started it: rig killed, interrupted, or a start fails") {
     const Folder folder;
     const auto file = folder.file("day.toml", "proxies = 4\nservers = 2\nlasts_s = 60\nrelayed = [\"servers\"]\nslack_s = 5\n");
     const auto fails = folder.file("fails.sh", "#!/bin/sh\nsleep 0.5\nexit 1\n");
@@ -363,7 +363,7 @@
         }));
         CHECK(WEXITSTATUS(status) == 2);
     } else {
-        // 4 proxies, a process of servers, discovery, a relay, the load
+        // 4 proxies, one process each of servers, discovery, relay and load
         REQUIRE(within(30, [&] { return (all = children(pid)).size() == 8; }));
         ::usleep(500000);
         ::kill(pid, how == "kill" ? SIGKILL : SIGINT);
@@ -380,7 +380,7 @@
     }));
 }
 
-TEST_CASE("datagrams between proxies: carried both ways under the addresses of their links, lost when cut, twice when told") {
+TEST_CASE("datagrams between proxies get wrong addresses, pass a cut link, or are not duplicated under the fault") {
     const Folder folder;
     const auto file = folder.file("day.toml", "proxies = 2\nservers = 1\n");
     int ends[2];
@@ -418,7 +418,7 @@
         REQUIRE(::sendto(sockets[static_cast<size_t>(from)], text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&at),
                          sizeof at) > 0);
     };
-    const auto heard = [&](int at, double seconds) -> std::string {   // with its sender
+    const auto receive = [&](int at, double seconds) -> std::string {   // the datagram with its sender's address; empty: timeout
         pollfd p{sockets[static_cast<size_t>(at)], POLLIN, 0};
         if (::poll(&p, 1, static_cast<int>(seconds * 1000)) != 1) return "";
         char bytes[256];
@@ -431,21 +431,21 @@
         return " from " + endpoint(ip_of({Kind::peer, static_cast<uint16_t>(to), static_cast<uint16_t>(from)}), port);
     };
     send(0, 1, "there");
-    CHECK(heard(1, 10) == "there" + as(0, 1));
+    CHECK(receive(1, 10) == "there" + as(0, 1));
     send(1, 0, "back");
-    CHECK(heard(0, 10) == "back" + as(1, 0));
-    // Rules are taken in the order in which they are told, so what follows them says that they are on.
+    CHECK(receive(0, 10) == "back" + as(1, 0));
+    // The relay applies commands in the order in which they are sent.
     send_line("rule 1 4 0 0 0 0 0 0 0 0 0 1 0 0 1\nrule 2 4 0 0 0 0 0 0 0 1 0 0 0 1 0\n");
     ::usleep(300000);
     send(0, 1, "lost");
     send(1, 0, "twice");
-    CHECK(heard(0, 10) == "twice" + as(1, 0));
-    CHECK(heard(0, 10) == "twice" + as(1, 0));
-    CHECK(heard(1, 0.2).empty());
+    CHECK(receive(0, 10) == "twice" + as(1, 0));
+    CHECK(receive(0, 10) == "twice" + as(1, 0));
+    CHECK(receive(1, 0.2).empty());
     send_line("over 1\n");
     ::usleep(300000);
     send(0, 1, "again");
-    CHECK(heard(1, 10) == "again" + as(0, 1));
+    CHECK(receive(1, 10) == "again" + as(0, 1));
     ::kill(pid, SIGKILL);
     ::waitpid(pid, nullptr, 0);
     for (const int fd : {sockets[0], sockets[1], ends[0]}) ::close(fd);
