--- a/src/rig/conductor.cpp
+++ b/src/rig/conductor.cpp
@@ -193,8 +193,8 @@
     nlohmann::json products = nlohmann::json::array(), zones = nlohmann::json::array();
     for (const auto& p : e_.products) {
         nlohmann::json one{{"Name", p.name}, {"BilledValue", p.value}, {"LatencySloS", p.slo.s}, {"ClientTimeoutS", p.timeout.s},
-                           {"Idempotency", repeats[static_cast<int>(p.repeat)]}};
-        if (p.repeat == Idempotency::deduplicated) one["KeyScope"] = "all", one["DedupWindowS"] = p.window;
+                           {"Idempotency", repeats[static_cast<int>(p.idempotency)]}};
+        if (p.idempotency == Idempotency::deduplicated) one["KeyScope"] = "all", one["DedupWindowS"] = p.window;
         products.push_back(one);
     }
     for (int z = 0; z < e_.zones; ++z) zones.push_back(std::string(1, static_cast<char>('a' + z)));
--- a/src/rig/experiment.cpp
+++ b/src/rig/experiment.cpp
@@ -71,7 +71,7 @@
     p.work = t.number("work_s", 0.05, 0, 60);
     p.share = t.number("share", 1, 0, 1e6);
     const auto kind = t.one_of("kind", "idempotent", {"idempotent", "deduplicated", "non_idempotent"});
-    p.repeat = kind == "idempotent" ? Idempotency::idempotent
+    p.idempotency = kind == "idempotent" ? Idempotency::idempotent
                : kind == "deduplicated" ? Idempotency::deduplicated : Idempotency::non_idempotent;
     p.window = t.number("window_s", 30, 0.01, 3600);
     return p;
@@ -157,7 +157,7 @@
     int n = -1;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n);
     if (error != std::errc{} || end != text.data() + text.size() || n < 0)
-        throw std::invalid_argument("is no group: " + said + "; allowed: proxies, servers, discovery, applications, then "
+        throw std::invalid_argument("is not a group: " + said + "; allowed: proxies, servers, discovery, applications, then "
                                     "nothing, N, N-M, `every N` or `zone NAME`");
     return n;
 }
@@ -192,7 +192,7 @@
         step = std::max(1, parse_index(second, words));
     } else if (first == "zone") {
         if (second.size() != 1 || second[0] < 'a' || second[0] >= 'a' + e.zones)
-            throw std::invalid_argument("names no zone: " + words + "; there are a to " + static_cast<char>('a' + e.zones - 1));
+            throw std::invalid_argument("names an unknown zone: " + words + "; allowed: a to " + static_cast<char>('a' + e.zones - 1));
         from = second[0] - 'a';
         step = e.zones;
     } else if (!first.empty()) {
@@ -201,7 +201,7 @@
         from = parse_index(std::string_view(first).substr(0, dash), words);
         to = dash == first.npos ? from : parse_index(std::string_view(first).substr(dash + 1), words);
         if (to >= count || from > to)
-            throw std::invalid_argument("names more than there are: " + words + "; there are 0 to " + std::to_string(count - 1));
+            throw std::invalid_argument("is out of range: " + words + "; there are 0 to " + std::to_string(count - 1));
     }
     for (int i = from; i <= to; i += step) g.members.push_back(i);
     return g;
--- a/src/rig/experiment.hpp
+++ b/src/rig/experiment.hpp
@@ -82,7 +82,7 @@
     std::string name;
     double value = 1, work = 0.05, share = 1, window = 0;
     Span slo{0.5}, timeout{2};
-    Idempotency repeat = Idempotency::idempotent;
+    Idempotency idempotency = Idempotency::idempotent;
 };
 
 struct Burst {
--- a/src/rig/judge.cpp
+++ b/src/rig/judge.cpp
@@ -142,8 +142,8 @@
         for (size_t i = 0; i < n; ++i) {
             const auto& s = attempts[i];
             if (s.executed > 0) {
-                const bool again = effects > 0 && (p.repeat == Idempotency::non_idempotent || s.began - first > p.window + protocol_slack);
-                if (again && p.repeat != Idempotency::idempotent)
+                const bool again = effects > 0 && (p.idempotency == Idempotency::non_idempotent || s.began - first > p.window + protocol_slack);
+                if (again && p.idempotency != Idempotency::idempotent)
                     add_violation(Rule::no_effect_twice, c, attempts, n, nullptr, "took effect again at server " + std::to_string(s.server));
                 if (effects++ == 0) first = s.received;   // the deduplication window counts from the first execution
             }
@@ -158,7 +158,7 @@
                 add_violation(Rule::no_second_copy, c, attempts, n, link_cause ? link_cause : link ? link : why, "a second attempt while an earlier one was open");
             }
         }
-        if ((c.status == 429 || c.status == 503) && p.repeat == Idempotency::non_idempotent && effects > 0)
+        if ((c.status == 429 || c.status == 503) && p.idempotency == Idempotency::non_idempotent && effects > 0)
             add_violation(Rule::no_false_promise, c, attempts, n, nullptr, "rate-limited although it took effect");
     }
 
--- a/src/rig/load.cpp
+++ b/src/rig/load.cpp
@@ -116,11 +116,11 @@
     const int size = std::snprintf(text, sizeof text,
                                    "%s /api?of=%d HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: %llx\r\nX-Priority-Class: %s\r\n"
                                    "X-Timeout: %dm\r\n%s\r\n%s",
-                                   p.repeat == Idempotency::idempotent ? "GET" : "POST", a.proxy,
+                                   p.idempotency == Idempotency::idempotent ? "GET" : "POST", a.proxy,
                                    static_cast<unsigned long long>(record.call), p.name.c_str(),
                                    static_cast<int>(p.timeout.s * 1000),
-                                   p.repeat == Idempotency::idempotent ? "" : "Content-Length: 4\r\n",
-                                   p.repeat == Idempotency::idempotent ? "" : "book");
+                                   p.idempotency == Idempotency::idempotent ? "" : "Content-Length: 4\r\n",
+                                   p.idempotency == Idempotency::idempotent ? "" : "book");
     connection->call = index;
     connection->out.push(std::string_view(text, static_cast<size_t>(size)));
     loop_.set_timer(*connection, loop_.now() + p.timeout + timeout_grace + e_.slack);
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -223,10 +223,10 @@
 namespace {
 
 // A run of two proxies, two servers and one call that keeps all rules; its load starts at 100 s.
-RunRecord passing_record(Idempotency repeat) {
+RunRecord passing_record(Idempotency idempotency) {
     RunRecord d;
     d.e.proxies = d.e.servers = 2;
-    d.e.products = {{.name = "seat", .repeat = repeat}};
+    d.e.products = {{.name = "seat", .idempotency = idempotency}};
     d.e.faults.resize(1);
     d.start = 100;
     d.end = 125;
@@ -254,7 +254,7 @@
     struct Case {
         const char* name;
         Rule rule;
-        Idempotency repeat;
+        Idempotency idempotency;
         void (*break_rule)(RunRecord&);
         FaultKind fault;      // the fault that excuses it, if excusable
         Kind link;
@@ -293,7 +293,7 @@
         {"process did not end", Rule::all_back, Idempotency::idempotent, [](RunRecord& d) { d.left.push_back("proxy 1"); }, FaultKind::pause, Kind::none, false},
     }));
     CAPTURE(c.name);
-    RunRecord d = passing_record(c.repeat);
+    RunRecord d = passing_record(c.idempotency);
     CHECK(judge(d).passed());
     c.break_rule(d);
     const auto verdict = judge(d);
