--- a/src/rig/arrivals.cpp
+++ b/src/rig/arrivals.cpp
@@ -35,7 +35,8 @@
 
 double Arrivals::rate(Time at) const {
     auto index = static_cast<size_t>(proxy_);
-    if (e_.shift_period > Span{}) index += static_cast<size_t>(at.s / e_.shift_period.s) * std::max<size_t>(1, rates_.size() / 10);
+    if (e_.shift_period > Span{})
+        index += static_cast<size_t>(at.s / e_.shift_period.s) * std::max<size_t>(1, rates_.size() / 10);
     double r = rates_[index % rates_.size()];
     for (const auto* b : bursts_)
         if (at.s >= b->at.s && at.s < b->at.s + b->duration.s) r *= b->factor;
@@ -44,7 +45,8 @@
 
 Time Arrivals::constant_until(Time at) const {
     double until = e_.duration.s + 1;
-    if (e_.shift_period > Span{}) until = std::min(until, (std::floor(at.s / e_.shift_period.s) + 1) * e_.shift_period.s);
+    if (e_.shift_period > Span{})
+        until = std::min(until, (std::floor(at.s / e_.shift_period.s) + 1) * e_.shift_period.s);
     for (const auto* b : bursts_)
         for (const double edge : {b->at.s, b->at.s + b->duration.s})
             if (edge > at.s) until = std::min(until, edge);
--- a/src/rig/conductor.cpp
+++ b/src/rig/conductor.cpp
@@ -35,13 +35,15 @@
 }  // namespace
 
 ProcessCounts process_counts(const Experiment& e, size_t most) {
-    const double lines = e.proxies * std::min<double>(e.servers, max_servers_per_proxy);   // connections between proxies and servers
+    const double lines =
+        e.proxies * std::min<double>(e.servers, max_servers_per_proxy);   // connections between proxies and servers
     const auto needed = [&](double descriptors, const char* what) {
         const double n = std::ceil(descriptors / static_cast<double>(most > 2 * spare_descriptors ? most - spare_descriptors : 1));
         if (n > max_processes)
-            throw StartFailure(std::string("too few descriptors: ") + what + " would take " + std::to_string(static_cast<long>(descriptors)) +
-                            ", a process may have " + std::to_string(most) + " and there are " + std::to_string(max_processes) +
-                            " processes for it at most; fewer proxies or servers, or a higher limit");
+            throw StartFailure(std::string("too few descriptors: ") + what + " would take " +
+                               std::to_string(static_cast<long>(descriptors)) + ", a process may have " +
+                               std::to_string(most) + " and there are " + std::to_string(max_processes) +
+                               " processes for it at most; fewer proxies or servers, or a higher limit");
         return static_cast<int>(n);
     };
     ProcessCounts s;
@@ -74,13 +76,21 @@
 }  // namespace
 
 Conductor::Conductor(const Experiment& e, size_t arm, int repeat, std::string directory, RunOptions how)
-    : e_(e), arm_(e.arms[arm]), options_(std::move(how)), counts_(process_counts(e, options_.max_descriptors)), log_(run::Level::error, system_),
-      loop_(log_, system_), proxies_(static_cast<size_t>(e.proxies)), server_incarnations_(static_cast<size_t>(e.servers)) {
+    : e_(e),
+      arm_(e.arms[arm]),
+      options_(std::move(how)),
+      counts_(process_counts(e, options_.max_descriptors)),
+      log_(run::Level::error, system_),
+      loop_(log_, system_),
+      proxies_(static_cast<size_t>(e.proxies)),
+      server_incarnations_(static_cast<size_t>(e.servers)) {
     record_.e = e;
     record_.directory = std::move(directory);
     record_.arm = arm_.name;
     record_.repeat = repeat;
-    record_.program = !arm_.program.empty() ? arm_.program : !options_.program.empty() ? options_.program : "run of " + options_.deploy;
+    record_.program = !arm_.program.empty()       ? arm_.program
+                      : !options_.program.empty() ? options_.program
+                                                  : "run of " + options_.deploy;
     const int signals = system_.watch_signals();
     if (signals >= 0) loop_.add(std::make_unique<Signals>(*this, signals));
 }
@@ -91,7 +101,8 @@
         if (part->pid > 0) ::kill(part->pid, SIGKILL);
     for (const auto& [pid, number] : proxy_by_pid_) ::kill(pid, SIGKILL);
     const Time most = system_.now() + Span{2};
-    while (system_.now() < most && (!proxy_by_pid_.empty() || std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->pid > 0; }))) {
+    while (system_.now() < most &&
+           (!proxy_by_pid_.empty() || std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->pid > 0; }))) {
         reap();
         system_.PosixSystem::poll(nullptr, 0, 5);   // sleeps 5 ms
     }
@@ -144,7 +155,8 @@
 
 void Conductor::send(Part& part, const std::string& line) {
     if (!part.line) return;
-    if (!part.line->out.push(line + "\n")) throw std::runtime_error(part.name + ": the control connection's buffer is full");
+    if (!part.line->out.push(line + "\n"))
+        throw std::runtime_error(part.name + ": the control connection's buffer is full");
     loop_.flush(*part.line);
 }
 
@@ -161,8 +173,19 @@
     auto& part = *parts_.back();
     part.name = kind + "-" + std::to_string(number);
     ProcessOptions what;
-    what.arguments = {options_.self, "part", kind, "--file", options_.file, "--seed", std::to_string(e_.seed), "--dir", record_.directory,
-                  "--number", std::to_string(number), "--of", std::to_string(of)};
+    what.arguments = {options_.self,
+                      "part",
+                      kind,
+                      "--file",
+                      options_.file,
+                      "--seed",
+                      std::to_string(e_.seed),
+                      "--dir",
+                      record_.directory,
+                      "--number",
+                      std::to_string(number),
+                      "--of",
+                      std::to_string(of)};
     what.output = record_.directory + "/" + part.name + ".log";
     what.control_fd = ends[1];
     part.pid = spawn(what);
@@ -174,7 +197,9 @@
 }
 
 std::vector<std::string> Conductor::command_of(const Proxy& proxy) const {
-    const auto& program = !proxy.program.empty() ? proxy.program : !arm_.program.empty() ? arm_.program : options_.program;
+    const auto& program = !proxy.program.empty()  ? proxy.program
+                          : !arm_.program.empty() ? arm_.program
+                                                  : options_.program;
     if (proxy.no_start) return {"/bin/sh", "-c", "exit 1"};
     if (!program.empty()) return {program};
     try {
@@ -215,7 +240,8 @@
     seed << std::hex << std::setw(16) << std::setfill('0') << chance.number();
     const Link link{Kind::discovery, static_cast<uint16_t>(i), 0};
     const int kind = static_cast<int>(Kind::discovery);
-    const auto port = e_.relays(Kind::discovery) ? relay_ports_.at({i % counts_.relays, kind, 0}) : ports_.at({kind, 0});
+    const auto port =
+        e_.relays(Kind::discovery) ? relay_ports_.at({i % counts_.relays, kind, 0}) : ports_.at({kind, 0});
     const nlohmann::json config{
         {"name", "p" + std::to_string(i)}, {"listen", endpoint(listen_ip(i), proxy_port_)},
         {"discovery", endpoint(ip_of(link), port)}, {"seed", seed.str()},
@@ -272,8 +298,9 @@
         record_.max_memory_mb = std::max(record_.max_memory_mb, static_cast<double>(ended.max_memory) / 1024);
         record_.memory_mb += static_cast<double>(ended.max_memory) / 1024;   // sum; divided in stop_all()
         const bool sound = !proxy.expected_running && (proxy.no_start || ended.by_signal || ended.code == 0);
-        if (!sound) record_.lost.push_back("proxy " + std::to_string(number) + " ended: " + incarnation.exit + "; " + record_.directory + "/p" +
-                                        std::to_string(number) + ".log has the rest");
+        if (!sound)
+            record_.lost.push_back("proxy " + std::to_string(number) + " ended: " + incarnation.exit + "; " +
+                                   record_.directory + "/p" + std::to_string(number) + ".log has the rest");
         if (proxy.no_start && !ending_) schedule(system_.now() + Span{1}, [this, number] {
             if (proxies_[static_cast<size_t>(number)].pid == 0) start_proxy(number);
         });
@@ -323,25 +350,29 @@
         return std::all_of(parts_.begin(), parts_.end(), [](auto& p) { return p->ready || !p->name.starts_with("servers"); }) &&
                std::any_of(parts_.begin(), parts_.end(), [](auto& p) { return p->ready && p->name == "discovery-0"; });
     };
-    if (!wait_for(ready, start_timeout)) throw StartFailure("the server and discovery processes are not ready after " + std::to_string(start_timeout.s) + " s");
+    if (!wait_for(ready, start_timeout))
+        throw StartFailure("the server and discovery processes are not ready after " + std::to_string(start_timeout.s) +
+                           " s");
 
     size_t wanted = 0;
     for (int r = 0; r < counts_.relays; ++r) {
         auto& relay = start_part("relay", r, counts_.relays);
         const auto stands_for = [&](Kind kind, int to, uint32_t ip, uint16_t port) {
             ++wanted;
-            send(relay, "backend " + std::to_string(static_cast<int>(kind)) + " " + std::to_string(to) + " " + std::to_string(ip) +
-                            " " + std::to_string(port));
+            send(relay, "backend " + std::to_string(static_cast<int>(kind)) + " " + std::to_string(to) + " " +
+                            std::to_string(ip) + " " + std::to_string(port));
         };
         if (e_.relays(Kind::server))
             for (int j = 0; j < e_.servers; ++j) stands_for(Kind::server, j, 0, ports_[{static_cast<int>(Kind::server), j}]);
         if (e_.relays(Kind::discovery)) stands_for(Kind::discovery, 0, 0, ports_[{static_cast<int>(Kind::discovery), 0}]);
         if (e_.relays(Kind::application))
-            for (int i = r; i < e_.proxies; i += counts_.relays) stands_for(Kind::application, i, listen_ip(i), proxy_port_);
+            for (int i = r; i < e_.proxies; i += counts_.relays)
+                stands_for(Kind::application, i, listen_ip(i), proxy_port_);
         if (e_.relays(Kind::peer))
             for (int i = 0; i < e_.proxies; ++i) stands_for(Kind::peer, i, listen_ip(i), proxy_port_);
     }
-    if (!wait_for([&] { return relay_ports_.size() == wanted; }, start_timeout)) throw StartFailure("the relays are not ready");
+    if (!wait_for([&] { return relay_ports_.size() == wanted; }, start_timeout))
+        throw StartFailure("the relays are not ready");
 
     auto& discovery = **std::find_if(parts_.begin(), parts_.end(), [](auto& p) { return p->name == "discovery-0"; });
     const int kind = static_cast<int>(Kind::server);
@@ -357,13 +388,15 @@
             const Link link{Kind::application, static_cast<uint16_t>(p), static_cast<uint16_t>(p)};
             const bool relayed = e_.relays(Kind::application);
             send(load, "proxy " + std::to_string(p) + " " + std::to_string(relayed ? ip_of(link) : listen_ip(p)) + " " +
-                           std::to_string(relayed ? relay_ports_.at({p % counts_.relays, static_cast<int>(Kind::application), p})
-                                                  : proxy_port_));
+                           std::to_string(
+                               relayed ? relay_ports_.at({p % counts_.relays, static_cast<int>(Kind::application), p})
+                                       : proxy_port_));
         }
         send(load, "ask");
     }
     if (!wait_for([this] { return loads_up_ == static_cast<size_t>(counts_.loads); }, start_timeout))
-        throw StartFailure("not all proxies are up after " + std::to_string(start_timeout.s) + " s; their logs are in " + record_.directory);
+        throw StartFailure("not all proxies are up after " + std::to_string(start_timeout.s) +
+                           " s; their logs are in " + record_.directory);
     record_.started_in = (system_.now() - from).s;
 }
 
@@ -407,12 +440,13 @@
         }
     } else if (target == FaultTarget::server) {
         record_fault(number, f.who.members, f.duration.s);
-        send_to_all("servers", "fault " + std::to_string(number) + " " + std::to_string(static_cast<int>(f.kind)) + " " +
-                                std::to_string(f.how) + " " + write_list(f.who.members));
+        send_to_all("servers", "fault " + std::to_string(number) + " " + std::to_string(static_cast<int>(f.kind)) +
+                                   " " + std::to_string(f.how) + " " + write_list(f.who.members));
         over("servers");
     } else if (target == FaultTarget::discovery) {
         record_fault(number, {0}, f.duration.s + (f.kind == FaultKind::late ? f.how : 0));
-        send_to_all("discovery", "fault " + std::to_string(number) + " " + name_of(f.kind).name + " " + std::to_string(f.how));
+        send_to_all("discovery",
+                    "fault " + std::to_string(number) + " " + name_of(f.kind).name + " " + std::to_string(f.how));
         over("discovery");
         if (f.kind != FaultKind::absent) return;
         const auto backend = " " + std::to_string(static_cast<int>(Kind::discovery)) + " 0";
@@ -444,7 +478,8 @@
     auto& proxy = proxies_[static_cast<size_t>(member)];
     if (proxy.pid > 0) ::kill(proxy.pid, now ? SIGSTOP : SIGCONT);
     if (!now && system_.now() >= until) return;
-    schedule(system_.now() + throttle_period * (now ? share : 1 - share), [=, this] { throttle_process(member, share, until, !now); });
+    schedule(system_.now() + throttle_period * (now ? share : 1 - share),
+             [=, this] { throttle_process(member, share, until, !now); });
 }
 
 void Conductor::process_fault(int number, int member) {
@@ -520,7 +555,8 @@
     if (f.kind == FaultKind::die) {
         record_fault(number, one(member), f.duration > Span{} ? f.duration.s : e_.duration.s);
         die();
-        if (f.duration <= Span{} || f.duration > list_lag) schedule(now + list_lag, [=, &incarnation] { list(ListedState::removed, 0, incarnation); });
+        if (f.duration <= Span{} || f.duration > list_lag)
+            schedule(now + list_lag, [=, &incarnation] { list(ListedState::removed, 0, incarnation); });
         if (f.duration > Span{}) schedule(now + f.duration, [=, &incarnation] { back(incarnation); });
         return;
     }
@@ -545,7 +581,8 @@
     const Time proxies_until = system_.now() + end_timeout;
     while (!proxy_by_pid_.empty() && system_.now() < proxies_until) run_once();
     for (const auto& [pid, number] : proxy_by_pid_) {
-        record_.left.push_back("proxy " + std::to_string(number) + " did not end within " + std::to_string(end_timeout.s) + " s of SIGTERM");
+        record_.left.push_back("proxy " + std::to_string(number) + " did not end within " +
+                               std::to_string(end_timeout.s) + " s of SIGTERM");
         ::kill(pid, SIGKILL);
     }
     for (const auto& part : parts_) send(*part, "end");
@@ -570,7 +607,8 @@
 
 RunRecord Conductor::run() {
     std::filesystem::create_directories(record_.directory);
-    if (std::filesystem::weakly_canonical(options_.file) != std::filesystem::weakly_canonical(record_.directory + "/experiment.toml"))
+    if (std::filesystem::weakly_canonical(options_.file) !=
+        std::filesystem::weakly_canonical(record_.directory + "/experiment.toml"))
         std::filesystem::copy_file(options_.file, record_.directory + "/experiment.toml",
                                    std::filesystem::copy_options::overwrite_existing);
     std::exception_ptr error;
--- a/src/rig/conductor.hpp
+++ b/src/rig/conductor.hpp
@@ -30,7 +30,8 @@
 struct ProcessCounts {
     int servers = 1, relays = 0, loads = 1;
 };
-ProcessCounts process_counts(const Experiment& e, size_t max_descriptors);   // throws StartFailure if there are too few descriptors
+ProcessCounts process_counts(const Experiment& e,
+                             size_t max_descriptors);   // throws StartFailure if there are too few descriptors
 
 class Conductor : public memory::ConnectionHandler {
 public:
--- a/src/rig/discovery.cpp
+++ b/src/rig/discovery.cpp
@@ -72,7 +72,8 @@
         double boot;
         more >> server >> state >> boot >> incarnation;
         auto entry = current_[static_cast<size_t>(server)];
-        if (incarnation != entry.incarnation && entry.state != ListedState::removed) {   // the old incarnation is removed from the list
+        if (incarnation != entry.incarnation &&
+            entry.state != ListedState::removed) {   // the old incarnation is removed from the list
             entry.state = ListedState::removed;
             apply_change(server, entry);
         }
@@ -144,7 +145,8 @@
 std::string Discovery::format_list(int proxy, uint32_t from, uint32_t to, bool whole) const {
     static constexpr const char* states[] = {"SERVING", "DRAINING", "DELETED"};
     std::map<std::pair<int, int>, Entry> latest;   // by server and incarnation
-    for (uint32_t i = from; i < to; ++i) latest[{changes_[i].server, changes_[i].entry.incarnation}] = changes_[i].entry;
+    for (uint32_t i = from; i < to; ++i)
+        latest[{changes_[i].server, changes_[i].entry.incarnation}] = changes_[i].entry;
     const auto& ports = ports_[static_cast<size_t>(proxy) % ports_.size()];
     std::ostringstream out;
     out.precision(17);
@@ -177,7 +179,8 @@
         return;
     }
     auto& connection = static_cast<ProxyConnection&>(c);
-    while (!connection.in.empty() && !connection.http.done() && !connection.http.fault()) connection.in.drop(connection.http.feed(connection.in.front()));
+    while (!connection.in.empty() && !connection.http.done() && !connection.http.fault())
+        connection.in.drop(connection.http.feed(connection.in.front()));
     if (c.ended || connection.http.fault()) return end(connection);
     if (!connection.http.done() || connection.request_open) return;
     connection.request_open = true;
@@ -195,7 +198,8 @@
     if (silent_faults_ || (!even_unchanged && rev <= connection.from)) return;
     const bool whole = !connection.watches;
     const auto to = std::max(rev, connection.watches ? connection.from : 0);
-    connection.out.push(wire::format_response(200, format_list(connection.proxy, whole ? 0 : connection.from, to, whole), true));
+    connection.out.push(
+        wire::format_response(200, format_list(connection.proxy, whole ? 0 : connection.from, to, whole), true));
     records_.push_back({at(loop_.now()), to, static_cast<uint16_t>(connection.proxy), false});
     connection.request_open = connection.watches = false;
     connection.http.next();
@@ -210,7 +214,8 @@
 void Discovery::on_timer(Connection& c) { answer(static_cast<ProxyConnection&>(c), true); }
 
 void Discovery::end(ProxyConnection& connection) {
-    if (connection.request_open) records_.push_back({at(loop_.now()), 0, static_cast<uint16_t>(connection.proxy), false});
+    if (connection.request_open)
+        records_.push_back({at(loop_.now()), 0, static_cast<uint16_t>(connection.proxy), false});
     std::erase(connections_, &connection);
     loop_.close(connection, CloseReason::peer_closed);
 }
--- a/src/rig/experiment.cpp
+++ b/src/rig/experiment.cpp
@@ -157,7 +157,8 @@
     int n = -1;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n);
     if (error != std::errc{} || end != text.data() + text.size() || n < 0)
-        throw std::invalid_argument("is not a group: " + said + "; allowed: proxies, servers, discovery, applications, then "
+        throw std::invalid_argument("is not a group: " + said +
+                                    "; allowed: proxies, servers, discovery, applications, then "
                                     "nothing, N, N-M, `every N` or `zone NAME`");
     return n;
 }
@@ -192,7 +193,8 @@
         step = std::max(1, parse_index(second, words));
     } else if (first == "zone") {
         if (second.size() != 1 || second[0] < 'a' || second[0] >= 'a' + e.zones)
-            throw std::invalid_argument("names an unknown zone: " + words + "; allowed: a to " + static_cast<char>('a' + e.zones - 1));
+            throw std::invalid_argument("names an unknown zone: " + words + "; allowed: a to " +
+                                        static_cast<char>('a' + e.zones - 1));
         from = second[0] - 'a';
         step = e.zones;
     } else if (!first.empty()) {
--- a/src/rig/figures.cpp
+++ b/src/rig/figures.cpp
@@ -62,7 +62,8 @@
     return all;
 }
 
-Spread actual(const RunRecord& d, const std::vector<Chosen>& chosen, const std::vector<int>& servers, double from, double to, uint64_t& n) {
+Spread actual(const RunRecord& d, const std::vector<Chosen>& chosen, const std::vector<int>& servers, double from,
+              double to, uint64_t& n) {
     std::vector<double> calls(static_cast<size_t>(d.e.servers));
     for (const auto& c : chosen)
         if (c.at >= from && c.at < to) ++calls[static_cast<size_t>(c.server)];
@@ -158,7 +159,9 @@
     const double excess = residual_sum - chance_sum;
     all.persistent = n > 1 ? (variance(rest_sum) / n - residual_sum / n) * n / (n - 1) : 0;
     all.transient = excess - all.persistent;
-    for (double* part : {&all.observed, &all.pools, &all.traffic, &all.chance, &all.persistent, &all.transient, &all.covariance}) *part /= n;
+    for (double* part :
+         {&all.observed, &all.pools, &all.traffic, &all.chance, &all.persistent, &all.transient, &all.covariance})
+        *part /= n;
     return all;
 }
 
@@ -199,7 +202,8 @@
 // Computes Figures::even_after; 0 if no fault was applied.
 double even_after(const RunRecord& d, const std::vector<Chosen>& chosen, double duration, lab::RandomStream& chance) {
     double over = -1;
-    for (const auto& b : d.applied_faults) over = std::max(over, std::min(b.to > 0 ? b.to - d.start : duration, duration));
+    for (const auto& b : d.applied_faults)
+        over = std::max(over, std::min(b.to > 0 ? b.to - d.start : duration, duration));
     if (over < 0) return 0;
     double since = -1;
     for (double from = over; from + d.e.window.s <= duration + 1e-9; from += 1) {
@@ -264,7 +268,8 @@
             const Span cold = kind == FaultKind::die || kind == FaultKind::drain ? d.e.warm_after : Span{};
             w.fault_free &= b.from - d.start > to || b.to - d.start + cold.s < from - d.e.window.s;
         }
-        if (w.fault_free && w.random.cv > 0) f.worst_fault_free = std::max(f.worst_fault_free, w.actual.cv / w.random.cv);
+        if (w.fault_free && w.random.cv > 0)
+            f.worst_fault_free = std::max(f.worst_fault_free, w.actual.cv / w.random.cv);
         f.windows.push_back(w);
         all_ours.push_back(w.actual);
         all_random.push_back(w.random);
@@ -308,39 +313,74 @@
     };
     auto windows = nlohmann::json::array();
     for (const auto& w : f.windows)
-        windows.push_back({{"from_s", w.from}, {"calm", w.fault_free}, {"servers", w.servers}, {"spread", spread(w.actual)},
+        windows.push_back({{"from_s", w.from},
+                           {"calm", w.fault_free},
+                           {"servers", w.servers},
+                           {"spread", spread(w.actual)},
                            {"random", spread(w.random)}});
     nlohmann::json latency;
     for (size_t i = 0; i < f.latency.size(); ++i)
         latency[d.e.products[i].name] = {{"p50", f.latency[i].quantile(0.5)}, {"p99", f.latency[i].quantile(0.99)}};
     const auto calls = static_cast<double>(std::max<uint64_t>(1, f.calls));
-    return {{"experiment", d.e.name}, {"arm", d.arm}, {"program", d.program}, {"repeat", d.repeat}, {"seed", d.e.seed},
-            {"whole", d.complete}, {"directory", d.directory}, {"spread", spread(f.actual)}, {"random", spread(f.random)},
-            {"windows", windows}, {"worst_calm", f.worst_fault_free}, {"even_again_s", f.even_after},
-            {"causes", {{"observed", f.causes.observed}, {"pools", f.causes.pools}, {"traffic", f.causes.traffic},
-                        {"chance", f.causes.chance}, {"lasting", f.causes.persistent}, {"passing", f.causes.transient},
-                        {"together", f.causes.covariance}}},
-            {"run", spread(f.whole_run)}, {"run_random", spread(f.whole_run_random)}, {"herd", f.herd}, {"herd_random", f.herd_random},
-            {"service", f.service}, {"calls", f.calls}, {"fulfilled", f.fulfilled}, {"late", f.late},
-            {"rate_limited", f.rate_limited}, {"errored", f.errored}, {"not_connected", f.not_connected}, {"lost", f.lost},
-            {"shots_a_call", static_cast<double>(f.attempts) / calls}, {"probes_a_call", static_cast<double>(f.probes) / calls},
-            {"opens_a_call", static_cast<double>(f.opened) / calls}, {"connections_a_server", f.max_connections},
-            {"list_calls", f.list_calls}, {"latency_s", latency}, {"p50_s", f.all_latency.quantile(0.5)},
-            {"p99_s", f.all_latency.quantile(0.99)}, {"cpu_s_a_proxy", d.cpu / d.e.proxies}, {"memory_mb_a_proxy", d.memory_mb},
-            {"started_in_s", d.started_in}, {"ended_in_s", d.ended_in}};
+    return {{"experiment", d.e.name},
+            {"arm", d.arm},
+            {"program", d.program},
+            {"repeat", d.repeat},
+            {"seed", d.e.seed},
+            {"whole", d.complete},
+            {"directory", d.directory},
+            {"spread", spread(f.actual)},
+            {"random", spread(f.random)},
+            {"windows", windows},
+            {"worst_calm", f.worst_fault_free},
+            {"even_again_s", f.even_after},
+            {"causes",
+             {{"observed", f.causes.observed},
+              {"pools", f.causes.pools},
+              {"traffic", f.causes.traffic},
+              {"chance", f.causes.chance},
+              {"lasting", f.causes.persistent},
+              {"passing", f.causes.transient},
+              {"together", f.causes.covariance}}},
+            {"run", spread(f.whole_run)},
+            {"run_random", spread(f.whole_run_random)},
+            {"herd", f.herd},
+            {"herd_random", f.herd_random},
+            {"service", f.service},
+            {"calls", f.calls},
+            {"fulfilled", f.fulfilled},
+            {"late", f.late},
+            {"rate_limited", f.rate_limited},
+            {"errored", f.errored},
+            {"not_connected", f.not_connected},
+            {"lost", f.lost},
+            {"shots_a_call", static_cast<double>(f.attempts) / calls},
+            {"probes_a_call", static_cast<double>(f.probes) / calls},
+            {"opens_a_call", static_cast<double>(f.opened) / calls},
+            {"connections_a_server", f.max_connections},
+            {"list_calls", f.list_calls},
+            {"latency_s", latency},
+            {"p50_s", f.all_latency.quantile(0.5)},
+            {"p99_s", f.all_latency.quantile(0.99)},
+            {"cpu_s_a_proxy", d.cpu / d.e.proxies},
+            {"memory_mb_a_proxy", d.memory_mb},
+            {"started_in_s", d.started_in},
+            {"ended_in_s", d.ended_in}};
 }
 
 void print(std::ostream& out, const RunRecord& d, const Figures& f) {
     const auto row = [&](const char* what, const Spread& actual, const Spread& random) {
-        out << "  " << std::left << std::setw(26) << what << std::right << std::fixed << std::setprecision(2) << std::setw(7)
-            << actual.max << std::setw(7) << actual.min << std::setw(7) << actual.cv << std::setw(7) << actual.idle << "   |"
-            << std::setw(7) << random.max << std::setw(7) << random.min << std::setw(7) << random.cv << std::setw(7)
-            << random.idle << '\n';
+        out << "  " << std::left << std::setw(26) << what << std::right << std::fixed << std::setprecision(2)
+            << std::setw(7) << actual.max << std::setw(7) << actual.min << std::setw(7) << actual.cv << std::setw(7)
+            << actual.idle << "   |" << std::setw(7) << random.max << std::setw(7) << random.min << std::setw(7)
+            << random.cv << std::setw(7) << random.idle << '\n';
     };
     const auto calls = static_cast<double>(std::max<uint64_t>(1, f.calls));
-    out << d.e.name << ", " << d.arm << ", seed " << d.e.seed << ": " << d.e.proxies << " proxies (" << d.program << ") by "
-        << d.e.servers << " servers, " << f.calls << " calls in " << d.e.duration.s << " s" << (d.complete ? "" : ", INTERRUPTED") << '\n'
-        << "  calls by server" << std::setw(20) << "max" << std::setw(7) << "min" << std::setw(7) << "cv" << std::setw(7) << "idle"
+    out << d.e.name << ", " << d.arm << ", seed " << d.e.seed << ": " << d.e.proxies << " proxies (" << d.program
+        << ") by " << d.e.servers << " servers, " << f.calls << " calls in " << d.e.duration.s << " s"
+        << (d.complete ? "" : ", INTERRUPTED") << '\n'
+        << "  calls by server" << std::setw(20) << "max" << std::setw(7) << "min" << std::setw(7) << "cv"
+        << std::setw(7) << "idle"
         << "   | of random draws\n";
     std::ostringstream each;
     each << "windows of " << d.e.window.s << " s, mean";
@@ -348,25 +388,30 @@
     std::vector<Spread> fault_free, fault_free_random;
     for (const auto& w : f.windows)
         if (w.fault_free) fault_free.push_back(w.actual), fault_free_random.push_back(w.random);
-    if (!d.applied_faults.empty() && !fault_free.empty()) row("those without a fault", mean(fault_free), mean(fault_free_random));
-    if (!fault_free.empty()) out << std::setprecision(2) << "  the least even of them: cv " << f.worst_fault_free << " times that of random draws\n";
+    if (!d.applied_faults.empty() && !fault_free.empty())
+        row("those without a fault", mean(fault_free), mean(fault_free_random));
+    if (!fault_free.empty())
+        out << std::setprecision(2) << "  the least even of them: cv " << f.worst_fault_free
+            << " times that of random draws\n";
     if (!d.applied_faults.empty() && f.even_after < 0) out << "  not even again before the end\n";
-    else if (!d.applied_faults.empty()) out << std::setprecision(0) << "  even again " << f.even_after << " s after the last fault\n";
+    else if (!d.applied_faults.empty())
+        out << std::setprecision(0) << "  even again " << f.even_after << " s after the last fault\n";
     row("the whole run", f.whole_run, f.whole_run_random);
-    out << std::setprecision(4) << "  cv squared " << f.causes.observed << " = pools " << f.causes.pools << " + unequal traffic " << f.causes.traffic
-        << " + chance in pools " << f.causes.chance << " + choice, lasting " << f.causes.persistent << ", passing " << f.causes.transient
-        << " + both together " << f.causes.covariance << '\n';
-    out << std::setprecision(1) << "  herds: at most " << f.herd << " proxies chose one server within 0.1 s, " << f.herd_random
-        << " by chance\n"
-        << std::setprecision(4) << "  service " << f.service << ": " << f.fulfilled << " in time, " << f.late << " late, "
-        << f.rate_limited << " rate-limited, " << f.errored << " errored, " << f.not_connected << " not connected, " << f.lost
-        << " lost\n"
-        << std::setprecision(3) << "  latency p50 " << f.all_latency.quantile(0.5) << " s, p99 " << f.all_latency.quantile(0.99)
-        << " s; a call: " << static_cast<double>(f.attempts) / calls << " shots, " << static_cast<double>(f.probes) / calls
-        << " probes, " << static_cast<double>(f.opened) / calls << " opens; " << std::setprecision(1) << f.max_connections
-        << " connections a server; " << f.list_calls << " list calls\n"
-        << std::setprecision(3) << "  a proxy: " << d.cpu / d.e.proxies << " s of processor, " << std::setprecision(1) << d.memory_mb
-        << " MB; started in " << d.started_in << " s, ended in " << d.ended_in << " s\n";
+    out << std::setprecision(4) << "  cv squared " << f.causes.observed << " = pools " << f.causes.pools
+        << " + unequal traffic " << f.causes.traffic << " + chance in pools " << f.causes.chance
+        << " + choice, lasting " << f.causes.persistent << ", passing " << f.causes.transient << " + both together "
+        << f.causes.covariance << '\n';
+    out << std::setprecision(1) << "  herds: at most " << f.herd << " proxies chose one server within 0.1 s, "
+        << f.herd_random << " by chance\n"
+        << std::setprecision(4) << "  service " << f.service << ": " << f.fulfilled << " in time, " << f.late
+        << " late, " << f.rate_limited << " rate-limited, " << f.errored << " errored, " << f.not_connected
+        << " not connected, " << f.lost << " lost\n"
+        << std::setprecision(3) << "  latency p50 " << f.all_latency.quantile(0.5) << " s, p99 "
+        << f.all_latency.quantile(0.99) << " s; a call: " << static_cast<double>(f.attempts) / calls << " shots, "
+        << static_cast<double>(f.probes) / calls << " probes, " << static_cast<double>(f.opened) / calls << " opens; "
+        << std::setprecision(1) << f.max_connections << " connections a server; " << f.list_calls << " list calls\n"
+        << std::setprecision(3) << "  a proxy: " << d.cpu / d.e.proxies << " s of processor, " << std::setprecision(1)
+        << d.memory_mb << " MB; started in " << d.started_in << " s, ended in " << d.ended_in << " s\n";
     for (const auto& p : d.parts)
         if (p.busiest > 0.8) out << "  " << p.part << " WAS THE BOTTLENECK: " << std::setprecision(2) << p.busiest << " of a core in its busiest second\n";
     out << std::defaultfloat << std::setprecision(6);
--- a/src/rig/judge.cpp
+++ b/src/rig/judge.cpp
@@ -23,7 +23,8 @@
 };
 
 constexpr double protocol_slack = 0.05;   // of the protocol page; added to the experiment's slack
-constexpr double aftermath = 1;                // seconds after a fault in which it still excuses: held bytes, the backlog of a stopped process
+constexpr double aftermath =
+    1;   // seconds after a fault in which it still excuses: held bytes, the backlog of a stopped process
 constexpr double max_memory_mb = 192;
 
 struct Excuse { double from, to; const char* why; };
@@ -55,7 +56,8 @@
         check_discovery();
         for (const auto& lost : d_.lost) add_violation(Rule::no_crash, 0, lost);
         for (const auto& left : d_.left) add_violation(Rule::all_back, 0, left);
-        if (d_.max_memory_mb > max_memory_mb) add_violation(Rule::all_back, 0, "a proxy had " + std::to_string(d_.max_memory_mb) + " MB");
+        if (d_.max_memory_mb > max_memory_mb)
+            add_violation(Rule::all_back, 0, "a proxy had " + std::to_string(d_.max_memory_mb) + " MB");
         return std::move(v_);
     }
 
@@ -108,20 +110,26 @@
     }
     double seconds_into_run(double t) const { return std::round((t - d_.start) * 1000) / 1000; }
 
-    void add_violation(Rule rule, uint64_t call, const std::string& what) { v_.violations.push_back({rule, call, what}); }
+    void add_violation(Rule rule, uint64_t call, const std::string& what) {
+        v_.violations.push_back({rule, call, what});
+    }
     // Counts an excused violation if `why` names a fault, else records the violation.
-    void add_violation(Rule rule, const CallRecord& c, const AttemptRecord* attempts, size_t n, const char* why, const std::string& what) {
+    void add_violation(Rule rule, const CallRecord& c, const AttemptRecord* attempts, size_t n, const char* why,
+                       const std::string& what) {
         if (why) {
             ++v_.excused[std::string(name_of(rule)) + " by " + why];
             return;
         }
         std::ostringstream text;
-        text << what << "; call " << std::hex << c.call << std::dec << " of " << e_.products[c.product].name << " at proxy "
-             << proxy_of(c.call) << ", sent " << seconds_into_run(c.sent) << " s, ended " << seconds_into_run(c.ended) << " s with " << c.status << ", attempts:";
+        text << what << "; call " << std::hex << c.call << std::dec << " of " << e_.products[c.product].name
+             << " at proxy " << proxy_of(c.call) << ", sent " << seconds_into_run(c.sent) << " s, ended "
+             << seconds_into_run(c.ended) << " s with " << c.status << ", attempts:";
         for (size_t i = 0; i < n; ++i) {
-            text << " [server " << attempts[i].server << " began " << seconds_into_run(attempts[i].began) << " received " << seconds_into_run(attempts[i].received);
+            text << " [server " << attempts[i].server << " began " << seconds_into_run(attempts[i].began)
+                 << " received " << seconds_into_run(attempts[i].received);
             if (attempts[i].executed > 0) text << " executed " << seconds_into_run(attempts[i].executed);
-            text << (attempts[i].answered ? " answered " : " closed ") << (attempts[i].ended > 0 ? seconds_into_run(attempts[i].ended) : -1) << ']';
+            text << (attempts[i].answered ? " answered " : " closed ")
+                 << (attempts[i].ended > 0 ? seconds_into_run(attempts[i].ended) : -1) << ']';
         }
         add_violation(rule, c.call, text.str());
     }
@@ -133,29 +141,39 @@
         const char* why = excused(excuses, c.sent, c.ended);
         if (c.end == CallOutcome::not_connected) return;   // no proxy accepted it
         const double limit = p.timeout.s + e_.grace.s + slack_ + starved(c.sent, c.ended);
-        if (c.end == CallOutcome::disconnected) add_violation(Rule::one_answer, c, attempts, n, why, "its connection closed without an answer");
+        if (c.end == CallOutcome::disconnected)
+            add_violation(Rule::one_answer, c, attempts, n, why, "its connection closed without an answer");
         if (c.end == CallOutcome::timed_out || (c.end == CallOutcome::answered && c.ended - c.sent > limit))
             add_violation(Rule::one_answer, c, attempts, n, why, "no answer in time");
-        if (c.end == CallOutcome::wrong) add_violation(Rule::right_answer, c, attempts, n, why, "answered 200 with a body that no server sent for it");
+        if (c.end == CallOutcome::wrong)
+            add_violation(Rule::right_answer, c, attempts, n, why,
+                          "answered 200 with a body that no server sent for it");
         int effects = 0;
         double first = 0;
         for (size_t i = 0; i < n; ++i) {
             const auto& s = attempts[i];
             if (s.executed > 0) {
-                const bool again = effects > 0 && (p.idempotency == Idempotency::non_idempotent || s.began - first > p.window + protocol_slack);
+                const bool again = effects > 0 && (p.idempotency == Idempotency::non_idempotent ||
+                                                   s.began - first > p.window + protocol_slack);
                 if (again && p.idempotency != Idempotency::idempotent)
-                    add_violation(Rule::no_effect_twice, c, attempts, n, nullptr, "took effect again at server " + std::to_string(s.server));
+                    add_violation(Rule::no_effect_twice, c, attempts, n, nullptr,
+                                  "took effect again at server " + std::to_string(s.server));
                 if (effects++ == 0) first = s.received;   // the deduplication window counts from the first execution
             }
             const char* link_cause = link_excused(proxy, s.server, c.sent, s.received);
             if (s.began > c.ended + slack_ + starved(c.ended, s.began))
-                add_violation(Rule::no_shot_after, c, attempts, n, link_cause ? link_cause : why, "an attempt after its end, to server " + std::to_string(s.server));
+                add_violation(Rule::no_shot_after, c, attempts, n, link_cause ? link_cause : why,
+                              "an attempt after its end, to server " + std::to_string(s.server));
             for (size_t k = 0; k < i; ++k) {
                 const auto& earlier = attempts[k];
                 const double left = (earlier.ended > 0 ? earlier.ended : s.received + 1e9) - s.received;
                 if (left <= slack_ + starved(s.received - 1, s.received + 1)) continue;
                 const char* link = link_excused(proxy, earlier.server, c.sent, s.received);
-                add_violation(Rule::no_second_copy, c, attempts, n, link_cause ? link_cause : link ? link : why, "a second attempt while an earlier one was open");
+                add_violation(Rule::no_second_copy, c, attempts, n,
+                              link_cause ? link_cause
+                              : link     ? link
+                                         : why,
+                              "a second attempt while an earlier one was open");
             }
         }
         if ((c.status == 429 || c.status == 503) && p.idempotency == Idempotency::non_idempotent && effects > 0)
@@ -188,7 +206,8 @@
             if (entry.state != ListedState::draining) continue;
             double until = 1e18;   // until it serves again
             for (size_t k = i + 1; k < d_.list.size() && until > 1e17; ++k)
-                if (d_.list[k].server == entry.server && d_.list[k].state == ListedState::serving) until = d_.list[k].at;
+                if (d_.list[k].server == entry.server && d_.list[k].state == ListedState::serving)
+                    until = d_.list[k].at;
             for (const auto& s : d_.attempts) {
                 if (s.server != entry.server || s.call == 0 || s.began < entry.at + e_.drain_grace.s || s.began > until) continue;
                 const double notified = notified_at(s.proxy, entry.rev, entry.at, s.began);
@@ -200,8 +219,9 @@
                     continue;
                 }
                 std::ostringstream text;
-                text << "proxy " << s.proxy << " sent call " << std::hex << s.call << std::dec << " to server " << s.server << " at "
-                     << seconds_into_run(s.began) << " s, notified of its drain at " << seconds_into_run(notified) << " s";
+                text << "proxy " << s.proxy << " sent call " << std::hex << s.call << std::dec << " to server "
+                     << s.server << " at " << seconds_into_run(s.began) << " s, notified of its drain at "
+                     << seconds_into_run(notified) << " s";
                 add_violation(Rule::drains, s.call, text.str());
             }
         }
@@ -211,7 +231,8 @@
         for (const auto& tip : d_.overloads) {
             const ListRecord* start = nullptr;
             for (const auto& l : d_.list)
-                if (l.server == tip.server && l.state == ListedState::serving && l.boot > 0 && l.at <= tip.at) start = &l;
+                if (l.server == tip.server && l.state == ListedState::serving && l.boot > 0 && l.at <= tip.at)
+                    start = &l;
             double all = 0, known = 0;
             std::set<int> who;
             for (const auto& s : d_.attempts) {
@@ -226,8 +247,9 @@
                 continue;
             }
             std::ostringstream text;
-            text << "server " << tip.server << " was overloaded at " << seconds_into_run(tip.at) << " s with " << all << " s of work since "
-                 << seconds_into_run(tip.from) << " s, " << known << " s of it from " << who.size() << " proxies that knew of its start";
+            text << "server " << tip.server << " was overloaded at " << seconds_into_run(tip.at) << " s with " << all
+                 << " s of work since " << seconds_into_run(tip.from) << " s, " << known << " s of it from "
+                 << who.size() << " proxies that knew of its start";
             add_violation(Rule::cold_servers, 0, text.str());
         }
     }
@@ -244,7 +266,8 @@
                     if (x.from <= now && x.to >= from) from = std::max(from, x.to);
                 if (asks || now - from <= limit + starved(from, now)) return;
                 std::ostringstream text;
-                text << "proxy " << incarnation.proxy << " neither watched nor called discovery from " << seconds_into_run(from) << " s to " << seconds_into_run(now) << " s";
+                text << "proxy " << incarnation.proxy << " neither watched nor called discovery from "
+                     << seconds_into_run(from) << " s to " << seconds_into_run(now) << " s";
                 add_violation(Rule::listens, 0, text.str());
             };
             for (const auto* r : records_[static_cast<size_t>(incarnation.proxy)]) {
@@ -261,7 +284,8 @@
     const Experiment& e_;
     double slack_;
     Verdict v_;
-    std::vector<std::vector<Excuse>> call_excuses_, discovery_excuses_;   // by proxy: for calls; for discovery's answers
+    std::vector<std::vector<Excuse>> call_excuses_,
+        discovery_excuses_;   // by proxy: for calls; for discovery's answers
     std::map<std::pair<int, int>, std::vector<Excuse>> link_excuses_;
     std::vector<std::vector<const DiscoveryRecord*>> records_;
 };
--- a/src/rig/load.cpp
+++ b/src/rig/load.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-constexpr Span health_check_interval{0.05}, timeout_grace{0.5};   // past the timeout, a call without an answer is given up
+constexpr Span health_check_interval{0.05},
+    timeout_grace{0.5};   // past the timeout, a call without an answer is given up
 
 }  // namespace
 
@@ -129,8 +130,10 @@
 
 void Load::on_readable(Connection& c) {
     auto& connection = static_cast<ProxyConnection&>(c);
-    while (!connection.in.empty() && !connection.http.done() && !connection.http.fault()) connection.in.drop(connection.http.feed(connection.in.front()));
-    if (connection.http.done() && (connection.is_health_check || connection.call != ProxyConnection::none)) on_response(connection);
+    while (!connection.in.empty() && !connection.http.done() && !connection.http.fault())
+        connection.in.drop(connection.http.feed(connection.in.front()));
+    if (connection.http.done() && (connection.is_health_check || connection.call != ProxyConnection::none))
+        on_response(connection);
     else if (connection.http.fault() || connection.http.done()) return close(connection, CallOutcome::wrong);
     if (c.open() && c.ended) close(connection, CallOutcome::disconnected);
 }
@@ -147,7 +150,8 @@
     char body[32];
     const int size = std::snprintf(body, sizeof body, "%llx from ", static_cast<unsigned long long>(record.call));
     record.status = static_cast<uint16_t>(status);
-    const bool wrong = status == 200 && !connection.reader.text.starts_with(std::string_view(body, static_cast<size_t>(size)));
+    const bool wrong =
+        status == 200 && !connection.reader.text.starts_with(std::string_view(body, static_cast<size_t>(size)));
     finish_call(connection, wrong ? CallOutcome::wrong : CallOutcome::answered);
     connection.used = true;
     connection.http.next();
@@ -176,7 +180,8 @@
         calls_[index].tries = 2;
         return send(a, calls_[index], index, true);
     }
-    if (index != ProxyConnection::none) finish_call(connection, connection.connecting ? CallOutcome::not_connected : how);
+    if (index != ProxyConnection::none)
+        finish_call(connection, connection.connecting ? CallOutcome::not_connected : how);
     const bool again = connection.is_health_check && !a.up;
     loop_.close(connection, CloseReason::peer_closed);
     if (again) loop_.schedule(loop_.now() + health_check_interval, static_cast<uint64_t>(a.proxy));
--- a/src/rig/main.cpp
+++ b/src/rig/main.cpp
@@ -138,15 +138,17 @@
     std::sort(files.begin(), files.end());
     for (const auto& file : files) {
         const auto e = read_experiment(file.string());
-        std::cout << std::left << std::setw(36) << file.string() << e.proxies << " by " << e.servers << ", " << e.duration.s << " s"
-                  << (e.arms.size() > 1 ? ", " + std::to_string(e.arms.size()) + " arms" : "") << ": " << e.text << '\n';
+        std::cout << std::left << std::setw(36) << file.string() << e.proxies << " by " << e.servers << ", "
+                  << e.duration.s << " s" << (e.arms.size() > 1 ? ", " + std::to_string(e.arms.size()) + " arms" : "")
+                  << ": " << e.text << '\n';
     }
 }
 
 }  // namespace
 
 int main(int count, char** words) {
-    CLI::App app("Runs a fleet of hundreds of real processes on loopback under injected faults and checks it against rules");
+    CLI::App app(
+        "Runs a fleet of hundreds of real processes on loopback under injected faults and checks it against rules");
     app.require_subcommand(1);
     CommandLine arguments;
     auto* runs = app.add_subcommand("run", "run an experiment");
@@ -171,7 +173,8 @@
     app.add_subcommand("faults", "list the kinds of faults");
 
     std::vector<int> links{1, 100, 3000};
-    auto* costs = app.add_subcommand("relay-cost", "measure the cost of a relay: latency, connections and bytes per second");
+    auto* costs =
+        app.add_subcommand("relay-cost", "measure the cost of a relay: latency, connections and bytes per second");
     costs->add_option("--links", links, "numbers of links to measure")->capture_default_str();
 
     int number = 0, of = 1;
@@ -217,7 +220,8 @@
             for (int i = 0; i < static_cast<int>(FaultKind::kinds); ++i) {
                 static constexpr const char* target[] = {"proxies", "servers", "discovery", "links"};
                 const auto& name = name_of(static_cast<FaultKind>(i));
-                std::cout << std::left << std::setw(14) << name.name << std::setw(11) << target[static_cast<int>(name.target)] << name.text << '\n';
+                std::cout << std::left << std::setw(14) << name.name << std::setw(11)
+                          << target[static_cast<int>(name.target)] << name.text << '\n';
             }
         return all_passed ? success : rule_broken;
     } catch (const std::exception& error) {
--- a/src/rig/part.cpp
+++ b/src/rig/part.cpp
@@ -77,7 +77,9 @@
 int Part::run() {
     next_check_ = second_at_ = system_.now();
     check_delay();
-    const auto any_timer_fired = [this](uint64_t cookie) { cookie == check_cookie ? check_delay() : timer_fired(cookie); };
+    const auto any_timer_fired = [this](uint64_t cookie) {
+        cookie == check_cookie ? check_delay() : timer_fired(cookie);
+    };
     while (!stopping_) loop_.run_once(any_timer_fired, [] {});
     write_results();
     write_records(file("starved"), starved_);
--- a/src/rig/records.hpp
+++ b/src/rig/records.hpp
@@ -10,7 +10,13 @@
 
 namespace myrtleroute::rig {
 
-enum class CallOutcome : uint8_t { answered, not_connected, disconnected, timed_out, wrong };   // wrong: a body that no server sent
+enum class CallOutcome : uint8_t {
+    answered,
+    not_connected,
+    disconnected,
+    timed_out,
+    wrong
+};   // wrong: a body that no server sent
 struct CallRecord {
     uint64_t call;
     double due, sent, ended;   // scheduled; request sent; response complete or call abandoned
@@ -19,7 +25,15 @@
     uint8_t tries;             // 2: sent again, as the proxy was closing the first connection
 };
 
-enum class AttemptOutcome : uint8_t { queued, running, executed, refused, failed_before_execution, failed_after_execution, dropped };
+enum class AttemptOutcome : uint8_t {
+    queued,
+    running,
+    executed,
+    refused,
+    failed_before_execution,
+    failed_after_execution,
+    dropped
+};
 struct AttemptRecord {
     uint64_t call;             // 0: a probe
     double began, received, ended;   // first and last byte received; answered, or its connection closed
--- a/src/rig/relay.cpp
+++ b/src/rig/relay.cpp
@@ -18,13 +18,15 @@
 }  // namespace
 
 struct Relay::LinkListener : Listener {
-    LinkListener(memory::ConnectionHandler& by, int fd, Kind of, uint16_t party) : Listener(by, fd), kind(of), to(party) {}
+    LinkListener(memory::ConnectionHandler& by, int fd, Kind of, uint16_t party)
+        : Listener(by, fd), kind(of), to(party) {}
     Kind kind;
     uint16_t to;
 };
 
 struct Relay::End : Connection {
-    End(memory::ConnectionHandler& by, int fd, Pair& of, int sends) : Connection(by, fd, max_in_bytes, max_out_bytes), pair(&of), way(sends) {}
+    End(memory::ConnectionHandler& by, int fd, Pair& of, int sends)
+        : Connection(by, fd, max_in_bytes, max_out_bytes), pair(&of), way(sends) {}
     std::string name() const override { return "link"; }
     Pair* pair;
     int way;                     // direction in which this end sends: 0 forward, 1 backward
@@ -112,7 +114,8 @@
         if (key.first != static_cast<int>(rule.kind) || rule.kind == Kind::peer || !rule.to[static_cast<size_t>(key.second)]) continue;
         for (int from = 0; from < e_.proxies; ++from) {
             const Link link{rule.kind, static_cast<uint16_t>(from), static_cast<uint16_t>(key.second)};
-            const bool one = rule.kind == Kind::application && from != key.second;   // an application has links to one proxy only
+            const bool one =
+                rule.kind == Kind::application && from != key.second;   // an application has links to one proxy only
             if (!rule.from[static_cast<size_t>(from)] || !mine(link) || one) continue;
             auto& [fd, rules] = unresponsive_[ip_of(link)];
             if (cuts && rules++ == 0) fd = system_.listen_unresponsive(address(ip_of(link), backend.port));
@@ -241,7 +244,8 @@
         if (auto* from = pair.ends[way]; from && !from->in.empty()) read_into_stream(pair, way);
         if (!pairs_.count(&pair)) return;
     }
-    if (!stream.empty() && !impairment(pair, way).blocks()) loop_.set_timer(*to, std::max(stream.next(), loop_.now() + Span{1e-4}));
+    if (!stream.empty() && !impairment(pair, way).blocks())
+        loop_.set_timer(*to, std::max(stream.next(), loop_.now() + Span{1e-4}));
     else loop_.clear_timer(*to);
 }
 
@@ -302,9 +306,11 @@
             continue;
         }
         const Link answers{Kind::peer, link->to, link->from};
-        DelayedDatagram delayed{address(ip_of(answers), datagram_port_), address(listen_ip(link->to), peers_[link->to]), std::string(d->bytes)};
+        DelayedDatagram delayed{address(ip_of(answers), datagram_port_), address(listen_ip(link->to), peers_[link->to]),
+                                std::string(d->bytes)};
         for (int copies = 1 + chance_.bernoulli(t.duplicate); copies > 0; --copies) {
-            const Span wait{t.delay + (t.jitter > 0 ? t.jitter * chance_.uniform() : 0)};   // may reorder, as datagrams do
+            const Span wait{t.delay +
+                            (t.jitter > 0 ? t.jitter * chance_.uniform() : 0)};   // may reorder, as datagrams do
             if (wait <= Span{}) {
                 system_.send(datagrams_->fd, {delayed.from, delayed.to, delayed.bytes});
                 continue;
@@ -323,8 +329,8 @@
 }
 
 void Relay::write_results() {
-    send_line("relayed " + std::to_string(connections_) + " " + std::to_string(max_pairs_) + " " + std::to_string(bytes_) + " " +
-         std::to_string(datagram_count_) + " " + std::to_string(lost_));
+    send_line("relayed " + std::to_string(connections_) + " " + std::to_string(max_pairs_) + " " +
+              std::to_string(bytes_) + " " + std::to_string(datagram_count_) + " " + std::to_string(lost_));
 }
 
 }  // namespace myrtleroute::rig
--- a/src/rig/relay.hpp
+++ b/src/rig/relay.hpp
@@ -60,7 +60,8 @@
     uint64_t rules_version_ = 1;
     std::map<std::pair<int, int>, Backend> backends_;   // by kind and party
     std::unordered_map<Pair*, std::unique_ptr<Pair>> pairs_;
-    std::map<uint32_t, std::pair<int, int>> unresponsive_;      // listener and number of rules that cut the link, by its address
+    std::map<uint32_t, std::pair<int, int>>
+        unresponsive_;   // listener and number of rules that cut the link, by its address
     Listener* datagrams_ = nullptr;
     std::map<uint16_t, uint16_t> peers_;                // datagram port of each proxy
     uint16_t datagram_port_ = 0;
--- a/src/rig/relay_cost.cpp
+++ b/src/rig/relay_cost.cpp
@@ -103,7 +103,8 @@
         for (;;) {
             const auto n = system_.read(fd, &part, 1);
             if (n > 0) return static_cast<size_t>(n);
-            if (n == 0 || errno != EAGAIN || !ready(fd, POLLIN)) throw std::runtime_error("a link's connection closed or timed out");
+            if (n == 0 || errno != EAGAIN || !ready(fd, POLLIN))
+                throw std::runtime_error("a link's connection closed or timed out");
         }
     }
     void close(int fd) { system_.close(fd); }
@@ -190,9 +191,11 @@
     uint16_t echo = 0, relay = 0;
     const pid_t echo_pid = start_echo(echo);
     int ends[2];
-    if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0) throw std::runtime_error("no control connection to the relay");
+    if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0)
+        throw std::runtime_error("no control connection to the relay");
     ProcessOptions what;
-    what.arguments = {self, "part", "relay", "--file", file, "--seed", "1", "--dir", dir.string(), "--number", "0", "--of", "1"};
+    what.arguments = {self,    "part",       "relay",    "--file", file,   "--seed", "1",
+                      "--dir", dir.string(), "--number", "0",      "--of", "1"};
     what.output = (dir / "relay.log").string();
     what.control_fd = ends[1];
     const pid_t relay_pid = spawn(what);
--- a/src/rig/report.cpp
+++ b/src/rig/report.cpp
@@ -26,11 +26,12 @@
 // Draws faults as shaded areas over the whole height, with their names as tooltips.
 void shade(std::ostream& out, const RunRecord& d, double height) {
     for (const auto& b : d.applied_faults) {
-        const double from = std::clamp(b.from - d.start, 0.0, d.e.duration.s), to = std::clamp(b.to - d.start, from, d.e.duration.s);
-        out << "<rect x='" << x(d, from) << "' y='0' width='" << std::max(1.0, x(d, to) - x(d, from)) << "' height='" << height
-            << "' fill='#c33' fill-opacity='" << (b.who.size() == 1 ? 0.04 : 0.12) << "'><title>"
-            << name_of(d.e.faults[static_cast<size_t>(b.fault)].kind).name << ", " << escape_html(d.e.faults[static_cast<size_t>(b.fault)].who.words)
-            << "</title></rect>\n";
+        const double from = std::clamp(b.from - d.start, 0.0, d.e.duration.s),
+                     to = std::clamp(b.to - d.start, from, d.e.duration.s);
+        out << "<rect x='" << x(d, from) << "' y='0' width='" << std::max(1.0, x(d, to) - x(d, from)) << "' height='"
+            << height << "' fill='#c33' fill-opacity='" << (b.who.size() == 1 ? 0.04 : 0.12) << "'><title>"
+            << name_of(d.e.faults[static_cast<size_t>(b.fault)].kind).name << ", "
+            << escape_html(d.e.faults[static_cast<size_t>(b.fault)].who.words) << "</title></rect>\n";
     }
 }
 
@@ -55,9 +56,10 @@
         for (size_t s = 0; s < rows.size(); ++s) {
             const double ratio = rows[s][t] / mean;
             const int fade = static_cast<int>(255 * (ratio < 1 ? ratio : std::max(0.0, 1 - (ratio - 1) / 2)));
-            out << "<rect x='" << std::setprecision(5) << x(r.record, static_cast<double>(t)) << "' y='" << row * static_cast<double>(s)
-                << "' width='" << width / r.record.e.duration.s + 0.3 << "' height='" << row + 0.3 << "' fill='rgb("
-                << (ratio < 1 ? fade : 255) << ',' << fade << ',' << (ratio < 1 ? 255 : fade) << ")'/>\n";
+            out << "<rect x='" << std::setprecision(5) << x(r.record, static_cast<double>(t)) << "' y='"
+                << row * static_cast<double>(s) << "' width='" << width / r.record.e.duration.s + 0.3 << "' height='"
+                << row + 0.3 << "' fill='rgb(" << (ratio < 1 ? fade : 255) << ',' << fade << ','
+                << (ratio < 1 ? 255 : fade) << ")'/>\n";
         }
     }
     shade(out, r.record, height);
@@ -66,7 +68,8 @@
     out << "</svg>\n";
 }
 
-void line(std::ostream& out, const RunRecord& d, const std::vector<double>& values, double most, const std::string& title) {
+void line(std::ostream& out, const RunRecord& d, const std::vector<double>& values, double most,
+          const std::string& title) {
     const double height = 120;
     out << "<h3>" << title << "</h3>\n<svg width='" << left + width + 10 << "' height='" << height + 20 << "'>\n";
     shade(out, d, height);
@@ -89,22 +92,30 @@
     out << std::setprecision(3);
     for (const auto& r : runs) {
         const auto& f = r.figures;
-        out << "<tr><td>" << escape_html(r.record.e.name + ", " + r.record.arm) << ", seed " << r.record.e.seed << (r.record.complete ? "" : " (interrupted)")
-            << "<td>" << f.calls << "<td>" << f.service << "<td>" << f.actual.max << "<td>" << f.actual.min << "<td>" << f.actual.cv
-            << "<td>" << f.random.max << "<td>" << f.random.min << "<td>" << f.random.cv << "<td>" << f.herd << "<td>"
-            << f.herd_random << "<td>" << f.all_latency.quantile(0.5) << "<td>" << f.all_latency.quantile(0.99) << "<td>"
-            << static_cast<double>(f.opened) / static_cast<double>(std::max<uint64_t>(1, f.calls)) << "<td>" << f.max_connections
-            << "<td" << (r.verdict.passed() ? ">kept" : " class='bad'>" + std::to_string(r.verdict.violations.size()) + " breaks") << "</tr>\n";
+        out << "<tr><td>" << escape_html(r.record.e.name + ", " + r.record.arm) << ", seed " << r.record.e.seed
+            << (r.record.complete ? "" : " (interrupted)") << "<td>" << f.calls << "<td>" << f.service << "<td>"
+            << f.actual.max << "<td>" << f.actual.min << "<td>" << f.actual.cv << "<td>" << f.random.max << "<td>"
+            << f.random.min << "<td>" << f.random.cv << "<td>" << f.herd << "<td>" << f.herd_random << "<td>"
+            << f.all_latency.quantile(0.5) << "<td>" << f.all_latency.quantile(0.99) << "<td>"
+            << static_cast<double>(f.opened) / static_cast<double>(std::max<uint64_t>(1, f.calls)) << "<td>"
+            << f.max_connections << "<td"
+            << (r.verdict.passed() ? ">kept"
+                                   : " class='bad'>" + std::to_string(r.verdict.violations.size()) + " breaks")
+            << "</tr>\n";
     }
     out << "</table>\n";
     for (const auto& r : runs) {
-        out << "<h2>" << escape_html(r.record.e.name + ", " + r.record.arm) << ", seed " << r.record.e.seed << "</h2>\n<p>" << escape_html(r.record.e.text) << "</p>\n";
-        for (const auto& b : r.verdict.violations) out << "<p class='bad'>" << name_of(b.rule) << ": " << escape_html(b.what) << "</p>\n";
-        for (const auto& [why, n] : r.verdict.excused) out << "<p>excused: " << n << " x " << escape_html(why) << "</p>\n";
+        out << "<h2>" << escape_html(r.record.e.name + ", " + r.record.arm) << ", seed " << r.record.e.seed
+            << "</h2>\n<p>" << escape_html(r.record.e.text) << "</p>\n";
+        for (const auto& b : r.verdict.violations)
+            out << "<p class='bad'>" << name_of(b.rule) << ": " << escape_html(b.what) << "</p>\n";
+        for (const auto& [why, n] : r.verdict.excused)
+            out << "<p>excused: " << n << " x " << escape_html(why) << "</p>\n";
         heat(out, r);
         line(out, r.record, r.figures.service_by_second, 1, "Service by second: value in time over value asked");
         const auto& calls = r.figures.calls_by_second;
-        line(out, r.record, calls, calls.empty() ? 1 : *std::max_element(calls.begin(), calls.end()), "Calls by second");
+        line(out, r.record, calls, calls.empty() ? 1 : *std::max_element(calls.begin(), calls.end()),
+             "Calls by second");
         std::vector<double> cv;
         for (const auto& w : r.figures.windows)
             for (int i = 0; i < static_cast<int>(r.record.e.window.s); ++i) cv.push_back(w.actual.cv);
--- a/src/rig/rig_system.cpp
+++ b/src/rig/rig_system.cpp
@@ -27,7 +27,8 @@
     const int fd = ::socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) return fd;
     enable_option(fd, SOL_SOCKET, SO_REUSEADDR);
-    if (shared) enable_option(fd, SOL_SOCKET, SO_REUSEPORT);   // lets an unresponsive listener take over single addresses
+    if (shared)
+        enable_option(fd, SOL_SOCKET, SO_REUSEPORT);   // lets an unresponsive listener take over single addresses
     // Accepts traffic of this machine only; if the system refuses the option, link_of() still rejects other addresses.
     ::setsockopt(fd, SOL_SOCKET, SO_BINDTODEVICE, "lo", 3);
     if (::bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0) return fd;
--- a/src/rig/rig_system.hpp
+++ b/src/rig/rig_system.hpp
@@ -42,7 +42,8 @@
     int epoll_;
     std::vector<Known> known_;   // by descriptor
     std::vector<char> buffer_;
-    std::vector<int> fillers_;   // connections that fill the queues of unresponsive listeners, by the listener's descriptor
+    std::vector<int>
+        fillers_;   // connections that fill the queues of unresponsive listeners, by the listener's descriptor
 };
 
 }  // namespace myrtleroute::rig
--- a/src/rig/run_record.cpp
+++ b/src/rig/run_record.cpp
@@ -19,9 +19,20 @@
 }  // namespace
 
 void write_record(const RunRecord& d) {
-    json j{{"arm", d.arm}, {"program", d.program}, {"repeat", d.repeat}, {"whole", d.complete}, {"start", d.start}, {"end", d.end},
-           {"started_in", d.started_in}, {"ended_in", d.ended_in}, {"lost", d.lost}, {"left", d.left}, {"cpu", d.cpu},
-           {"memory_mb", d.memory_mb}, {"most_memory_mb", d.max_memory_mb}, {"seed", d.e.seed},
+    json j{{"arm", d.arm},
+           {"program", d.program},
+           {"repeat", d.repeat},
+           {"whole", d.complete},
+           {"start", d.start},
+           {"end", d.end},
+           {"started_in", d.started_in},
+           {"ended_in", d.ended_in},
+           {"lost", d.lost},
+           {"left", d.left},
+           {"cpu", d.cpu},
+           {"memory_mb", d.memory_mb},
+           {"most_memory_mb", d.max_memory_mb},
+           {"seed", d.e.seed},
            {"relayed", {d.relayed.connections, d.relayed.max_at_once, d.relayed.bytes}}};
     for (const auto& b : d.applied_faults) j["befell"].push_back({b.fault, b.from, b.to, b.who});
     for (const auto& l : d.incarnations) j["lives"].push_back({l.proxy, l.from, l.to, l.exit});
@@ -58,7 +69,8 @@
         d.relayed = {j.at("relayed").at(0), j.at("relayed").at(1), j.at("relayed").at(2)};
         for (const auto& b : j.value("befell", json::array()))
             d.applied_faults.push_back({b.at(0), b.at(1), b.at(2), b.at(3).get<std::vector<int>>()});
-        for (const auto& l : j.value("lives", json::array())) d.incarnations.push_back({l.at(0), l.at(1), l.at(2), l.at(3)});
+        for (const auto& l : j.value("lives", json::array()))
+            d.incarnations.push_back({l.at(0), l.at(1), l.at(2), l.at(3)});
         for (const auto& p : j.value("parts", json::array())) d.parts.push_back({p.at(0), p.at(1), p.at(2), p.at(3)});
     } catch (const json::exception& fault) {
         throw std::runtime_error(path + ": " + fault.what());
--- a/src/rig/run_record.hpp
+++ b/src/rig/run_record.hpp
@@ -14,8 +14,15 @@
     double from = 0, to = 0; // seconds of the machine's monotonic clock
     std::vector<int> who;
 };
-struct Incarnation { int proxy; double from, to; std::string exit; };   // one run of a proxy process; to 0: until the end; exit status or signal
-struct PartUsage { std::string part; double busiest, cpu, memory_mb; };   // busiest: share of a core in its busiest second; cpu: seconds
+struct Incarnation {
+    int proxy;
+    double from, to;
+    std::string exit;
+};   // one run of a proxy process; to 0: until the end; exit status or signal
+struct PartUsage {
+    std::string part;
+    double busiest, cpu, memory_mb;
+};   // busiest: share of a core in its busiest second; cpu: seconds
 
 struct RunRecord {
     Experiment e;
--- a/src/rig/servers.cpp
+++ b/src/rig/servers.cpp
@@ -56,7 +56,8 @@
         s.size = e_.sizes[static_cast<size_t>(i) % e_.sizes.size()];
         if (!is_local(i)) continue;
         open(s, false);
-        send_line("port " + std::to_string(static_cast<int>(Kind::server)) + " " + std::to_string(i) + " " + std::to_string(s.port));
+        send_line("port " + std::to_string(static_cast<int>(Kind::server)) + " " + std::to_string(i) + " " +
+                  std::to_string(s.port));
     }
     send_line("ready");
 }
@@ -129,7 +130,8 @@
     }
     auto& connection = static_cast<ProxyConnection&>(c);
     if (!connection.in.empty() && !connection.http.started()) connection.began = at(loop_.now());
-    while (!connection.in.empty() && !connection.http.done() && !connection.http.fault()) connection.in.drop(connection.http.feed(connection.in.front()));
+    while (!connection.in.empty() && !connection.http.done() && !connection.http.fault())
+        connection.in.drop(connection.http.feed(connection.in.front()));
     if (connection.http.done() && connection.attempt == ProxyConnection::none) handle_request(connection);
     else if (connection.http.fault()) return end(connection, CloseReason::bad_call);
     if (c.open() && c.ended) end(connection, CloseReason::peer_closed);
@@ -203,14 +205,16 @@
     loop_.set_timer(connection, now + idle_close);
     const bool probe = connection.target.starts_with("/alive");
     connection.attempt = attempts_.size();
-    attempts_.push_back({probe ? 0 : connection.call, connection.began, at(now), 0, 0, 0, static_cast<uint16_t>(s.number),
-                      static_cast<uint16_t>(connection.proxy), AttemptOutcome::queued, false});
+    attempts_.push_back({probe ? 0 : connection.call, connection.began, at(now), 0, 0, 0,
+                         static_cast<uint16_t>(s.number), static_cast<uint16_t>(connection.proxy),
+                         AttemptOutcome::queued, false});
     auto& attempt = attempts_.back();
     if (probe) {
         if (!active_fault(s, FaultKind::hang)) respond(connection, 200, "");
         return;
     }
-    const auto product = std::find_if(e_.products.begin(), e_.products.end(), [&](auto& p) { return p.name == connection.product; });
+    const auto product =
+        std::find_if(e_.products.begin(), e_.products.end(), [&](auto& p) { return p.name == connection.product; });
     if (product == e_.products.end() || connection.call == 0) {
         attempt.outcome = AttemptOutcome::refused;
         return respond(connection, connection.call ? 400 : 404, "");
@@ -240,8 +244,11 @@
 
 void Servers::start_jobs(Server& s) {
     if (active_fault(s, FaultKind::hang)) return;
-    for (auto* connection : std::vector<ProxyConnection*>(s.connections.begin(), s.connections.end()))   // probes received while it hung
-        if (connection->attempt != ProxyConnection::none && attempts_[connection->attempt].call == 0 && !attempts_[connection->attempt].answered) respond(*connection, 200, "");
+    for (auto* connection :
+         std::vector<ProxyConnection*>(s.connections.begin(), s.connections.end()))   // probes received while it hung
+        if (connection->attempt != ProxyConnection::none && attempts_[connection->attempt].call == 0 &&
+            !attempts_[connection->attempt].answered)
+            respond(*connection, 200, "");
     const auto* slow = active_fault(s, FaultKind::slow);
     while (!s.waiting.empty() && s.running.size() < static_cast<size_t>(std::max(1.0, e_.cores * s.size))) {
         Job job = s.waiting.front();
--- a/src/rig/stream.hpp
+++ b/src/rig/stream.hpp
@@ -86,7 +86,8 @@
     Time arrival(Time now, size_t size, const Impairment& t, lab::RandomStream& chance) {
         Time at = now + Span{t.delay + (t.jitter > 0 ? t.jitter * chance.uniform() : 0)};
         if (t.loss > 0)
-            for (Span wait = retransmission_timeout; wait.s < 7 && chance.bernoulli(t.loss); wait = wait * 2) at = at + wait;
+            for (Span wait = retransmission_timeout; wait.s < 7 && chance.bernoulli(t.loss); wait = wait * 2)
+                at = at + wait;
         if (t.rate > 0) {
             sent_ = std::max(sent_, now) + Span{static_cast<double>(size) / t.rate};
             at = std::max(at, sent_ + Span{t.delay});
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -262,24 +262,32 @@
     };
     const auto c = GENERATE(values<Case>({
         {"no answer", Rule::one_answer, Idempotency::idempotent,
-         [](RunRecord& d) { d.calls[0].end = CallOutcome::disconnected, d.calls[0].status = 0; }, FaultKind::kill, Kind::none, true},
-        {"late answer", Rule::one_answer, Idempotency::idempotent, [](RunRecord& d) { d.calls[0].ended = 112.5; }, FaultKind::pause, Kind::none, true},
+         [](RunRecord& d) { d.calls[0].end = CallOutcome::disconnected, d.calls[0].status = 0; }, FaultKind::kill,
+         Kind::none, true},
+        {"late answer", Rule::one_answer, Idempotency::idempotent, [](RunRecord& d) { d.calls[0].ended = 112.5; },
+         FaultKind::pause, Kind::none, true},
         {"no answer before the timeout", Rule::one_answer, Idempotency::idempotent,
-         [](RunRecord& d) { d.calls[0].end = CallOutcome::timed_out, d.calls[0].ended = 112.7; }, FaultKind::cut, Kind::application, true},
-        {"answer of another call", Rule::right_answer, Idempotency::idempotent, [](RunRecord& d) { d.calls[0].end = CallOutcome::wrong; }, FaultKind::hang,
-         Kind::none, false},
-        {"non-idempotent call executed twice", Rule::no_effect_twice, Idempotency::non_idempotent, [](RunRecord& d) { second_attempt(d, 110.095, 110.098); },
-         FaultKind::cut, Kind::server, false},
+         [](RunRecord& d) { d.calls[0].end = CallOutcome::timed_out, d.calls[0].ended = 112.7; }, FaultKind::cut,
+         Kind::application, true},
+        {"answer of another call", Rule::right_answer, Idempotency::idempotent,
+         [](RunRecord& d) { d.calls[0].end = CallOutcome::wrong; }, FaultKind::hang, Kind::none, false},
+        {"non-idempotent call executed twice", Rule::no_effect_twice, Idempotency::non_idempotent,
+         [](RunRecord& d) { second_attempt(d, 110.095, 110.098); }, FaultKind::cut, Kind::server, false},
         {"deduplicated call executed again after its window", Rule::no_effect_twice, Idempotency::deduplicated,
-         [](RunRecord& d) { d.e.products[0].window = 0.01, second_attempt(d, 110.095, 110.098); }, FaultKind::cut, Kind::server, false},
-        {"rate-limited after its effect", Rule::no_false_promise, Idempotency::non_idempotent, [](RunRecord& d) { d.calls[0].status = 429; },
-         FaultKind::break_off, Kind::none, false},
+         [](RunRecord& d) { d.e.products[0].window = 0.01, second_attempt(d, 110.095, 110.098); }, FaultKind::cut,
+         Kind::server, false},
+        {"rate-limited after its effect", Rule::no_false_promise, Idempotency::non_idempotent,
+         [](RunRecord& d) { d.calls[0].status = 429; }, FaultKind::break_off, Kind::none, false},
         {"second attempt while the first is open", Rule::no_second_copy, Idempotency::idempotent,
-         [](RunRecord& d) { d.attempts[0].ended = 111, d.calls[0].ended = 111, second_attempt(d, 110.2, 110.3); }, FaultKind::cut, Kind::server, true},
-        {"attempt after the final answer", Rule::no_shot_after, Idempotency::idempotent, [](RunRecord& d) { second_attempt(d, 111, 111.1); }, FaultKind::cut,
-         Kind::server, true},
+         [](RunRecord& d) { d.attempts[0].ended = 111, d.calls[0].ended = 111, second_attempt(d, 110.2, 110.3); },
+         FaultKind::cut, Kind::server, true},
+        {"attempt after the final answer", Rule::no_shot_after, Idempotency::idempotent,
+         [](RunRecord& d) { second_attempt(d, 111, 111.1); }, FaultKind::cut, Kind::server, true},
         {"call to a draining server", Rule::drains, Idempotency::idempotent,
-         [](RunRecord& d) { d.list.push_back({100.5, 0, 2, 0, 0, ListedState::draining}); }, FaultKind::silent, Kind::none, false},
+         [](RunRecord& d) {
+             d.list.push_back({100.5, 0, 2, 0, 0, ListedState::draining});
+         },
+         FaultKind::silent, Kind::none, false},
         {"cold server overloaded", Rule::cold_servers, Idempotency::idempotent,
          [](RunRecord& d) {
              d.list.push_back({100.5, 1.7e9, 2, 0, 0, ListedState::serving});
@@ -287,10 +295,14 @@
          },
          FaultKind::die, Kind::none, false},
         {"discovery neither watched nor called", Rule::listens, Idempotency::idempotent,
-         [](RunRecord& d) { std::erase_if(d.discovery_records, [](auto& t) { return t.proxy == 1 && t.at > 104.45 && t.at < 119; }); }, FaultKind::silent,
-         Kind::none, true},
-        {"process crashed", Rule::no_crash, Idempotency::idempotent, [](RunRecord& d) { d.lost.push_back("proxy 1"); }, FaultKind::kill, Kind::none, false},
-        {"process did not end", Rule::all_back, Idempotency::idempotent, [](RunRecord& d) { d.left.push_back("proxy 1"); }, FaultKind::pause, Kind::none, false},
+         [](RunRecord& d) {
+             std::erase_if(d.discovery_records, [](auto& t) { return t.proxy == 1 && t.at > 104.45 && t.at < 119; });
+         },
+         FaultKind::silent, Kind::none, true},
+        {"process crashed", Rule::no_crash, Idempotency::idempotent, [](RunRecord& d) { d.lost.push_back("proxy 1"); },
+         FaultKind::kill, Kind::none, false},
+        {"process did not end", Rule::all_back, Idempotency::idempotent,
+         [](RunRecord& d) { d.left.push_back("proxy 1"); }, FaultKind::pause, Kind::none, false},
     }));
     CAPTURE(c.name);
     RunRecord d = passing_record(c.idempotency);
@@ -349,8 +361,13 @@
     const auto how = GENERATE(values<std::string>({"kill", "interrupt", "bad program"}));
     CAPTURE(how);
     ProcessOptions what;
-    what.arguments = {MYRTLEROUTE_FLEET, "run", file, "--dir", folder.path + "/" + std::to_string(how.size()), "--program",
-                  how == "bad program" ? fails : MYRTLEROUTE_PROGRAM};
+    what.arguments = {MYRTLEROUTE_FLEET,
+                      "run",
+                      file,
+                      "--dir",
+                      folder.path + "/" + std::to_string(how.size()),
+                      "--program",
+                      how == "bad program" ? fails : MYRTLEROUTE_PROGRAM};
     what.output = folder.path + "/out";
     const pid_t pid = spawn(what);
     REQUIRE(pid > 0);
@@ -418,7 +435,8 @@
         REQUIRE(::sendto(sockets[static_cast<size_t>(from)], text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&at),
                          sizeof at) > 0);
     };
-    const auto receive = [&](int at, double seconds) -> std::string {   // the datagram with its sender's address; empty: timeout
+    const auto receive =
+        [&](int at, double seconds) -> std::string {   // the datagram with its sender's address; empty: timeout
         pollfd p{sockets[static_cast<size_t>(at)], POLLIN, 0};
         if (::poll(&p, 1, static_cast<int>(seconds * 1000)) != 1) return "";
         char bytes[256];
