--- a/bench/loopback_cost.cpp
+++ b/bench/loopback_cost.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-constexpr int at_a_time = 8, servers = 3;
+constexpr int concurrency = 8, servers = 3;
 
 std::string address(int number) {   // unique to this run; ports are below the ephemeral range
     const int pid = ::getpid();
@@ -35,7 +35,7 @@
            std::to_string(pid & 255) + ":" + std::to_string(20000 + number);
 }
 
-struct Asked : wire::HttpHandler {
+struct RequestTarget : wire::HttpHandler {
     std::string target;
     int start(std::string_view, std::string_view where, std::string_view) override {
         target = where;
@@ -47,14 +47,14 @@
 
 struct Peer : Connection {   // connection of the program to a server or to discovery
     Peer(memory::ConnectionHandler& by, int fd)
-        : Connection(by, fd, 80'000, 80'000), http(wire::HttpParser::Side::request, asked) {}
+        : Connection(by, fd, 80'000, 80'000), http(wire::HttpParser::Side::request, request) {}
     std::string name() const override { return "peer"; }
-    Asked asked;
+    RequestTarget request;
     wire::HttpParser http;
 };
-struct Door : Connection {
-    Door(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
-    std::string name() const override { return "door"; }
+struct Listener : Connection {
+    Listener(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
+    std::string name() const override { return "listener"; }
 };
 struct Caller : Connection {
     Caller(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 80'000, 80'000), http(wire::HttpParser::Side::response, reader) {}
@@ -67,7 +67,7 @@
 public:
     explicit Peers(run::Loop& loop) : loop_(loop) {
         for (int i = 0; i <= servers; ++i)   // the last one serves discovery
-            loop.add(std::make_unique<Door>(*this, loop.system().listen(*wire::parse_endpoint(address(i + 1)))));
+            loop.add(std::make_unique<Listener>(*this, loop.system().listen(*wire::parse_endpoint(address(i + 1)))));
     }
     void on_readable(Connection& c) override {
         if (c.listens) {
@@ -79,8 +79,8 @@
         if (c.ended || peer.http.fault()) return loop_.close(c, CloseReason::peer_closed);
         if (!peer.http.done()) return;
         peer.http.next();
-        if (peer.asked.target.find("hold_ms") != std::string::npos) return;   // a watch: the list never changes
-        const bool list = peer.asked.target.starts_with("/discovery");
+        if (peer.request.target.find("hold_ms") != std::string::npos) return;   // a watch: the list never changes
+        const bool list = peer.request.target.starts_with("/discovery");
         c.out.push(wire::format_response(200, list ? targets() : std::string(200, 'a'), true));
         loop_.flush(c);
     }
@@ -101,7 +101,7 @@
 class Callers : public memory::ConnectionHandler {
 public:
     Callers(run::Loop& loop, int calls) : loop_(loop), left_(calls) {
-        for (int i = 0; i < at_a_time; ++i) {
+        for (int i = 0; i < concurrency; ++i) {
             bool at_once = false;
             const int fd = loop.system().connect(*wire::parse_endpoint(address(0)), at_once);
             auto caller = std::make_unique<Caller>(*this, fd);
@@ -189,7 +189,7 @@
         std::cerr << "usage: bench_loopback_cost [ROUNDS [CALLS]] PROGRAM...\n";
         return 2;
     }
-    std::vector<std::vector<double>> took(static_cast<size_t>(count - first));
+    std::vector<std::vector<double>> samples(static_cast<size_t>(count - first));
     for (int round = 0; round < rounds; ++round)
         for (int i = first; i < count; ++i) {
             const double s = measure(words[i], calls);
@@ -197,10 +197,10 @@
                 std::cerr << words[i] << ": not all calls were fulfilled\n";
                 return 1;
             }
-            took[static_cast<size_t>(i - first)].push_back(s);
+            samples[static_cast<size_t>(i - first)].push_back(s);
         }
     for (int i = first; i < count; ++i) {
-        auto& of = took[static_cast<size_t>(i - first)];
+        auto& of = samples[static_cast<size_t>(i - first)];
         std::sort(of.begin(), of.end());
         std::printf("%s: CPU seconds per 10,000 calls: least %.3f, median %.3f, most %.3f\n", words[i], of.front(), of[of.size() / 2], of.back());
     }
--- a/src/rig/conductor.cpp
+++ b/src/rig/conductor.cpp
@@ -35,7 +35,7 @@
 }  // namespace
 
 ProcessCounts process_counts(const Experiment& e, size_t most) {
-    const double lines =
+    const double connections =
         e.proxies * std::min<double>(e.servers, max_servers_per_proxy);   // connections between proxies and servers
     const auto needed = [&](double descriptors, const char* what) {
         const double n = std::ceil(descriptors / static_cast<double>(most > 2 * spare_descriptors ? most - spare_descriptors : 1));
@@ -47,13 +47,13 @@
         return static_cast<int>(n);
     };
     ProcessCounts s;
-    s.servers = std::max({1, std::min({4, e.servers, e.proxies / 50}), needed(lines + e.servers, "the servers")});
+    s.servers = std::max({1, std::min({4, e.servers, e.proxies / 50}), needed(connections + e.servers, "the servers")});
     s.loads = std::max(1, e.proxies / 150);
     if (!e.relayed.empty()) {
         double cut = 0;   // unresponsive listeners, two descriptors each
         for (const auto& f : e.faults)
             if (f.kind == FaultKind::cut) cut += 2.0 * static_cast<double>(f.who.members.size() * f.to.members.size());
-        s.relays = std::max(std::min(4, 1 + e.proxies / 100), needed(2 * lines + cut + e.servers, "the relays"));
+        s.relays = std::max(std::min(4, 1 + e.proxies / 100), needed(2 * connections + cut + e.servers, "the relays"));
     }
     return s;
 }
@@ -75,10 +75,10 @@
 
 }  // namespace
 
-Conductor::Conductor(const Experiment& e, size_t arm, int repeat, std::string directory, RunOptions how)
+Conductor::Conductor(const Experiment& e, size_t arm, int repeat, std::string directory, RunOptions options)
     : e_(e),
       arm_(e.arms[arm]),
-      options_(std::move(how)),
+      options_(std::move(options)),
       counts_(process_counts(e, options_.max_descriptors)),
       log_(run::Level::error, system_),
       loop_(log_, system_),
@@ -115,15 +115,15 @@
         while (const int number = system_.next_signal(c.fd)) interrupted_ |= number == SIGINT || number == SIGTERM;
         return;
     }
-    auto& line = static_cast<ControlConnection&>(c);
-    take_lines(line.in, line.text, [&](const std::string& text) { on_line(*line.part, text); });
+    auto& connection = static_cast<ControlConnection&>(c);
+    take_lines(connection.in, connection.text, [&](const std::string& text) { on_line(*connection.part, text); });
     if (!c.ended) return;
-    line.part->line = nullptr;
+    connection.part->connection = nullptr;
     loop_.close(c, CloseReason::peer_closed);
 }
 
 void Conductor::on_error(Connection& c, int) {
-    static_cast<ControlConnection&>(c).part->line = nullptr;
+    static_cast<ControlConnection&>(c).part->connection = nullptr;
     loop_.close(c, CloseReason::peer_reset);
 }
 
@@ -154,10 +154,10 @@
 }
 
 void Conductor::send(Part& part, const std::string& line) {
-    if (!part.line) return;
-    if (!part.line->out.push(line + "\n"))
+    if (!part.connection) return;
+    if (!part.connection->out.push(line + "\n"))
         throw std::runtime_error(part.name + ": the control connection's buffer is full");
-    loop_.flush(*part.line);
+    loop_.flush(*part.connection);
 }
 
 void Conductor::send_to_all(const std::string& kind, const std::string& line) {
@@ -191,7 +191,7 @@
     part.pid = spawn(what);
     system_.close(ends[1]);
     if (part.pid < 0) throw StartFailure(part.name + " can't be started: " + std::strerror(errno));
-    part.line = &loop_.add(std::make_unique<ControlConnection>(*this, ends[0], part));
+    part.connection = &loop_.add(std::make_unique<ControlConnection>(*this, ends[0], part));
     record_.parts.push_back({part.name, 0, 0, 0});
     return part;
 }
--- a/src/rig/conductor.hpp
+++ b/src/rig/conductor.hpp
@@ -35,7 +35,7 @@
 
 class Conductor : public memory::ConnectionHandler {
 public:
-    Conductor(const Experiment& e, size_t arm, int repeat, std::string directory, RunOptions how);
+    Conductor(const Experiment& e, size_t arm, int repeat, std::string directory, RunOptions options);
     ~Conductor() override;
     RunRecord run();
     bool interrupted() const { return interrupted_; }
@@ -45,7 +45,7 @@
     struct Part {
         std::string name;
         pid_t pid = 0;
-        ControlConnection* line = nullptr;
+        ControlConnection* connection = nullptr;
         bool ready = false, done = false;
     };
     struct Proxy {
--- a/src/rig/figures.cpp
+++ b/src/rig/figures.cpp
@@ -15,7 +15,7 @@
 constexpr int draws = 20;
 constexpr double herd_window = 0.1;
 
-struct Chosen { double at; int server, proxy; };
+struct Choice { double at; int server, proxy; };
 
 double size_of(const Experiment& e, int server) { return e.sizes[static_cast<size_t>(server) % e.sizes.size()]; }
 
@@ -62,7 +62,7 @@
     return all;
 }
 
-Spread actual(const RunRecord& d, const std::vector<Chosen>& chosen, const std::vector<int>& servers, double from,
+Spread actual(const RunRecord& d, const std::vector<Choice>& chosen, const std::vector<int>& servers, double from,
               double to, uint64_t& n) {
     std::vector<double> calls(static_cast<size_t>(d.e.servers));
     for (const auto& c : chosen)
@@ -90,7 +90,7 @@
 }
 
 // Highest number of proxies that chose the same server within 0.1 s.
-double herd(const std::vector<Chosen>& in_order) {
+double herd(const std::vector<Choice>& in_order) {
     size_t max = 0;
     for (size_t i = 0; i < in_order.size();) {
         std::map<int, std::set<int>> who;
@@ -111,7 +111,7 @@
     return squares / n;
 }
 
-Causes causes(const RunRecord& d, const std::vector<Chosen>& chosen, const std::vector<Window>& windows) {
+Causes causes(const RunRecord& d, const std::vector<Choice>& chosen, const std::vector<Window>& windows) {
     const auto servers = static_cast<size_t>(d.e.servers), proxies = static_cast<size_t>(d.e.proxies);
     Causes all;
     std::vector<double> rest_sum(servers);   // summed over windows, relative to each mean
@@ -200,7 +200,7 @@
 }
 
 // Computes Figures::even_after; 0 if no fault was applied.
-double even_after(const RunRecord& d, const std::vector<Chosen>& chosen, double duration, lab::RandomStream& chance) {
+double even_after(const RunRecord& d, const std::vector<Choice>& chosen, double duration, lab::RandomStream& chance) {
     double over = -1;
     for (const auto& b : d.applied_faults)
         over = std::max(over, std::min(b.to > 0 ? b.to - d.start : duration, duration));
@@ -241,7 +241,7 @@
     count_calls(d, f);
     const auto seconds = static_cast<size_t>(std::ceil(d.e.duration.s));
     f.heat.assign(static_cast<size_t>(d.e.servers), std::vector<double>(seconds));
-    std::vector<Chosen> chosen;
+    std::vector<Choice> chosen;
     for (const auto& s : d.attempts) {
         if (s.call == 0) {
             ++f.probes;
--- a/src/rig/judge.cpp
+++ b/src/rig/judge.cpp
@@ -228,15 +228,15 @@
     }
 
     void check_cold_servers() {
-        for (const auto& tip : d_.overloads) {
+        for (const auto& overload : d_.overloads) {
             const ListRecord* start = nullptr;
             for (const auto& l : d_.list)
-                if (l.server == tip.server && l.state == ListedState::serving && l.boot > 0 && l.at <= tip.at)
+                if (l.server == overload.server && l.state == ListedState::serving && l.boot > 0 && l.at <= overload.at)
                     start = &l;
             double all = 0, known = 0;
             std::set<int> who;
             for (const auto& s : d_.attempts) {
-                if (s.server != tip.server || s.call == 0 || s.received < tip.from || s.received > tip.at) continue;
+                if (s.server != overload.server || s.call == 0 || s.received < overload.from || s.received > overload.at) continue;
                 all += s.work;
                 if (!start || notified_at(s.proxy, start->rev, start->at, s.began) > s.began) continue;
                 known += s.work;
@@ -247,8 +247,8 @@
                 continue;
             }
             std::ostringstream text;
-            text << "server " << tip.server << " was overloaded at " << seconds_into_run(tip.at) << " s with " << all
-                 << " s of work since " << seconds_into_run(tip.from) << " s, " << known << " s of it from "
+            text << "server " << overload.server << " was overloaded at " << seconds_into_run(overload.at) << " s with " << all
+                 << " s of work since " << seconds_into_run(overload.from) << " s, " << known << " s of it from "
                  << who.size() << " proxies that knew of its start";
             add_violation(Rule::cold_servers, 0, text.str());
         }
--- a/src/rig/main.cpp
+++ b/src/rig/main.cpp
@@ -126,7 +126,7 @@
                 return interrupted_status;
             }
         }
-    if (!arm_found) throw std::runtime_error("--arm: " + arguments.only_arm + " is no arm of " + arguments.file);
+    if (!arm_found) throw std::runtime_error("--arm: " + arguments.only_arm + " is not an arm of " + arguments.file);
     report(arguments.dir);
     return all_passed ? success : rule_broken;
 }
--- a/src/rig/records.hpp
+++ b/src/rig/records.hpp
@@ -15,8 +15,8 @@
     not_connected,
     disconnected,
     timed_out,
-    wrong
-};   // wrong: a body that no server sent
+    wrong   // a body that no server sent
+};
 struct CallRecord {
     uint64_t call;
     double due, sent, ended;   // scheduled; request sent; response complete or call abandoned
--- a/src/rig/relay_cost.cpp
+++ b/src/rig/relay_cost.cpp
@@ -27,9 +27,9 @@
 
 namespace {
 
-constexpr int exchanges = 4000, lines_of_bytes = 4;
-constexpr Span of_each{1};
-constexpr size_t small = 200, large = 64 * 1024;
+constexpr int exchanges = 4000, throughput_connections = 4;
+constexpr Span measure_duration{1};
+constexpr size_t small_size = 200, large_size = 64 * 1024;
 
 // Sends back all bytes that it receives.
 class Echo : public memory::ConnectionHandler {
@@ -43,7 +43,7 @@
     }
     void on_readable(memory::Connection& c) override {
         if (c.listens) {
-            for (int fd; (fd = system_.accept(c.fd)) >= 0;) loop_.add(std::make_unique<Line>(*this, fd));
+            for (int fd; (fd = system_.accept(c.fd)) >= 0;) loop_.add(std::make_unique<EchoConnection>(*this, fd));
             return;
         }
         while (!c.in.empty()) {
@@ -61,8 +61,8 @@
     void on_timer(memory::Connection&) override {}
 
 private:
-    struct Line : memory::Connection {
-        Line(memory::ConnectionHandler& by, int fd) : Connection(by, fd, large, 4 * large) {}
+    struct EchoConnection : memory::Connection {
+        EchoConnection(memory::ConnectionHandler& by, int fd) : Connection(by, fd, large_size, 4 * large_size) {}
         std::string name() const override { return "line"; }
     };
     RigSystem system_;
@@ -80,9 +80,9 @@
         Echo().run(ends[1]);
     }
     ::close(ends[1]);
-    const bool heard = pid > 0 && ::read(ends[0], &port, sizeof port) == sizeof port;
+    const bool started = pid > 0 && ::read(ends[0], &port, sizeof port) == sizeof port;
     ::close(ends[0]);
-    if (!heard) throw std::runtime_error("the echo process can't be started");
+    if (!started) throw std::runtime_error("the echo process can't be started");
     return pid;
 }
 
@@ -95,11 +95,11 @@
         return fd;
     }
     void exchange(int fd) {
-        send(fd, {text_.data(), small});
-        for (size_t got = 0; got < small;) got += receive(fd);
+        send(fd, {sent_.data(), small_size});
+        for (size_t got = 0; got < small_size;) got += receive(fd);
     }
     size_t receive(int fd) {
-        iovec part{back_.data(), back_.size()};
+        iovec part{received_.data(), received_.size()};
         for (;;) {
             const auto n = system_.read(fd, &part, 1);
             if (n > 0) return static_cast<size_t>(n);
@@ -111,17 +111,17 @@
     Time now() { return system_.now(); }
 
     // Throughput of echoed bytes over several connections at once.
-    double bytes_a_second(const std::vector<int>& lines) {
-        const size_t n = std::min<size_t>(lines_of_bytes, lines.size());
+    double bytes_per_second(const std::vector<int>& connections) {
+        const size_t n = std::min<size_t>(throughput_connections, connections.size());
         std::vector<pollfd> polled;
-        for (size_t i = 0; i < n; ++i) polled.push_back({lines[i], POLLIN | POLLOUT, 0});
+        for (size_t i = 0; i < n; ++i) polled.push_back({connections[i], POLLIN | POLLOUT, 0});
         std::vector<size_t> out(n);   // sent and not yet echoed
         size_t got = 0;
         const Time from = now();
         for (bool sending = true; sending || std::any_of(out.begin(), out.end(), [](size_t o) { return o > 0; });) {
-            sending = sending && now() - from < of_each;
+            sending = sending && now() - from < measure_duration;
             for (size_t i = 0; i < n; ++i)
-                polled[i].events = static_cast<short>(POLLIN | (sending && out[i] < 4 * large ? POLLOUT : 0));
+                polled[i].events = static_cast<short>(POLLIN | (sending && out[i] < 4 * large_size ? POLLOUT : 0));
             if (system_.poll(polled.data(), n, 2000) <= 0) throw std::runtime_error("echo timeout: no bytes for 2 s");
             for (size_t i = 0; i < n; ++i) {
                 if (polled[i].revents & POLLIN) {
@@ -130,7 +130,7 @@
                     got += back;
                 }
                 if (!(polled[i].revents & POLLOUT)) continue;
-                const iovec part{text_.data(), large};
+                const iovec part{sent_.data(), large_size};
                 if (const auto sent = system_.write(polled[i].fd, &part, 1); sent > 0) out[i] += static_cast<size_t>(sent);
             }
         }
@@ -151,8 +151,8 @@
         }
     }
     run::PosixSystem system_;
-    std::string text_ = std::string(large, 'x');
-    std::vector<char> back_ = std::vector<char>(256 * 1024);
+    std::string sent_ = std::string(large_size, 'x');
+    std::vector<char> received_ = std::vector<char>(256 * 1024);
 };
 
 struct Row { double p50, p99, connections, bytes; };
@@ -160,24 +160,24 @@
 Row measure(uint16_t port, int links) {
     Caller caller;
     const auto link = [](int i) { return Link{Kind::server, static_cast<uint16_t>(i % 1000), 0}; };
-    std::vector<int> lines;
-    for (int i = 0; i < links; ++i) lines.push_back(caller.connect(link(i), port));
+    std::vector<int> connections;
+    for (int i = 0; i < links; ++i) connections.push_back(caller.connect(link(i), port));
     Histogram times;
     for (int i = 0; i < exchanges; ++i) {
         const Time from = caller.now();
-        caller.exchange(lines[static_cast<size_t>(i) * 7919 % lines.size()]);
+        caller.exchange(connections[static_cast<size_t>(i) * 7919 % connections.size()]);
         times.add((caller.now() - from).s);
     }
-    const double bytes = caller.bytes_a_second(lines);
+    const double bytes = caller.bytes_per_second(connections);
     int opened = 0;
     const Time from = caller.now();
-    for (; caller.now() - from < of_each; ++opened) {
+    for (; caller.now() - from < measure_duration; ++opened) {
         const int fd = caller.connect(link(opened), port);
         caller.exchange(fd);
         caller.close(fd);
     }
     const Row row{times.quantile(0.5), times.quantile(0.99), opened / (caller.now() - from).s, bytes};
-    for (const int fd : lines) caller.close(fd);
+    for (const int fd : connections) caller.close(fd);
     return row;
 }
 
@@ -200,18 +200,18 @@
     what.control_fd = ends[1];
     const pid_t relay_pid = spawn(what);
     ::close(ends[1]);
-    const auto order = "backend " + std::to_string(static_cast<int>(Kind::server)) + " 0 0 " + std::to_string(echo) + "\n";
-    char said[64] = "";
-    const auto ended = [&] {
+    const auto command = "backend " + std::to_string(static_cast<int>(Kind::server)) + " 0 0 " + std::to_string(echo) + "\n";
+    char reply[64] = "";
+    const auto clean_up = [&] {
         for (const pid_t pid : {echo_pid, relay_pid}) ::kill(pid, SIGKILL);
         ::close(ends[0]);
         for (const pid_t pid : {echo_pid, relay_pid}) ::waitpid(pid, nullptr, 0);
         std::filesystem::remove_all(dir);
     };
     try {
-        if (::write(ends[0], order.data(), order.size()) < 0 || ::read(ends[0], said, sizeof said - 1) <= 0)
+        if (::write(ends[0], command.data(), command.size()) < 0 || ::read(ends[0], reply, sizeof reply - 1) <= 0)
             throw std::runtime_error("the relay can't be started");
-        relay = static_cast<uint16_t>(std::stoi(std::string(said).substr(std::string(said).rfind(' '))));
+        relay = static_cast<uint16_t>(std::stoi(std::string(reply).substr(std::string(reply).rfind(' '))));
         out << "links  way       p50 us   p99 us   connections/s   MB/s\n" << std::fixed;
         for (const int n : links)
             for (const bool relayed : {false, true}) {
@@ -221,10 +221,10 @@
                     << row.bytes / 1e6 << std::endl;
             }
     } catch (...) {
-        ended();
+        clean_up();
         throw;
     }
-    ended();
+    clean_up();
 }
 
 }  // namespace myrtleroute::rig
--- a/src/rig/run_record.hpp
+++ b/src/rig/run_record.hpp
@@ -14,15 +14,15 @@
     double from = 0, to = 0; // seconds of the machine's monotonic clock
     std::vector<int> who;
 };
-struct Incarnation {
+struct Incarnation {         // one run of a proxy process
     int proxy;
-    double from, to;
-    std::string exit;
-};   // one run of a proxy process; to 0: until the end; exit status or signal
+    double from, to;         // 0: until the end
+    std::string exit;        // status or signal
+};
 struct PartUsage {
     std::string part;
-    double busiest, cpu, memory_mb;
-};   // busiest: share of a core in its busiest second; cpu: seconds
+    double busiest, cpu, memory_mb;   // share of a core in its busiest second; seconds; peak
+};
 
 struct RunRecord {
     Experiment e;
