--- a/src/lab/oracle.hpp
+++ b/src/lab/oracle.hpp
@@ -1,5 +1,5 @@
-// Sees the true world and checks the rules after every step: what each proxy writes, reads and closes comes to
-// it as it does so, what servers do with calls as they do it. It judges by what truly ran, not by outcomes.
+// Checks the rules after every step. It observes what each proxy writes, reads and closes and what the servers do
+// with each call at the moment at which it happens, so it judges by what really ran and not by responses only.
 #pragma once
 #include <memory>
 #include <optional>
@@ -15,24 +15,24 @@
 namespace myrtleroute::lab {
 
 #define MYRTLEROUTE_LAB_RULES(X)                                                                             \
-    X(one_answer, "each API call taken gets exactly one final answer")                                       \
-    X(in_time, "its answer comes in time")                                                                   \
+    X(one_answer, "each API call that a proxy reads gets exactly one final answer")                          \
+    X(in_time, "the answer is sent in time")                                                                 \
     X(right_answer, "an answer is the one that a server made for this call")                                 \
-    X(no_shot_after, "no shot after the final answer")                                                       \
-    X(no_effect_twice, "no effect twice")                                                                    \
-    X(no_second_copy, "never two shots of a call out")                                                       \
-    X(no_false_promise, "a rate-limit reply only where nothing may have run")                                \
-    X(drains, "no shot to a server beyond the grace after its drain was told")                               \
-    X(cold_servers, "no cold server pushed over by proxies that know of its start")                          \
-    X(listens, "the list is asked for within the time in which a balancer counts as told")                   \
-    X(owed, "whoever connects has an answer or a close within 3 s")                                          \
-    X(sound, "what a proxy writes can be read")                                                              \
-    X(beliefs, "what a proxy holds is what the system holds for it")                                         \
+    X(no_shot_after, "no attempt starts after the final answer")                                             \
+    X(no_effect_twice, "no call has its effect twice")                                                       \
+    X(no_second_copy, "a call never has two attempts open at once")                                          \
+    X(no_false_promise, "a rate-limit reply is sent only where nothing may have run")                        \
+    X(drains, "no attempt is sent to a server after the grace period of its drain")                          \
+    X(cold_servers, "no cold server is overloaded by proxies that know of its start")                        \
+    X(listens, "the list is requested within the time that the guarantee allows")                            \
+    X(owed, "every connection gets an answer or a close within 3 s")                                         \
+    X(sound, "what a proxy writes is well-formed")                                                           \
+    X(beliefs, "a proxy's own counts match those of the system")                                             \
     X(nothing_left, "no call, timer or descriptor is left when all is quiet")                                \
-    X(no_busy_loop, "rounds are bounded by what happens")                                                    \
+    X(no_busy_loop, "the number of rounds is bounded by the number of events")                               \
     X(bounded_memory, "memory is bounded")                                                                   \
-    X(ends_in_time, "told to stop, it ends in time, and never otherwise")                                    \
-    X(no_crash, "it does not crash")
+    X(ends_in_time, "a proxy ends in time after SIGTERM, and never otherwise")                               \
+    X(no_crash, "a proxy does not crash")
 
 enum class Rule {
 #define X(name, text) name,
@@ -41,37 +41,38 @@
 };
 const char* name_of(Rule rule);
 const char* text_of(Rule rule);
-std::optional<Rule> rule_named(std::string_view name);
+std::optional<Rule> rule_from_name(std::string_view name);
 
-struct Broken {
+struct Violation {
     Rule rule{};
     uint64_t step = 0;
     Time at;
-    std::vector<uint64_t> calls;   // that are concerned
+    std::vector<uint64_t> calls;   // calls concerned
     std::string what;
 };
 
-enum class Fate { on_its_way, waits, runs, executed, never, unproved };   // of a shot at its server
+// State of an attempt at its server; unknown: it may have run.
+enum class Execution { in_flight, queued, running, executed, not_executed, unknown };
 
-struct LabShot {
+struct LabAttempt {
     int server = 0;
-    uint64_t socket = 0;      // the proxy's
+    uint64_t socket = 0;   // number of the proxy's socket
     Time begun;
-    bool whole = false;       // its last byte was written
-    bool out = true;          // its connection is open and it has no answer
-    Fate fate = Fate::on_its_way;
-    Time give_up;             // as the proxy said in X-Timeout
+    bool fully_sent = false;   // its last byte was written
+    bool open = true;          // its connection is open and no response was sent
+    Execution execution = Execution::in_flight;
+    Time deadline;   // from the X-Timeout that the proxy sent
 };
 
 struct LabCall {
     uint64_t number = 0;
     int proxy = 0, product = 0;
-    Time arrived{-1}, over_at;      // `arrived`: its last byte came to the proxy's machine
-    uint64_t client = 0, ends = 0;  // the client's socket, and where on it the call ends
-    bool taken = false, left = false, over = false, again = false, excused = false;
-    std::vector<LabShot> shots;
+    Time arrived{-1}, finished_at;         // arrived: when its last byte reached the proxy's machine; -1 = not yet
+    uint64_t client = 0, client_end = 0;   // the client's socket, and the byte offset on it at which the call ends
+    bool taken = false, left = false, finished = false, resent = false, exempt = false;
+    std::vector<LabAttempt> attempts;
     int executions = 0;
-    std::unordered_map<int, Time> effects;   // of a deduplicated one, by zone
+    std::unordered_map<int, Time> effects;   // of a deduplicated call, by zone
     const LabProduct& kind() const { return products[static_cast<size_t>(product)]; }
 };
 
@@ -79,87 +80,90 @@
 public:
     Oracle(Queue& queue, Trace& trace, const Scenario& scenario);
     ~Oracle() override;
-    const std::optional<Broken>& broken() const { return broken_; }
-    void breaks(Rule rule, std::vector<uint64_t> calls, std::string what);   // the first counts
+    const std::optional<Violation>& violation() const { return violation_; }
+    void report_violation(Rule rule, std::vector<uint64_t> calls, std::string what);   // only the first is kept
     Summary summary;
 
-    // Clients.
-    void sent(uint64_t number, int proxy, int product, const Socket& client);
-    void sent_again(uint64_t number, const Socket& client);
-    void left(uint64_t number);
-    void answered(uint64_t number, int status, const std::string& body);   // as the client read it
-    void stranger(const Socket& client) { strangers_.insert(client.number); }
+    // Reported by clients.
+    void call_sent(uint64_t number, int proxy, int product, const Socket& client);
+    void call_resent(uint64_t number, const Socket& client);
+    void client_left(uint64_t number);
+    void response_read(uint64_t number, int status, const std::string& body);   // as read by the client
+    void stray_connected(const Socket& client) { stray_connections_.insert(client.number); }
 
-    // Servers. Null: of a connection that no call is known to be on.
+    // Reported by servers. Lookups return null if no such call is known, or none on that connection.
     LabCall* call(uint64_t number);
-    LabShot* shot(uint64_t number, const Socket& servers_end);
-    void fate(uint64_t number, LabShot& shot, Fate fate);
-    bool executed(uint64_t number, int server);   // false: it was a duplicate and had no effect
-    void done(LabShot& shot) { shot.out = false; }
+    LabAttempt* attempt(uint64_t number, const Socket& servers_end);
+    void set_execution(uint64_t number, LabAttempt& attempt, Execution execution);
+    bool executed(uint64_t number, int server);   // false: a duplicate without effect
+    void attempt_answered(LabAttempt& attempt) { attempt.open = false; }
 
-    // Discovery: this list has come to the proxy's machine; entries by server slot.
-    struct Told {
+    // Reported by discovery. A list arrived at the proxy's machine; `whole`: it holds all servers, not only changes.
+    struct ListedServer {
         int server = 0;
         std::string uid;
         bool ready = false;
         Time launched = long_ago;
-        bool drained = false;   // told as draining, and not as started anew since
-        bool open = false;      // told as ready, and not as draining since
+        bool drained = false;     // listed as draining, and not as restarted since
+        bool available = false;   // listed as ready, and not as draining since
     };
-    void list_told(int proxy, bool whole, const std::vector<Told>& entries);
-    void asks(int proxy, bool open);   // whether a call to discovery is open
+    void list_received(int proxy, bool whole, const std::vector<ListedServer>& entries);
+    void discovery_request(int proxy, bool open);   // whether a request to discovery is open
     std::function<void(int proxy, Socket&)> on_discovery_bytes;
-    std::function<bool(int proxy, int server)> connecting;   // whether a connect there is under way
+    std::function<bool(int proxy, int server)> is_connecting;   // whether a connect to it is in progress
+    // Whether the proxy has a list in which the server started then or later.
     bool knows_start(int proxy, int server, Time launched) const;
 
-    // Proxies.
-    void starts(int proxy, const std::vector<Told>& known);
-    void dies(int proxy) { proxies_[proxy].dying = true; }   // SIGKILL: what it holds is lost
-    void ended(int proxy);
-    void paused(int proxy, Time from, Time to) { proxies_[proxy].pauses.emplace_back(from, to); }
-    void short_of_descriptors(int proxy) { proxies_[proxy].was_short = true; }
-    bool was_short(int proxy) const { return proxies_[proxy].was_short; }
-    Time due(int proxy, Time since, Span within) const;   // later for the pauses in that time
-    int calls_open(int proxy) const { return proxies_[proxy].open; }
-    int lines_busy(int proxy) const { return proxies_[proxy].busy; }   // with a shot or probe that was begun
-
-    void wrote(Socket& s, std::string_view bytes) override;
-    void took(Socket& s, std::string_view bytes) override;
-    void came(Socket& s) override;
+    // Reported by the world about proxies.
+    void proxy_started(int proxy, const std::vector<ListedServer>& known);
+    void process_ending(int proxy) { proxies_[proxy].ending = true; }   // its open calls are lost, which breaks no rule
+    void proxy_ended(int proxy);
+    void proxy_paused(int proxy, Time from, Time to) { proxies_[proxy].pauses.emplace_back(from, to); }
+    void set_descriptors_limited(int proxy) { proxies_[proxy].descriptors_limited = true; }
+    bool descriptors_limited(int proxy) const { return proxies_[proxy].descriptors_limited; }
+    // Returns since + within, later by the pauses of the process in that time.
+    Time deadline(int proxy, Time since, Span within) const;
+    int open_calls(int proxy) const { return proxies_[proxy].open_calls; }
+    // Connections to servers on which an attempt or probe was started and is not answered.
+    int busy_connections(int proxy) const { return proxies_[proxy].busy_connections; }
+
+    void was_written(Socket& s, std::string_view bytes) override;
+    void was_read(Socket& s, std::string_view bytes) override;
+    void bytes_arrived(Socket& s) override;
     void closing(Socket& s) override;
-    void opened(Socket& s) override;
+    void connect_started(Socket& s) override;
 
 private:
-    struct Conn;
+    struct Connection;
     struct ProxyState {
-        std::unordered_map<std::string, Told> told;        // by uid
-        std::vector<Time> gone_since;                      // by server slot; `never` while it is listed as ready
+        std::unordered_map<std::string, ListedServer> known_servers;   // by uid
+        std::vector<Time> unavailable_since;   // by server slot; `never` while attempts may be sent to it
         std::vector<std::pair<Time, Time>> pauses;
-        bool dying = false, up = false, asks = false, was_short = false;
-        Time asked{};
-        int open = 0, busy = 0;                            // calls taken that have no answer; see lines_busy
+        bool ending = false, up = false, discovery_request_open = false, descriptors_limited = false;
+        Time last_discovery_request{};
+        int open_calls = 0, busy_connections = 0;   // calls read whole without a response; see busy_connections()
     };
-    Conn& conn(const Socket& s);
-    void shot_begins(Conn& c, const Socket& s);
-    void shot_written(Conn& c);
-    void answer_written(Conn& c, const Socket& s);
-    void over(LabCall& call);
-    void check_due(uint64_t number);
-    void look_after(int proxy);
-    bool may_have_run(const LabShot& shot) const;
-    void note(Event what, uint64_t who, uint64_t a = 0, uint64_t b = 0) {
-        trace_.note(queue_.steps(), queue_.now(), what, who, a, b);
+    Connection& connection(const Socket& s);
+    void attempt_began(Connection& c, const Socket& s);
+    void attempt_written(Connection& c);
+    void response_written(Connection& c, const Socket& s);
+    void finish(LabCall& call);
+    void check_deadline(uint64_t number);
+    void check_discovery_requests(int proxy);
+    bool may_have_run(const LabAttempt& attempt) const;
+    void record(Event what, uint64_t who, uint64_t a = 0, uint64_t b = 0) {
+        trace_.record(queue_.steps(), queue_.now(), what, who, a, b);
     }
-    void gone_since(ProxyState& p);
+    void update_unavailable_since(ProxyState& p);
 
     Queue& queue_;
     Trace& trace_;
     const Scenario& scenario_;
-    std::optional<Broken> broken_;
-    std::unordered_map<uint64_t, std::unique_ptr<LabCall>> calls_;   // looked up only
-    std::unordered_map<uint64_t, std::unique_ptr<Conn>> conns_;      // by the proxy's socket; looked up only
-    std::unordered_map<uint64_t, uint64_t> on_client_;               // the latest call on a client's socket
-    std::set<uint64_t> strangers_;
+    std::optional<Violation> violation_;
+    std::unordered_map<uint64_t, std::unique_ptr<LabCall>> calls_;   // by number; never iterated
+    std::unordered_map<uint64_t, std::unique_ptr<Connection>> connections_;   // by the proxy's socket; never iterated
+    std::unordered_map<uint64_t, uint64_t> on_client_;   // latest call on each client's socket
+    std::set<uint64_t> stray_connections_;
     std::vector<ProxyState> proxies_;
 };
 
