--- a/src/rig/judge.cpp
+++ b/src/rig/judge.cpp
@@ -158,7 +158,7 @@
                 if (again && p.idempotency != Idempotency::idempotent)
                     add_violation(Rule::no_effect_twice, c, attempts, n, nullptr,
                                   "took effect again at server " + std::to_string(s.server));
-                if (effects++ == 0) first = s.received;   // the deduplication window counts from the first execution
+                if (effects++ == 0) first = s.received;   // receipt of the first executed attempt; the sender keeps within the window
             }
             const char* link_cause = link_excused(proxy, s.server, c.sent, s.received);
             if (s.began > c.ended + slack_ + starved(c.ended, s.began))
