--- a/bench/changes_cost.py
+++ b/bench/changes_cost.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""What changes of the configuration cost a proxy: its memory and processor time after a few of them and after many.
+"""Measures the cost of configuration changes for a proxy: its memory and CPU time after few and after many changes.
 
-Starts one control node and one proxy on loopback, with one toy host, sends configurations one after the other (each moves
-a route's time-out and a service's name) with requests between them, and prints what /proc tells of the proxy.
+Starts one control node and one proxy on loopback, with one simple host, sends configurations one after the other (each
+changes a route's timeout and a service's name) with requests between them, and prints the proxy's figures from /proc.
 
     bench/changes_cost.py target/myrtlerouted --changes 10000
 """
@@ -38,7 +38,7 @@
 
 
 class Host(http.server.BaseHTTPRequestHandler):
-    """Answers every request at once, as a host of the service does."""
+    """Host of the service that answers every request at once."""
 
     protocol_version = "HTTP/1.1"
 
@@ -56,7 +56,7 @@
 
 
 def configuration(version: int) -> str:
-    """A configuration of 20 routes, whose first has another time-out and another service each time."""
+    """A configuration of 20 routes, the first of which gets another timeout and another service with each version."""
     routes = [{"hostname": "h.example", "pathPrefix": f"/r{n}/", "kind": "idempotent", "maxAttempts": 2,
                "timeoutMs": 5000 + (version if n == 0 else n), "service": f"s{version}" if n == 0 else "s"}
               for n in range(20)]
@@ -71,25 +71,25 @@
     return status
 
 
-def beat(sequence: int) -> None:
+def send_heartbeat(sequence: int) -> None:
     body = json.dumps({"service": "s", "address": f"{ADDRESS}:{HOST}", "zone": "north", "capacity": 64,
                        "state": "ready", "sequence": sequence})
     call(CONTROL, "PUT", "/instances/i-1", body, {"Content-Type": "application/json"})
 
 
-def keep_beating() -> None:
+def send_heartbeats() -> None:
     sequence = 1
     while True:
         try:
-            beat(sequence)
+            send_heartbeat(sequence)
         except OSError:
             pass
         sequence += 1
         time.sleep(1)
 
 
-def figures(process: subprocess.Popen) -> tuple[float, float]:
-    """Resident memory in MB and processor time in seconds."""
+def memory_and_cpu(process: subprocess.Popen) -> tuple[float, float]:
+    """Resident memory in MB and CPU time in seconds of a process."""
     status = pathlib.Path(f"/proc/{process.pid}/status").read_text()
     resident = next(line for line in status.splitlines() if line.startswith("VmRSS"))
     stat = pathlib.Path(f"/proc/{process.pid}/stat").read_text().rsplit(")", 1)[1].split()
@@ -115,23 +115,23 @@
     try:
         server = http.server.ThreadingHTTPServer((ADDRESS, HOST), Host)
         threading.Thread(target=server.serve_forever, daemon=True).start()
-        threading.Thread(target=keep_beating, daemon=True).start()
+        threading.Thread(target=send_heartbeats, daemon=True).start()
         time.sleep(3)
-        served, last = 0, figures(proxy)[1]
-        marks = {10, options.changes // 10, options.changes // 2, options.changes}
-        counted_from = 0
+        served, last = 0, memory_and_cpu(proxy)[1]
+        report_versions = {10, options.changes // 10, options.changes // 2, options.changes}
+        last_version = 0
         for version in range(1, options.changes + 1):
             status = call(CONTROL, "PUT", "/config", configuration(version),
                           {"If-Match": str(version - 1), "Content-Type": "application/json"})
             assert status == 200, f"change {version}: {status}"
             served += call(FRONT, "POST", f"/r{1 + version % 19}/x", "{}",
                            {"Host": "h.example", "X-Request-Id": f"r{version}", "X-Deadline-Ms": "3000"}) == 200
-            if version in marks:
-                memory, spent = figures(proxy)
-                each = (spent - last) / (version - counted_from) * 1e3
+            if version in report_versions:
+                memory, spent = memory_and_cpu(proxy)
+                each = (spent - last) / (version - last_version) * 1e3
                 print(f"after {version} changes: {memory:.1f} MB, {each:.3f} ms of processor time a change and request "
                       f"since the last line, {served} requests served")
-                last, counted_from = spent, version
+                last, last_version = spent, version
     finally:
         for process in processes:
             process.terminate()
--- a/bench/loopback_cost.cpp
+++ b/bench/loopback_cost.cpp
@@ -1,5 +1,5 @@
-// CPU time that the program takes for a call, over loopback: user and system seconds per 10,000 calls, of the
-// whole process from start to end, for each of several programs in turn so that they can be compared.
+// Measures the CPU time of calls over loopback: user and system seconds per 10,000 calls, of the whole process from
+// start to exit. Several programs are measured alternately so that they can be compared.
 //
 //     bench_loopback_cost [ROUNDS [CALLS]] PROGRAM...
 #include <signal.h>
@@ -27,15 +27,15 @@
 
 namespace {
 
-constexpr int at_a_time = 8, servers = 3;
+constexpr int concurrency = 8, servers = 3;
 
-std::string address(int number) {   // that no other run has, on ports below those that the system gives out
+std::string address(int number) {   // unique to this run; ports are below the ephemeral range
     const int pid = ::getpid();
     return "127." + std::to_string(200 + (pid >> 16) % 50) + "." + std::to_string(pid >> 8 & 255) + "." +
            std::to_string(pid & 255) + ":" + std::to_string(20000 + number);
 }
 
-struct Asked : wire::HttpHandler {
+struct RequestTarget : wire::HttpHandler {
     std::string target;
     int start(std::string_view, std::string_view where, std::string_view) override {
         target = where;
@@ -45,16 +45,16 @@
     void body(std::string_view) override {}
 };
 
-struct Peer : Connection {   // of a server or of discovery
+struct Peer : Connection {   // connection of the program to a server or to discovery
     Peer(memory::ConnectionHandler& by, int fd)
-        : Connection(by, fd, 80'000, 80'000), http(wire::HttpParser::Side::request, asked) {}
+        : Connection(by, fd, 80'000, 80'000), http(wire::HttpParser::Side::request, request) {}
     std::string name() const override { return "peer"; }
-    Asked asked;
+    RequestTarget request;
     wire::HttpParser http;
 };
-struct Door : Connection {
-    Door(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
-    std::string name() const override { return "door"; }
+struct Listener : Connection {
+    Listener(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 1, 1) { listens = true; }
+    std::string name() const override { return "listener"; }
 };
 struct Caller : Connection {
     Caller(memory::ConnectionHandler& by, int fd) : Connection(by, fd, 80'000, 80'000), http(wire::HttpParser::Side::response, reader) {}
@@ -66,8 +66,8 @@
 class Peers : public memory::ConnectionHandler {
 public:
     explicit Peers(run::Loop& loop) : loop_(loop) {
-        for (int i = 0; i <= servers; ++i)   // the last is discovery
-            loop.add(std::make_unique<Door>(*this, loop.system().listen(*wire::parse_endpoint(address(i + 1)))));
+        for (int i = 0; i <= servers; ++i)   // the last one serves discovery
+            loop.add(std::make_unique<Listener>(*this, loop.system().listen(*wire::parse_endpoint(address(i + 1)))));
     }
     void on_readable(Connection& c) override {
         if (c.listens) {
@@ -79,8 +79,8 @@
         if (c.ended || peer.http.fault()) return loop_.close(c, CloseReason::peer_closed);
         if (!peer.http.done()) return;
         peer.http.reset();
-        if (peer.asked.target.find("hold_ms") != std::string::npos) return;   // nothing ever changes
-        const bool list = peer.asked.target.starts_with("/discovery");
+        if (peer.request.target.find("hold_ms") != std::string::npos) return;   // a watch: the list never changes
+        const bool list = peer.request.target.starts_with("/discovery");
         c.out.push(wire::format_response(200, list ? targets() : std::string(200, 'a'), true));
         loop_.flush(c);
     }
@@ -101,7 +101,7 @@
 class Callers : public memory::ConnectionHandler {
 public:
     Callers(run::Loop& loop, int calls) : loop_(loop), left_(calls) {
-        for (int i = 0; i < at_a_time; ++i) {
+        for (int i = 0; i < concurrency; ++i) {
             bool at_once = false;
             const int fd = loop.system().connect(*wire::parse_endpoint(address(0)), at_once);
             auto caller = std::make_unique<Caller>(*this, fd);
@@ -120,7 +120,7 @@
         caller.http.reset();
         call(c);
     }
-    void on_error(Connection&, int) override { std::abort(); }   // then nothing is measured
+    void on_error(Connection&, int) override { std::abort(); }   // the measurement is invalid
     void on_timer(Connection&) override {}
 
 private:
@@ -148,7 +148,7 @@
            R"("WarmAfterS":9,"StartCapacity":0.3,"TipMultiple":4,"GraceToAnswerS":0.02}}})";
 }
 
-// Seconds of the processor for 10,000 calls; below 0 where not all were fulfilled.
+// Returns CPU seconds per 10,000 calls; below 0 if not all calls were answered 200.
 double measure(const std::string& program, int calls) {
     char path[] = "/tmp/myrtleroute-cost-XXXXXX";
     ::close(::mkstemp(path));
@@ -189,7 +189,7 @@
         std::cerr << "usage: bench_loopback_cost [ROUNDS [CALLS]] PROGRAM...\n";
         return 2;
     }
-    std::vector<std::vector<double>> took(static_cast<size_t>(count - first));
+    std::vector<std::vector<double>> samples(static_cast<size_t>(count - first));
     for (int round = 0; round < rounds; ++round)
         for (int i = first; i < count; ++i) {
             const double s = measure(words[i], calls);
@@ -197,10 +197,10 @@
                 std::cerr << words[i] << ": not all calls were fulfilled\n";
                 return 1;
             }
-            took[static_cast<size_t>(i - first)].push_back(s);
+            samples[static_cast<size_t>(i - first)].push_back(s);
         }
     for (int i = first; i < count; ++i) {
-        auto& of = took[static_cast<size_t>(i - first)];
+        auto& of = samples[static_cast<size_t>(i - first)];
         std::sort(of.begin(), of.end());
         std::printf("%s: CPU seconds per 10,000 calls: least %.3f, median %.3f, most %.3f\n", words[i], of.front(), of[of.size() / 2], of.back());
     }
--- a/src/rig/report.hpp
+++ b/src/rig/report.hpp
@@ -1,4 +1,4 @@
-// The page of a set of runs: plots that a browser shows without a network. docs/rig-operators.md reads one.
+// HTML report of a set of runs: self-contained, with inline SVG plots. docs/rig-operators.md explains it.
 #pragma once
 #include <ostream>
 #include <vector>
@@ -8,11 +8,11 @@
 
 namespace myrtleroute::rig {
 
-struct Seen {
-    Day day;
+struct ReportedRun {
+    RunRecord record;
     Figures figures;
     Verdict verdict;
 };
-void write_report(std::ostream& out, const std::vector<Seen>& runs);
+void write_report(std::ostream& out, const std::vector<ReportedRun>& runs);
 
 }  // namespace myrtleroute::rig
