--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -621,8 +621,8 @@
             highest[!first] = drawn, c.preferred[!first] = s;
         }
     }
-    // Guards against slowness that few own calls in flight don't show: what attempts took over 1.5 times the
-    // expected (two means added) counts as load of others, plus 0.25. Less is mostly random: for turns only.
+    // Guards against slowness that few own calls in flight don't show: a slowdown over 0.5, two means added
+    // to the expected time, counts as load of others, less 0.25. Less is mostly random: for turns only.
     double hidden_load(Server& s, const Call& c) const {
         const double over = slowdown(s, 2 * c.product->latency);
         return over > 0.5 ? over - 0.25 : 0;
