--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -229,8 +229,8 @@
     }
     // Seconds of recent latency for each second of declared work; 0 if no work was declared.
     double seconds_per_work() {
-        const double told = work_latency_.total(ctx_.now, declared_s);
-        return told > 0 ? work_latency_.total(ctx_.now, actual_s) / told : 0;
+        const double declared = work_latency_.total(ctx_.now, declared_s);
+        return declared > 0 ? work_latency_.total(ctx_.now, actual_s) / declared : 0;
     }
     // Guards against a tenant's or product's calls that are slow at every server and hold up all others: if
     // three quarters of them miss their SLO and most others don't, one per penalty time is admitted.
@@ -270,9 +270,9 @@
 
     void attempt_sent(Attempt& attempt) {
         const auto& zone = zone_of(*attempt.server);
-        const bool lent = zone.queued_all >= std::max(zone.min_limit, zone.limit) &&
-                          warm_share(*attempt.server) >= 1;
-        for (auto* s : members_) earn_credit(*s, lent);
+        const bool in_stuck_room = zone.queued_all >= std::max(zone.min_limit, zone.limit) &&
+                                   warm_share(*attempt.server) >= 1;
+        for (auto* s : members_) earn_credit(*s, in_stuck_room);
         attempt.server->open.push_back(&attempt);
         round_ = std::max(round_, attempt.server->next_turn);
         ++calls_sent_;
@@ -520,12 +520,12 @@
     // Limits calls to a cold server, as hundreds of proxies send to it independently: each call sent anywhere
     // earns it a credit of its warm share times three quarters of tip_multiple. Rejected calls, and calls in
     // the room of stuck ones, earn none. Unused credit expires, else bursts would send many calls at once.
-    void earn_credit(Server& s, bool lent) const {
+    void earn_credit(Server& s, bool in_stuck_room) const {
         const double warm = warm_share(s);
         if (warm >= 1) return;
         if (s.credit >= 1) s.credit -= 1;
-        if (!lent) s.credit += warm * s.capacity / std::max(capacity_sum_, s.capacity) *
-                               ctx_.conf.tip_multiple * 0.75;
+        if (!in_stuck_room) s.credit += warm * s.capacity / std::max(capacity_sum_, s.capacity) *
+                                          ctx_.conf.tip_multiple * 0.75;
     }
     // Little's law: a call is answered after about the queue's length over the server's response rate. It
     // goes elsewhere if that leaves too little of its SLO, and is rate-limited if that is so everywhere. This
