--- a/src/roles/control/work_report.cpp
+++ b/src/roles/control/work_report.cpp
@@ -57,7 +57,7 @@
           const auto labels = [](WorkKind kind) {
               return metrics::Labels{{"kind", std::string(to_string(kind))}};
           };
-          return std::array{Work{registry.counter("myrtleroute_control_work_total", "Work items handled, by kind.",
+          return std::array{Work{registry.counter("myrtleroute_control_work_total", "Pieces of work handled, by kind.",
                                                   labels(work_kinds[number])),
                                  registry.counter("myrtleroute_control_work_seconds_total",
                                                   "Time in which they were handled, waits for the processor included.",
