--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -16,12 +16,12 @@
       hard_(std::move(hard_state)),
       entry_(std::move(entry)),
       options_(options),
-      chance_(seed),
+      rng_(seed),
       heartbeat_at_(now),
       last_acknowledged_leader_(now),
       persisted_(last()),
       durable_term_(hard_.term) {
-    election_at_ = now + options_.initial_election_delay * (1 + chance_.uniform());
+    election_at_ = now + options_.initial_election_delay * (1 + rng_.uniform());
 }
 
 const std::vector<ReplicaId>& Replica::voters() const { return entry_ ? entry_->state.voters : no_voters; }
@@ -54,10 +54,10 @@
     // After a start of the whole system a failed election is retried soon; pre-votes keep it from disturbing a live
     // leader.
     if (leader_contact_at_ <= long_ago && own_term_index_ == 0) {
-        election_at_ = now + options_.election_retry_delay * (1 + 2 * chance_.uniform());
+        election_at_ = now + options_.election_retry_delay * (1 + 2 * rng_.uniform());
         return;
     }
-    election_at_ = now + options_.min_election_timeout + options_.election_spread * chance_.uniform();
+    election_at_ = now + options_.min_election_timeout + options_.election_spread * rng_.uniform();
 }
 
 void Replica::send(const ReplicaId& to, Message message) { outputs_.push_back(SendTo{to, std::move(message)}); }
@@ -86,8 +86,8 @@
 void Replica::peer_disconnected(const ReplicaId& peer, Time now) {
     if (role_ != Role::follower || leader_ != peer) return;
     leader_contact_at_ = std::min(leader_contact_at_, now - options_.min_election_timeout);
-    election_at_ = std::min(election_at_,
-                            now + options_.leader_disconnect_delay + options_.election_retry_delay * chance_.uniform());
+    election_at_ =
+        std::min(election_at_, now + options_.leader_disconnect_delay + options_.election_retry_delay * rng_.uniform());
 }
 
 void Replica::receive(const ReplicaId& from, const Message& message, Time now) {
--- a/src/consensus/replica.hpp
+++ b/src/consensus/replica.hpp
@@ -214,7 +214,7 @@
     HardState hard_;
     std::optional<Entry> entry_;
     ReplicaOptions options_;
-    Pcg chance_;
+    Pcg rng_;
     std::vector<Output> outputs_;
 
     Role role_ = Role::follower;
--- a/src/rollout/watcher.cpp
+++ b/src/rollout/watcher.cpp
@@ -33,7 +33,7 @@
 
 }   // namespace
 
-Watcher::Watcher(WatcherOptions options, uint64_t seed) : options_(std::move(options)), chance_(seed) {}
+Watcher::Watcher(WatcherOptions options, uint64_t seed) : options_(std::move(options)), rng_(seed) {}
 
 bool Watcher::update(const Rollouts& rollouts, Time now) {
     const bool is_first = !std::exchange(has_rollouts_, true);
@@ -50,7 +50,7 @@
         observed.number = rollout.number;
         observed.known_since = now;
         // Random, so that the fleet's share holds although each proxy has few requests.
-        observed.credit = chance_.uniform();
+        observed.credit = rng_.uniform();
     }
     return true;
 }
--- a/src/rollout/watcher.hpp
+++ b/src/rollout/watcher.hpp
@@ -83,7 +83,7 @@
     RolloutReport make_report(const Rollout& rollout, Observed& observed, size_t open, Time now) const;
 
     WatcherOptions options_;
-    Pcg chance_;
+    Pcg rng_;
     Rollouts rollouts_;
     bool has_rollouts_ = false;
     Time control_confirmed_at_ = long_ago, next_report_at_ = long_ago;
