--- a/src/leases/holder.cpp
+++ b/src/leases/holder.cpp
@@ -102,7 +102,7 @@
     return TenantStatus{found->second.usable(), found->second.grant.overload};
 }
 
-Decision Holder::acquire(const std::string& tenant, double cost, uint64_t ticket, Span patience, Time now) {
+Decision Holder::acquire(const std::string& tenant, double cost, uint64_t ticket, Span timeout, Time now) {
     if (leases_.size() >= max_tenants && !leases_.count(tenant))
         return {Verdict::refused, RefusalCause::no_room, max_retry_after};
     auto& lease = leases_[tenant];
@@ -121,7 +121,7 @@
     }
     if (!can_expect_reply(now)) return refusal(lease, cost, RefusalCause::out_of_touch, now);
     if (lease.waiting.size() >= max_waiting) return refusal(lease, cost, RefusalCause::no_room, now);
-    lease.waiting.push_back({ticket, cost, now + patience, 0});
+    lease.waiting.push_back({ticket, cost, now + timeout, 0});
     lease.changed = true;
     ++waiting_count_;
     find_next_deadline();
--- a/src/leases/holder.hpp
+++ b/src/leases/holder.hpp
@@ -36,8 +36,8 @@
     Holder(HolderId id, LeaseTerms terms, Time started) : id_(std::move(id)), terms_(terms), started_(started) {}
 
     // Admits, queues or refuses a request that costs `cost` units. `ticket` identifies it in the results of
-    // `take_decided`; it is queued no longer than `patience`.
-    Decision acquire(const std::string& tenant, double cost, uint64_t ticket, Span patience, Time now);
+    // `take_decided`; it is queued no longer than `timeout`.
+    Decision acquire(const std::string& tenant, double cost, uint64_t ticket, Span timeout, Time now);
     void cancel(uint64_t ticket);   // removes a queued request
 
     // Sets whether a connection to the allocator exists. When it ends, the outstanding request gets no reply.
