--- a/src/roles/proxy/admission.cpp
+++ b/src/roles/proxy/admission.cpp
@@ -8,7 +8,7 @@
 namespace myrtleroute::proxy {
 namespace {
 
-constexpr Span urgent_ask_interval{0.05};   // interval of lease requests while units are urgently needed
+constexpr Span urgent_request_interval{0.05};   // interval of lease requests while units are urgently needed
 constexpr double rounding = 1e-9;
 
 // The units that a request consumes: 1, or its tokens if the tenant's limit counts tokens.
@@ -33,7 +33,7 @@
       events_(std::move(events)),
       leases_({context.settings.node_name, incarnation}, {}, context.started),
       report_(context.metrics, [](const std::string& line) { log_info() << line; }),
-      used_units_were_lent_(context.invariants.named("used_units_were_lent")),
+      used_units_were_granted_(context.invariants.named("used_units_were_lent")),
       refused_for_room_(bound_reached_counter(context.metrics, "leases")) {}
 
 leases::Decision Admission::decide(const Request& request) {
@@ -46,14 +46,14 @@
 
 void Admission::note_granted(const Request& request) {
     report_.note_granted(request.tenant->name, cost_of(request));
-    used_units_were_lent_.check(leases_.totals().used <= leases_.totals().received * (1 + rounding), [&] {
+    used_units_were_granted_.check(leases_.totals().used <= leases_.totals().received * (1 + rounding), [&] {
         return std::to_string(leases_.totals().used) + " units used, leased only " +
                std::to_string(leases_.totals().received);
     });
 }
 
 void Admission::wait_for_units() {
-    ask();
+    request_units();
     if (!leases_.has_waiting() || timer_at_ > context_.now()) return;
     timer_at_ = leases_.next_deadline();
     context_.loop.schedule(timer_at_, cookie);
@@ -70,13 +70,13 @@
 
 void Admission::connected(bool is_up) {
     leases_.connected(is_up);
-    ask();
+    request_units();
 }
 
 void Admission::update_fleet(const messages::FleetStatus& update) {
     if (update.current && !control_is_current_) {
         leases_.expedite();   // a leader is available again
-        ask();
+        request_units();
     }
     control_is_current_ = update.current;
     report_.update_fleet(update, context_.now());
@@ -92,9 +92,9 @@
     deliver_decisions();
 }
 
-void Admission::ask() {
-    if (const auto ask = leases_.next_request(context_.system.now())) events_.ask(*ask);
-    if (leases_.is_expedited()) context_.loop.schedule(context_.now() + urgent_ask_interval, cookie);
+void Admission::request_units() {
+    if (const auto request = leases_.next_request(context_.system.now())) events_.send_request(*request);
+    if (leases_.is_expedited()) context_.loop.schedule(context_.now() + urgent_request_interval, cookie);
 }
 
 void Admission::deliver_decisions() {
--- a/src/roles/proxy/admission.hpp
+++ b/src/roles/proxy/admission.hpp
@@ -16,7 +16,7 @@
 class Admission {
 public:
     struct Events {
-        std::function<void(const leases::LeaseRequest&)> ask;   // sends to the control role, if connected
+        std::function<void(const leases::LeaseRequest&)> send_request;   // sends to the control role, if connected
         // Outcome of a request that had to wait.
         std::function<void(CallId)> granted;
         std::function<void(CallId, const leases::Decision&)> refused;
@@ -41,7 +41,7 @@
     void update_fleet(const messages::FleetStatus& update);
     void apply(const leases::LeaseReply& reply);
     void on_timer();
-    void ask();   // sends a lease request if one is due
+    void request_units();   // sends a lease request if one is due
     void refresh_metrics();
 
 private:
@@ -51,7 +51,7 @@
     Events events_;
     leases::Holder leases_;
     QuotaReport report_;
-    Invariant& used_units_were_lent_;
+    Invariant& used_units_were_granted_;
     metrics::Counter refused_for_room_;
     Time timer_at_ = long_ago;   // time of the timer set for waiting requests
     bool control_is_current_ = false;
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -109,7 +109,7 @@
 }
 
 Admission::Events Proxy::admission_events() {
-    return {[this](const leases::LeaseRequest& ask) { subscription_.ask(ask); },
+    return {[this](const leases::LeaseRequest& request) { subscription_.send_if_open(request); },
             [this](CallId call) {
                 auto* request = requests_.find(call);
                 if (!request) return;
@@ -131,7 +131,7 @@
             [this](bool is_up) {
                 admission_.connected(is_up);
                 configuration_lease_.connected();
-                ask_for_configuration_lease();
+                request_configuration_lease();
             },
             [this] {
                 return context_.table ? context_.table->configuration().version : 0;
@@ -159,7 +159,7 @@
 }
 
 void Proxy::round() {
-    context_.loop.run_once([this](uint64_t cookie) { woke(cookie); }, [this] { settle(); });
+    context_.loop.run_once([this](uint64_t cookie) { timer_fired(cookie); }, [this] { settle(); });
 }
 
 bool Proxy::ready() const {
@@ -356,7 +356,7 @@
         return open_at_serving(service);
     };
     for (auto& report : rollout_watcher_.take_reports(context_.proxies, open, context_.now()))
-        subscription_.ask(std::move(report));
+        subscription_.send_if_open(std::move(report));
 }
 
 void Proxy::apply_configuration(const messages::ConfigurationUpdate& update) {
@@ -373,9 +373,10 @@
     log_info() << "configuration " << update.version << " is in force";
 }
 
-void Proxy::ask_for_configuration_lease() {
+void Proxy::request_configuration_lease() {
     if (!subscription_.is_open()) return;
-    if (const auto ask = configuration_lease_.next_request(context_.system.now())) subscription_.ask(*ask);
+    if (const auto request = configuration_lease_.next_request(context_.system.now()))
+        subscription_.send_if_open(*request);
 }
 
 void Proxy::update_fleet(const messages::FleetStatus& update) {
@@ -400,7 +401,7 @@
     requests_.sweep();
 }
 
-void Proxy::woke(uint64_t cookie) {
+void Proxy::timer_fired(uint64_t cookie) {
     if (cookie == tick_cookie) return tick();
     if (cookie == Admission::cookie) return admission_.on_timer();
     if (auto* pool = services_.find(ServicePool::pool_of(cookie))) pool->on_timer(cookie);
@@ -408,8 +409,8 @@
 
 void Proxy::tick() {
     subscription_.tick();
-    admission_.ask();
-    ask_for_configuration_lease();
+    admission_.request_units();
+    request_configuration_lease();
     send_rollout_reports();
     context_.loop.schedule(context_.now() + tick_interval * (ready() ? 1 : not_ready_factor), tick_cookie);
     hosts_.forget_gone();
--- a/src/roles/proxy/proxy.hpp
+++ b/src/roles/proxy/proxy.hpp
@@ -56,7 +56,7 @@
 
     // The control role.
     void apply_configuration(const messages::ConfigurationUpdate& update);
-    void ask_for_configuration_lease();   // sends a request if one is due
+    void request_configuration_lease();   // sends a request if one is due
     void update_fleet(const messages::FleetStatus& update);
 
     // Callbacks of the components.
@@ -71,7 +71,7 @@
     void on_readable(memory::Connection& connection) override;
     void on_error(memory::Connection&, int) override {}
     void on_timer(memory::Connection& connection) override;
-    void woke(uint64_t cookie);
+    void timer_fired(uint64_t cookie);
     void tick();
     void settle();
     void stop();
--- a/src/roles/proxy/subscription.cpp
+++ b/src/roles/proxy/subscription.cpp
@@ -82,8 +82,8 @@
     if (immediate) on_connected(*link_);
 }
 
-void Subscription::ask(const messages::Message& ask) {
-    if (subscriber_.is_open()) send(ask);
+void Subscription::send_if_open(const messages::Message& message) {
+    if (subscriber_.is_open()) send(message);
 }
 
 void Subscription::on_connected(Connection&) {
--- a/src/roles/proxy/subscription.hpp
+++ b/src/roles/proxy/subscription.hpp
@@ -25,7 +25,7 @@
     void tick();               // called several times a second
     void stop();
     bool is_open() const { return subscriber_.is_open(); }
-    void ask(const messages::Message& ask);   // sent immediately if connected
+    void send_if_open(const messages::Message& message);   // dropped if no control node is connected
 
     void on_connected(memory::Connection& connection) override;
     void on_readable(memory::Connection& connection) override;
