--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -312,7 +312,7 @@
         }
         switch (attempt.outcome) {
             case Outcome::fulfilled:
-                note_response(s);
+                record_response(s);
                 s.last_seen = ctx_.now;
                 s.answered_sent = std::max(s.answered_sent, attempt.sent);
                 drop_abandoned(s, attempt.sent);
@@ -329,12 +329,12 @@
                 s.stats.add(ctx_.now, answered);
                 s.stats.add(ctx_.now, answered_s, took);
                 return;
-            case Outcome::errored: note_response(s); [[fallthrough]];
+            case Outcome::errored: record_response(s); [[fallthrough]];
             case Outcome::reset: return record_failure(s, is_outlier(s));
             case Outcome::full:
                 // Guards against servers that reject one product only counting as over half of the pool.
                 s.full_until[index_of(*attempt.call)] = ctx_.now + penalty;
-                note_response(s);
+                record_response(s);
                 return record_failure(s, s.stats.total(ctx_.now, answered) == 0);
             case Outcome::connect_failed:
                 drop_abandoned(s, ctx_.now);
@@ -447,7 +447,7 @@
         });
         if (forgotten > 0) update_members();
     }
-    void note_response(Server& s) { s.last_response = s.last_data = last_data_ = ctx_.now; }
+    void record_response(Server& s) { s.last_response = s.last_data = last_data_ = ctx_.now; }
     void record_failure(Server& s, bool penalise = true) {
         s.stats.add(ctx_.now, failed);
         if (penalise) s.penalty_until = ctx_.now + penalty;
