--- a/src/roles/proxy/admission.cpp
+++ b/src/roles/proxy/admission.cpp
@@ -40,12 +40,12 @@
     if (!request.tenant || request.tenant->rate_per_second <= 0) return {};
     const auto decision = leases_.acquire(request.tenant->name, cost_of(request), request.id,
                                           max_wait_for(*request.route), context_.system.now());
-    if (decision.verdict == leases::Verdict::granted) note_granted(request);
+    if (decision.verdict == leases::Verdict::granted) record_granted(request);
     return decision;
 }
 
-void Admission::note_granted(const Request& request) {
-    report_.note_granted(request.tenant->name, cost_of(request));
+void Admission::record_granted(const Request& request) {
+    report_.record_granted(request.tenant->name, cost_of(request));
     used_units_were_granted_.check(leases_.totals().used <= leases_.totals().received * (1 + rounding), [&] {
         return std::to_string(leases_.totals().used) + " units used, leased only " +
                std::to_string(leases_.totals().received);
@@ -59,11 +59,11 @@
     context_.loop.schedule(timer_at_, cookie);
 }
 
-void Admission::withdraw(const Request& request) { leases_.cancel(request.id); }
+void Admission::cancel(const Request& request) { leases_.cancel(request.id); }
 
-void Admission::note_refused(const Request& request, const leases::Decision& decision) {
+void Admission::record_refused(const Request& request, const leases::Decision& decision) {
     if (decision.cause == leases::RefusalCause::no_room) refused_for_room_.add();
-    report_.note_refused(request.tenant->name, cost_of(request), decision.cause, leases_, context_.now());
+    report_.record_refused(request.tenant->name, cost_of(request), decision.cause, leases_, context_.now());
 }
 
 void Admission::configured() { report_.configured(context_.table->configuration().tenants); }
--- a/src/roles/proxy/admission.hpp
+++ b/src/roles/proxy/admission.hpp
@@ -31,10 +31,10 @@
     leases::Decision decide(const Request& request);
     // Requests units immediately, for requests that have started to wait.
     void wait_for_units();
-    void withdraw(const Request& request);   // the client has left
+    void cancel(const Request& request);   // the client has left
     // Record the outcome of a wait.
-    void note_granted(const Request& request);
-    void note_refused(const Request& request, const leases::Decision& decision);
+    void record_granted(const Request& request);
+    void record_refused(const Request& request, const leases::Decision& decision);
 
     void configured();   // a new route table is in use
     void connected(bool is_up);
--- a/src/roles/proxy/cut_report.cpp
+++ b/src/roles/proxy/cut_report.cpp
@@ -21,7 +21,7 @@
       answers_(counters_by(registry, "myrtleroute_answers_cut_total", "Answers cut after they had begun, by cause.",
                            "cause", cut_causes)) {}
 
-void CutReport::note(CutCause cause, std::string_view request_id, Span after, Time now) {
+void CutReport::record(CutCause cause, std::string_view request_id, Span after, Time now) {
     const auto number = static_cast<size_t>(cause);
     answers_[number].add();
     const auto left_out = lines_[number].try_log(now);
--- a/src/roles/proxy/cut_report.hpp
+++ b/src/roles/proxy/cut_report.hpp
@@ -32,7 +32,7 @@
 
     // Records that the response to the request with this X-Request-Id was aborted; `after`: time since the request
     // arrived.
-    void note(CutCause cause, std::string_view request_id, Span after, Time now);
+    void record(CutCause cause, std::string_view request_id, Span after, Time now);
 
 private:
     Log log_;
--- a/src/roles/proxy/hosts.cpp
+++ b/src/roles/proxy/hosts.cpp
@@ -126,7 +126,8 @@
     connection.deadline = connection.sent + timeout;
     connection.stale = connection.streamed = false;
     const Time up_by = connection.sent + connect_timeout;
-    context_.loop.set_timer(connection, connection.connecting ? std::min(connection.deadline, up_by) : connection.deadline);
+    context_.loop.set_timer(connection,
+                            connection.connecting ? std::min(connection.deadline, up_by) : connection.deadline);
     if (!connection.connecting) write(connection);
 }
 
@@ -172,7 +173,7 @@
            !connection.http.fault()) {
         const bool in_head = !connection.reader.head_done;
         connection.in.drop(connection.http.feed(connection.in.front()));
-        if (in_head && connection.reader.head_done) head_came(connection);
+        if (in_head && connection.reader.head_done) head_received(connection);
         if (connection.http.done() && connection.stale) {   // a surplus response; the expected one may follow
             connection.http.next();
             connection.reader = {};
@@ -190,7 +191,7 @@
         end_attempt(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, CloseReason::peer_closed);
 }
 
-void HostConnections::head_came(HostConnection& connection) {
+void HostConnections::head_received(HostConnection& connection) {
     const auto& reader = connection.reader;
     if (connection.request && !connection.is_probe) {
         const auto own = field_value(connection.request->fields, "X-Request-Id");
--- a/src/roles/proxy/hosts.hpp
+++ b/src/roles/proxy/hosts.hpp
@@ -102,7 +102,7 @@
     HostConnection* idle_connection(HostRecord& host);
     void dispatch(HostConnection& connection, Span timeout);
     void write(HostConnection& connection);
-    void head_came(HostConnection& connection);
+    void head_received(HostConnection& connection);
     void take_body(HostConnection& connection);
     void response_complete(HostConnection& connection);
     void release(HostConnection& connection);
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -113,7 +113,7 @@
             [this](CallId call) {
                 auto* request = requests_.find(call);
                 if (!request) return;
-                admission_.note_granted(*request);
+                admission_.record_granted(*request);
                 admit(*request);
             },
             [this](CallId call, const leases::Decision& decision) {
@@ -216,7 +216,7 @@
 }
 
 void Proxy::refuse_over_quota(Client& client, const Request& request, const leases::Decision& decision) {
-    admission_.note_refused(request, decision);
+    admission_.record_refused(request, decision);
     front_.refuse(client, 429, decision.retry_after);
 }
 
@@ -231,7 +231,7 @@
     request.client = nullptr;
     const auto id = request.id;
     if (!request.admitted) {
-        admission_.withdraw(request);
+        admission_.cancel(request);
         return requests_.forget_if_over(request);
     }
     if (auto* pool = services_.find(request.service)) pool->balancer().client_left(context_.now(), id);
@@ -243,7 +243,7 @@
     auto* request = requests_.find(call);
     if (!request || !request->client) return;
     auto& client = *std::exchange(request->client, nullptr);
-    requests_.note_answered(call);
+    requests_.mark_answered(call);
     if (request->answering) return cut(client, *request, CutCause::host_failed);
     if (request->last_failure.status) {
         const auto& reply = request->last_failure;
@@ -256,7 +256,7 @@
     auto* request = requests_.find(call);
     if (!request || !request->client) return;
     auto& client = *std::exchange(request->client, nullptr);
-    requests_.note_answered(call);
+    requests_.mark_answered(call);
     const bool late = context_.now() >= request->deadline;
     if (request->answering) return cut(client, *request, late ? CutCause::out_of_time : CutCause::host_failed);
     const auto& reply = request->last_failure;
@@ -275,7 +275,7 @@
 
 void Proxy::cut(Client& client, const Request& request, CutCause cause) {
     const auto now = context_.now();
-    cut_report_.note(cause, field_value(request.fields, "X-Request-Id"), now - request.arrived, now);
+    cut_report_.record(cause, field_value(request.fields, "X-Request-Id"), now - request.arrived, now);
     front_.abort_response(client);
 }
 
--- a/src/roles/proxy/quota_report.cpp
+++ b/src/roles/proxy/quota_report.cpp
@@ -58,15 +58,15 @@
     current_.set(update.current ? 1 : 0);
 }
 
-void QuotaReport::note_granted(std::string_view tenant, double units) {
+void QuotaReport::record_granted(std::string_view tenant, double units) {
     auto* entry = metrics_of(tenant);
     if (!entry) return;
     entry->granted_units.add(units);
     entry->granted_since += units;
 }
 
-void QuotaReport::note_refused(std::string_view tenant, double units, RefusalCause cause, const leases::Holder& leases,
-                               Time now) {
+void QuotaReport::record_refused(std::string_view tenant, double units, RefusalCause cause,
+                                 const leases::Holder& leases, Time now) {
     auto* entry = metrics_of(tenant);
     if (!entry) return;
     entry->refused_units.add(units);
--- a/src/roles/proxy/quota_report.hpp
+++ b/src/roles/proxy/quota_report.hpp
@@ -36,10 +36,10 @@
     void update_fleet(const messages::FleetStatus& update, Time now);
 
     // Records a granted request and its units. Tenants that the configuration does not name are ignored.
-    void note_granted(std::string_view tenant, double units);
+    void record_granted(std::string_view tenant, double units);
     // `leases`: the lease state that led to the refusal.
-    void note_refused(std::string_view tenant, double units, leases::RefusalCause cause, const leases::Holder& leases,
-                      Time now);
+    void record_refused(std::string_view tenant, double units, leases::RefusalCause cause, const leases::Holder& leases,
+                        Time now);
 
     // Updates the metrics that change with time. Called before rendering.
     void refresh(const leases::Holder& leases, Time now);
--- a/src/roles/proxy/request_table.hpp
+++ b/src/roles/proxy/request_table.hpp
@@ -29,7 +29,7 @@
     // Removes the request if it is answered or its client has left, and no attempt is open.
     void forget_if_over(Request& request);
     // Does the same at the next `sweep`, for callers whose own caller still uses the request.
-    void note_answered(CallId number) { answered_.push_back(number); }
+    void mark_answered(CallId number) { answered_.push_back(number); }
     void sweep();
 
     size_t size() const { return requests_.size(); }
--- a/tests/system/cut_report_test.cpp
+++ b/tests/system/cut_report_test.cpp
@@ -21,10 +21,10 @@
     std::vector<std::string> lines;
     CutReport report(registry, [&](const std::string& line) { lines.push_back(line); });
     CHECK(contains(registry.render(), "myrtleroute_answers_cut_total{cause=\"process_ends\"} 0\n"));
-    report.note(CutCause::process_ends, "r1", Span{5.25}, Time{10});
-    report.note(CutCause::process_ends, "r2", Span{6}, Time{10.5});
-    report.note(CutCause::host_failed, "r3", Span{1}, Time{10.5});
-    report.note(CutCause::process_ends, "r4", Span{7}, Time{11});
+    report.record(CutCause::process_ends, "r1", Span{5.25}, Time{10});
+    report.record(CutCause::process_ends, "r2", Span{6}, Time{10.5});
+    report.record(CutCause::host_failed, "r3", Span{1}, Time{10.5});
+    report.record(CutCause::process_ends, "r4", Span{7}, Time{11});
     REQUIRE(lines.size() == 3);
     CHECK(lines[0] == "response to request r1 aborted after 5.250 s: process_ends; 0 more since the last such line");
     CHECK(lines[1] == "response to request r3 aborted after 1.000 s: host_failed; 0 more since the last such line");
--- a/tests/system/quota_report_test.cpp
+++ b/tests/system/quota_report_test.cpp
@@ -58,11 +58,11 @@
 TEST_CASE("granted and refused units of a tenant are counted, refusals also by cause") {
     Reported world;
     world.report.configured(tenants({"acme"}));
-    world.report.note_granted("acme", 250);
-    world.report.note_granted("acme", 50);
-    world.report.note_refused("acme", 70, RefusalCause::over_limit, world.leases, world.now);
-    world.report.note_refused("acme", 10, RefusalCause::not_lent, world.leases, world.now);
-    world.report.note_refused("acme", 10, RefusalCause::not_lent, world.leases, world.now);
+    world.report.record_granted("acme", 250);
+    world.report.record_granted("acme", 50);
+    world.report.record_refused("acme", 70, RefusalCause::over_limit, world.leases, world.now);
+    world.report.record_refused("acme", 10, RefusalCause::not_lent, world.leases, world.now);
+    world.report.record_refused("acme", 10, RefusalCause::not_lent, world.leases, world.now);
     const auto text = world.rendered();
     CHECK(contains(text, "myrtleroute_quota_granted_units_total{tenant=\"acme\"} 300\n"));
     CHECK(contains(text, "myrtleroute_quota_refused_units_total{tenant=\"acme\"} 90\n"));
@@ -77,7 +77,7 @@
     CHECK(contains(world.rendered(), "myrtleroute_quota_reply_age_seconds +Inf\n"));
     world.report_fleet(7);
     world.lend("acme", 600, 1.5);
-    world.report.note_granted("acme", 1);
+    world.report.record_granted("acme", 1);
     world.now = world.now + Span{0.75};
     const auto text = world.rendered();
     CHECK(contains(text, "myrtleroute_quota_held_units{tenant=\"acme\"} 600\n"));
@@ -100,8 +100,8 @@
     world.report.configured(tenants({"acme"}));
     const auto before = world.registry.series();
     world.lend("stranger", 1, 1);
-    world.report.note_granted("stranger", 1);
-    world.report.note_refused("stranger", 1, RefusalCause::not_lent, world.leases, world.now);
+    world.report.record_granted("stranger", 1);
+    world.report.record_refused("stranger", 1, RefusalCause::not_lent, world.leases, world.now);
     CHECK(world.registry.series() == before);
     CHECK(world.lines.empty());
 }
@@ -110,16 +110,16 @@
     Reported world;
     world.report.configured(tenants({"acme", "zeta"}));
     const auto before = world.registry.series();
-    world.report.note_granted("acme", 5);
-    world.report.note_refused("acme", 5, RefusalCause::not_lent, world.leases, world.now);
-    world.report.note_granted("zeta", 6);
+    world.report.record_granted("acme", 5);
+    world.report.record_refused("acme", 5, RefusalCause::not_lent, world.leases, world.now);
+    world.report.record_granted("zeta", 6);
     world.report.configured(tenants({"zeta"}));
     CHECK_FALSE(contains(world.rendered(), "acme"));
     CHECK(contains(world.rendered(), "myrtleroute_quota_granted_units_total{tenant=\"zeta\"} 6\n"));
     world.report.configured(tenants({}));
     CHECK(world.registry.series() == before);
     world.report.configured(tenants({"acme"}));
-    world.report.note_granted("acme", 1);
+    world.report.record_granted("acme", 1);
     CHECK(contains(world.rendered(), "myrtleroute_quota_granted_units_total{tenant=\"acme\"} 1\n"));
 }
 
@@ -129,8 +129,8 @@
     world.report_fleet();
     world.lend("acme", 600, 1.5);
     world.now = world.now + Span{0.25};
-    world.report.note_granted("acme", 3000000);
-    world.report.note_refused("acme", 20, RefusalCause::over_limit, world.leases, world.now);
+    world.report.record_granted("acme", 3000000);
+    world.report.record_refused("acme", 20, RefusalCause::over_limit, world.leases, world.now);
     REQUIRE(world.lines.size() == 1);
     CHECK(world.lines[0] ==
           "quota of tenant \"acme\": refused, over_limit; since the last such line 3000000 units granted, "
@@ -141,16 +141,16 @@
     Reported world;
     world.report.configured(tenants({"acme"}));
     for (int i = 0; i < 50; ++i) {
-        world.report.note_granted("acme", 2);
-        world.report.note_refused("acme", 1, RefusalCause::over_limit, world.leases, world.now + Span{i * 0.015});
+        world.report.record_granted("acme", 2);
+        world.report.record_refused("acme", 1, RefusalCause::over_limit, world.leases, world.now + Span{i * 0.015});
     }
     CHECK(world.lines.size() == 1);
-    world.report.note_refused("acme", 1, RefusalCause::not_lent, world.leases, world.now + Span{0.8});
+    world.report.record_refused("acme", 1, RefusalCause::not_lent, world.leases, world.now + Span{0.8});
     REQUIRE(world.lines.size() == 2);
     CHECK(contains(world.lines[1], "refused, not_lent; since the last such line 98 units granted, 50 refused;"));
-    world.report.note_refused("acme", 1, RefusalCause::over_limit, world.leases, world.now + Span{0.9});
+    world.report.record_refused("acme", 1, RefusalCause::over_limit, world.leases, world.now + Span{0.9});
     CHECK(world.lines.size() == 2);
-    world.report.note_refused("acme", 1, RefusalCause::over_limit, world.leases, world.now + Span{1});
+    world.report.record_refused("acme", 1, RefusalCause::over_limit, world.leases, world.now + Span{1});
     REQUIRE(world.lines.size() == 3);
     CHECK(contains(world.lines[2], "since the last such line 0 units granted, 2 refused;"));
 }
