--- a/src/consensus/types.hpp
+++ b/src/consensus/types.hpp
@@ -70,7 +70,7 @@
 
 struct VoteReply {
     bool pre_vote = false;
-    uint64_t term = 0;   // the voter's term; in a granted pre-vote the term asked about
+    uint64_t term = 0;   // the voter's term; in a granted pre-vote the requested term
     bool granted = false;
     double leaderless = 0;   // of a vote: seconds for which the voter has neither acknowledged a leader nor led
     bool operator==(const VoteReply&) const = default;
--- a/src/leases/lease.hpp
+++ b/src/leases/lease.hpp
@@ -32,7 +32,7 @@
 
 // The state of one tenant's lease as the holder reports it.
 struct LeaseStatus {
-    double demand = 0;            // units per second that recent requests have asked for
+    double demand = 0;            // units per second that recent requests needed
     double held = 0;              // units granted and not used
     double returned = 0;          // units that the holder returns with this request
     double needed = 0;            // units that queued requests need beyond those held
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -52,7 +52,7 @@
     virtual void call_arrived(Time now, CallId id, uint32_t product, uint32_t tenant, Span timeout,
                               Span work, uint64_t key, bool again, double affinity = 0) = 0;
     virtual void client_left(Time now, CallId id) = 0;
-    // Asked when the connection that an attempt waited for is up: whether its first byte may still be sent. If not, the
+    // Called when the connection that an attempt waited for is up: whether its first byte may still be sent. If not, the
     // attempt ends as never_sent.
     virtual bool may_start(Time now, CallId id, int attempt) = 0;
     virtual void stream_began(Time now, CallId id, int attempt) = 0;
--- a/src/roles/control/configuration_service.cpp
+++ b/src/roles/control/configuration_service.cpp
@@ -46,8 +46,8 @@
     return {request, 400, body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace), {}};
 }
 
-HttpResponse error_response(RequestId request, int status, const std::string& fault) {
-    return {request, status, nlohmann::json{{"fault", fault}}.dump(), {}};
+HttpResponse error_response(RequestId request, int status, const std::string& error) {
+    return {request, status, nlohmann::json{{"fault", error}}.dump(), {}};
 }
 
 void ConfigurationService::put(RequestId request, std::optional<uint64_t> if_match, std::string body, Time now) {
@@ -181,21 +181,21 @@
 }
 
 void ConfigurationService::leadership_lost() {
-    const std::string fault = "leadership was lost, send it again";
-    if (in_progress_) outputs_.push_back(error_response(in_progress_->operation.request, 503, fault));
+    const std::string error = "leadership was lost, send it again";
+    if (in_progress_) outputs_.push_back(error_response(in_progress_->operation.request, 503, error));
     in_progress_.reset();
-    for (const auto& operation : waiting_) outputs_.push_back(error_response(operation.request, 503, fault));
+    for (const auto& operation : waiting_) outputs_.push_back(error_response(operation.request, 503, error));
     waiting_.clear();
 }
 
 void ConfigurationService::tick(Time now) {
-    const std::string fault = "no majority has answered in time, send it again";
+    const std::string error = "no majority has answered in time, send it again";
     while (!waiting_.empty() && now - waiting_.front().arrived > operation_timeout) {
-        outputs_.push_back(error_response(waiting_.front().request, 503, fault));
+        outputs_.push_back(error_response(waiting_.front().request, 503, error));
         waiting_.pop_front();
     }
     if (!in_progress_ || now - in_progress_->operation.arrived <= operation_timeout) return;
-    outputs_.push_back(error_response(in_progress_->operation.request, 503, fault));
+    outputs_.push_back(error_response(in_progress_->operation.request, 503, error));
     in_progress_.reset();
     start_next(now);
 }
--- a/src/roles/control/http_api.cpp
+++ b/src/roles/control/http_api.cpp
@@ -67,9 +67,9 @@
                 .separate_accept_and_create_connect(false);
         });
     server_->http->open_async([] {},
-                              [on_failed = std::move(on_failed)](const std::exception_ptr& fault) {
+                              [on_failed = std::move(on_failed)](const std::exception_ptr& error) {
                                   try {
-                                      std::rethrow_exception(fault);
+                                      std::rethrow_exception(error);
                                   } catch (const std::exception& reason) {
                                       on_failed(reason.what());
                                   }
--- a/src/roles/control/outputs.hpp
+++ b/src/roles/control/outputs.hpp
@@ -43,9 +43,9 @@
 using Output = std::variant<SendToPeer, SendToConnection, HttpResponse, Write>;
 using Outputs = std::vector<Output>;
 
-// A response with the fault as JSON body.
-HttpResponse error_response(RequestId request, int status, const std::string& fault);
-// A 400 response that lists each fault and its place in the document.
+// A response with the error as JSON body.
+HttpResponse error_response(RequestId request, int status, const std::string& error);
+// A 400 response that lists each error and its location in the document.
 HttpResponse findings_response(RequestId request, const Findings& findings);
 
 }   // namespace myrtleroute::control
--- a/src/roles/control/runtime.cpp
+++ b/src/roles/control/runtime.cpp
@@ -78,8 +78,8 @@
         const auto at = peer_endpoint(settings_, settings_.address);
         try {
             network_.listen(at);
-        } catch (const asio::system_error& fault) {
-            log_error() << "internalPorts: can't listen at " << at.text() << ": " << fault.code().message();
+        } catch (const asio::system_error& error) {
+            log_error() << "internalPorts: can't listen at " << at.text() << ": " << error.code().message();
             return exit_startup_error;
         }
         http_ = std::make_unique<HttpApi>(
@@ -128,9 +128,9 @@
                 });
                 return true;
             }
-            const auto& fault = std::get<storage::FileError>(opened);
-            log_error() << "dataDir: " << fault.finding.location << ": " << fault.finding.message;
-            if (!fault.transient) return false;
+            const auto& error = std::get<storage::FileError>(opened);
+            log_error() << "dataDir: " << error.finding.location << ": " << error.finding.message;
+            if (!error.transient) return false;
             std::this_thread::sleep_for(disk_open_retry);
         }
     }
--- a/src/roles/main.cpp
+++ b/src/roles/main.cpp
@@ -24,7 +24,7 @@
 
 constexpr const char* version = "1.0.0";
 constexpr const char* settings_variable = "MYRTLEROUTE_SETTINGS";
-constexpr int exit_ok = 0, exit_findings = 1, exit_fault = 2;
+constexpr int exit_ok = 0, exit_findings = 1, exit_error = 2;
 
 std::optional<std::string> read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
@@ -63,7 +63,7 @@
     const auto text = read_file(path);
     if (!text) {
         std::cout << path << ": can't be read\n";
-        return exit_fault;
+        return exit_error;
     }
     const bool is_configuration =
         text->find_first_not_of(" \t\r\n") != text->npos && (*text)[text->find_first_not_of(" \t\r\n")] == '{';
@@ -84,7 +84,7 @@
     auto checked = read_settings(path);
     if (const auto* findings = std::get_if<Findings>(&checked)) {
         log_error() << join_findings(*findings);
-        return exit_fault;
+        return exit_error;
     }
     const auto& settings = std::get<configuration::NodeSettings>(checked);
     return role == "proxy" ? run_proxy(settings, path) : control::run(settings);
@@ -116,10 +116,10 @@
         start_log(argc, argv, level.getValue());
         if (role.getValue() == "check") return check(file.getValue());
         return run_role(role.getValue(), settings.getValue());
-    } catch (const TCLAP::ExitException& asked) {   // --help and --version
-        return asked.getExitStatus();
-    } catch (const TCLAP::ArgException& fault) {
-        std::cerr << fault.argId() << ": " << fault.error() << '\n';
-        return exit_fault;
+    } catch (const TCLAP::ExitException& exit) {   // --help and --version
+        return exit.getExitStatus();
+    } catch (const TCLAP::ArgException& error) {
+        std::cerr << error.argId() << ": " << error.error() << '\n';
+        return exit_error;
     }
 }
--- a/src/roles/proxy/front.cpp
+++ b/src/roles/proxy/front.cpp
@@ -79,12 +79,12 @@
       report_(context.metrics, [](const std::string& line) { log_info() << line; }),
       read_requests_are_answered_(context.invariants.named("read_requests_are_answered")) {}
 
-bool Frontend::open(std::string& fault) {
+bool Frontend::open(std::string& error) {
     const auto listen = [&](const char* key, const std::optional<Endpoint>& at, bool probes) -> Listener* {
         const auto address = at ? wire::parse_endpoint(at->text()) : std::nullopt;
         const int fd = address ? context_.system.listen(*address) : -1;
         if (fd >= 0) return &context_.loop.add(std::make_unique<Listener>(*this, fd, probes));
-        fault = std::string(key) + ": " +
+        error = std::string(key) + ": " +
                 (at ? "can't listen at " + at->text() + ": " + std::strerror(errno) : "is missing");
         return nullptr;
     };
@@ -121,8 +121,7 @@
     if (is_listener(connection)) return accept(static_cast<Listener&>(connection));
     auto& client = static_cast<Client&>(connection);
     // Resets the connection because of the unread bytes.
-    if (client.lingers && client.listens)
-        return end(client, CloseReason::told_to_close);
+    if (client.lingers && client.listens) return end(client, CloseReason::told_to_close);
     if (client.ended || client.error)
         return end(client, client.ended ? CloseReason::peer_closed : CloseReason::peer_reset);
     if (client.lingers) return client.in.drop(client.in.size());
@@ -263,7 +262,8 @@
     if (client.close_after_response) return half_close(client, ConnectionEnd::last_answer);
     if (surplus) return half_close(client, ConnectionEnd::stopping);
     const Span idle_time = client.announced_idle > Span{} ? client.announced_idle : idle_limit();
-    context_.loop.set_timer(client, context_.now() + (client.is_probe ? probe_idle_timeout : idle_time + congestion_delay));
+    context_.loop.set_timer(client,
+                            context_.now() + (client.is_probe ? probe_idle_timeout : idle_time + congestion_delay));
     if (!client.in.empty()) read(client);
 }
 
--- a/src/roles/proxy/front.hpp
+++ b/src/roles/proxy/front.hpp
@@ -40,7 +40,7 @@
         std::function<bool()> ready;             // result of the readiness probe
     };
     Frontend(Context& context, Events events);
-    bool open(std::string& fault);   // false: can't listen; `fault` names the settings key and the address
+    bool open(std::string& error);   // false: can't listen; `error` names the settings key and the address
 
     // Complete responses.
     void respond(Client& client, int status, const std::vector<Field>& fields, std::string_view body);
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -13,7 +13,7 @@
 constexpr Span tick_interval{0.2};
 constexpr double not_ready_factor = 0.25;      // fraction of the tick interval while not ready
 constexpr uint64_t tick_cookie = 1ULL << 62;   // the pools' cookies are below 2^61
-constexpr int exit_fault = 2;
+constexpr int exit_error = 2;
 constexpr Span retry_delay{0.2};
 constexpr Span typical_startup{1};            // typical time from process start until configuration and hosts are known
 constexpr Span retry_elsewhere_after{0.02};   // Retry-After near the process's end: another proxy may take it at once
@@ -139,15 +139,15 @@
 }
 
 int Proxy::run() {
-    if (!start()) return exit_fault;
+    if (!start()) return exit_error;
     while (!over()) round();
     return 0;
 }
 
 bool Proxy::start() {
-    std::string fault;
-    if (!front_.open(fault)) {
-        log_error() << fault;
+    std::string error;
+    if (!front_.open(error)) {
+        log_error() << error;
         return false;
     }
     signals_ = &context_.loop.add(std::make_unique<Signals>(*this, context_.system.watch_signals()));
