--- a/src/lab/control/callers.cpp
+++ b/src/lab/control/callers.cpp
@@ -423,13 +423,13 @@
 void SubscribedProxy::carry_out() {
     for (auto outputs = subscriber_->take_outputs(); !outputs.empty(); outputs = subscriber_->take_outputs())
         for (auto& output : outputs) {
-            if (const auto* open = std::get_if<proxy::OpenLink>(&output)) {
+            if (const auto* open = std::get_if<proxy::OpenConnection>(&output)) {
                 const auto to = find_(open->to);
                 connection_ = to ? network_.dial(process_, *to) : 0;
                 if (!to) subscriber_->failed(queue_.now());
-            } else if (auto* send = std::get_if<proxy::SendOnLink>(&output)) {
+            } else if (auto* send = std::get_if<proxy::SendMessage>(&output)) {
                 network_.send(connection_, process_, std::move(send->message));
-            } else if (std::holds_alternative<proxy::CloseLink>(output)) {
+            } else if (std::holds_alternative<proxy::CloseConnection>(output)) {
                 network_.close(std::exchange(connection_, 0), process_);
                 leases_->connected(false);
             } else {
--- a/src/roles/proxy/subscriber.cpp
+++ b/src/roles/proxy/subscriber.cpp
@@ -40,7 +40,7 @@
 void Subscriber::evict_oldest() {
     auto oldest = nodes_.end();
     for (auto it = nodes_.begin(); it != nodes_.end(); ++it) {
-        if (link_ != Link::none && it->first == at_) continue;
+        if (state_ != ConnectionState::none && it->first == at_) continue;
         if (oldest == nodes_.end() || it->second.last_mention < oldest->second.last_mention) oldest = it;
     }
     nodes_.erase(oldest);
@@ -48,27 +48,27 @@
 }
 
 void Subscriber::opened(uint64_t version, Time now) {
-    if (link_ != Link::opening) return;
-    link_ = Link::open;
+    if (state_ != ConnectionState::opening) return;
+    state_ = ConnectionState::open;
     connect_timeout_ = min_connect_timeout;
     last_received_ = now;
-    outputs_.push_back(SendOnLink{messages::Subscribe{options_.node, version, options_.zone}});
+    outputs_.push_back(SendMessage{messages::Subscribe{options_.node, version, options_.zone}});
 }
 
 void Subscriber::failed(Time now) {
-    if (link_ == Link::none) return;
-    link_ = Link::none;
+    if (state_ == ConnectionState::none) return;
+    state_ = ConnectionState::none;
     nodes_[at_].failed = now;
     no_quorum_since_ = long_ago;
 }
 
 void Subscriber::leave(memory::CloseReason why, Time now) {
-    outputs_.push_back(CloseLink{why});
+    outputs_.push_back(CloseConnection{why});
     failed(now);
 }
 
 void Subscriber::received(const messages::Message& message, Time now) {
-    if (link_ != Link::open) return;
+    if (state_ != ConnectionState::open) return;
     last_received_ = now;
     outputs_.push_back(MessageReceived{message});
     const auto* fleet = std::get_if<messages::FleetStatus>(&message);
@@ -90,19 +90,20 @@
 void Subscriber::move(const messages::ControlNode& to, Time now) {
     const auto& node = add_or_update(to);
     if (to.peer == at_ || now - node.failed < failed_retry_after) return;
-    outputs_.push_back(CloseLink{memory::CloseReason::told_to_close});
+    outputs_.push_back(CloseConnection{memory::CloseReason::told_to_close});
     no_quorum_since_ = long_ago;
     open(to.peer, now);
 }
 
 void Subscriber::tick(Time now) {
-    if (link_ == Link::opening && now - last_received_ > connect_timeout_) {
+    if (state_ == ConnectionState::opening && now - last_received_ > connect_timeout_) {
         connect_timeout_ = std::min(connect_timeout_ * backoff_factor, max_connect_timeout);
         leave(memory::CloseReason::silent, now);
     }
-    if (link_ == Link::open && now - last_received_ > silence_timeout) leave(memory::CloseReason::silent, now);
+    if (state_ == ConnectionState::open && now - last_received_ > silence_timeout)
+        leave(memory::CloseReason::silent, now);
     const bool without_quorum = no_quorum_since_ > long_ago && now - no_quorum_since_ > no_quorum_timeout_;
-    if (link_ != Link::none && without_quorum) {
+    if (state_ != ConnectionState::none && without_quorum) {
         nodes_[at_].failed = nodes_[at_].lost_quorum_at = now;
         const auto* other = choose(now);
         if (other && other->node.peer != at_) {
@@ -110,15 +111,15 @@
             leave(memory::CloseReason::told_to_close, now);
         }
     }
-    if (link_ != Link::none) return;
+    if (state_ != ConnectionState::none) return;
     if (const auto* node = choose(now)) open(node->node.peer, now);
 }
 
 void Subscriber::open(const Endpoint& to, Time now) {
-    link_ = Link::opening;
+    state_ = ConnectionState::opening;
     at_ = to;
     last_received_ = now;
-    outputs_.push_back(OpenLink{at_});
+    outputs_.push_back(OpenConnection{at_});
 }
 
 // Prefers the own machine, then the own zone, to keep traffic within zones. A partition that separates one node
--- a/src/roles/proxy/subscriber.hpp
+++ b/src/roles/proxy/subscriber.hpp
@@ -15,21 +15,21 @@
 namespace myrtleroute::proxy {
 
 // Open a connection to a control node; none is open.
-struct OpenLink {
+struct OpenConnection {
     Endpoint to;
 };
-struct SendOnLink {
+struct SendMessage {
     messages::Message message;
 };
 // Close the connection; the driver does not report the end.
-struct CloseLink {
+struct CloseConnection {
     memory::CloseReason why = memory::CloseReason::told_to_close;
 };
 // A message received from the control node.
 struct MessageReceived {
     messages::Message message;
 };
-using SubscriberOutput = std::variant<OpenLink, SendOnLink, CloseLink, MessageReceived>;
+using SubscriberOutput = std::variant<OpenConnection, SendMessage, CloseConnection, MessageReceived>;
 
 struct SubscriberOptions {
     std::string node;      // node name of this proxy
@@ -52,7 +52,7 @@
     void tick(Time now);   // called several times a second
 
     std::vector<SubscriberOutput> take_outputs() { return std::exchange(outputs_, {}); }
-    bool is_open() const { return link_ == Link::open; }
+    bool is_open() const { return state_ == ConnectionState::open; }
     const Endpoint& at() const { return at_; }   // the current or last control node
     size_t nodes() const { return nodes_.size(); }
     uint64_t evicted() const { return evicted_; }   // control nodes evicted because the table was full
@@ -64,7 +64,7 @@
         Time lost_quorum_at = long_ago;   // last time that it was left for having no quorum
         uint64_t last_mention = 0;        // order of its last mention by the settings or a control node
     };
-    enum class Link { none, opening, open };
+    enum class ConnectionState { none, opening, open };
     Node* choose(Time now);
     int distance(const Node& node, Time now) const;
     bool is_suspected(const std::string& zone, Time now) const;
@@ -79,7 +79,7 @@
     Pcg rng_;
     std::vector<SubscriberOutput> outputs_;
     std::map<Endpoint, Node> nodes_;   // keyed by peer endpoint
-    Link link_ = Link::none;
+    ConnectionState state_ = ConnectionState::none;
     Endpoint at_;
     Time last_received_ = long_ago, no_quorum_since_ = long_ago;
     Span connect_timeout_;
--- a/src/roles/proxy/subscription.cpp
+++ b/src/roles/proxy/subscription.cpp
@@ -19,8 +19,8 @@
 
 }   // namespace
 
-struct Subscription::Link : Connection {
-    Link(memory::ConnectionHandler& by, int fd) : Connection(by, fd, max_in, max_out) {}
+struct Subscription::ControlConnection : Connection {
+    ControlConnection(memory::ConnectionHandler& by, int fd) : Connection(by, fd, max_in, max_out) {}
     std::string name() const override { return "control"; }
     messages::FrameReader reader;
 };
@@ -45,7 +45,7 @@
 
 void Subscription::stop() {
     stopped_ = true;
-    if (link_) end(CloseReason::stopping);
+    if (connection_) end(CloseReason::stopping);
 }
 
 void Subscription::tick() {
@@ -58,11 +58,11 @@
 void Subscription::execute_outputs() {
     for (auto outputs = subscriber_.take_outputs(); !outputs.empty(); outputs = subscriber_.take_outputs())
         for (const auto& output : outputs) {
-            if (const auto* to = std::get_if<OpenLink>(&output))
+            if (const auto* to = std::get_if<OpenConnection>(&output))
                 open(to->to);
-            else if (const auto* message = std::get_if<SendOnLink>(&output))
+            else if (const auto* message = std::get_if<SendMessage>(&output))
                 send(message->message);
-            else if (const auto* close = std::get_if<CloseLink>(&output))
+            else if (const auto* close = std::get_if<CloseConnection>(&output))
                 end(close->why);
             else
                 deliver(std::get<MessageReceived>(output).message);
@@ -75,11 +75,11 @@
     const int fd = address ? context_.system.connect(*address, immediate) : -1;
     if (fd < 0) return subscriber_.failed(context_.now());
     ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_ms, sizeof unacknowledged_ms);
-    auto link = std::make_unique<Link>(*this, fd);
-    link->connecting = !immediate;
-    link_ = &context_.loop.add(std::move(link));
-    linked_to_ = to;
-    if (immediate) on_connected(*link_);
+    auto control = std::make_unique<ControlConnection>(*this, fd);
+    control->connecting = !immediate;
+    connection_ = &context_.loop.add(std::move(control));
+    connected_to_ = to;
+    if (immediate) on_connected(*connection_);
 }
 
 void Subscription::send_if_open(const messages::Message& message) {
@@ -94,20 +94,22 @@
 }
 
 void Subscription::send(const messages::Message& message) {
-    if (link_ && link_->out.push(messages::frame(messages::encode(message)))) context_.loop.flush(*link_);
+    if (connection_ && connection_->out.push(messages::frame(messages::encode(message))))
+        context_.loop.flush(*connection_);
 }
 
 void Subscription::on_readable(Connection& connection) {
-    auto& link = static_cast<Link&>(connection);
-    while (link.open() && !link.in.empty()) {
-        const auto bytes = link.in.front();
-        link.reader.feed(bytes);
-        link.in.drop(bytes.size());
+    auto& control = static_cast<ControlConnection&>(connection);
+    while (control.open() && !control.in.empty()) {
+        const auto bytes = control.in.front();
+        control.reader.feed(bytes);
+        control.in.drop(bytes.size());
     }
-    while (auto json = link.reader.next())
+    while (auto json = control.reader.next())
         if (auto message = messages::decode(*json)) subscriber_.received(*message, context_.now());
     execute_outputs();
-    if (link.open() && (link.ended || link.error || link.reader.frame_too_long())) on_error(link, ECONNRESET);
+    if (control.open() && (control.ended || control.error || control.reader.frame_too_long()))
+        on_error(control, ECONNRESET);
 }
 
 void Subscription::deliver(const messages::Message& message) {
@@ -126,16 +128,16 @@
 }
 
 void Subscription::on_error(Connection& connection, int) {
-    if (&connection != link_) return;
+    if (&connection != connection_) return;
     subscriber_.failed(context_.now());
     end(CloseReason::peer_reset);
 }
 
 void Subscription::end(CloseReason why) {
-    if (!link_) return;
+    if (!connection_) return;
     events_.connected(false);
-    log_info() << "disconnected from control node " << linked_to_.text() << ": " << memory::code(why);
-    context_.loop.close(*std::exchange(link_, nullptr), why);
+    log_info() << "disconnected from control node " << connected_to_.text() << ": " << memory::code(why);
+    context_.loop.close(*std::exchange(connection_, nullptr), why);
 }
 
 }   // namespace myrtleroute::proxy
--- a/src/roles/proxy/subscription.hpp
+++ b/src/roles/proxy/subscription.hpp
@@ -33,7 +33,7 @@
     void on_timer(memory::Connection&) override {}
 
 private:
-    struct Link;
+    struct ControlConnection;
     void add_seeds();
     void execute_outputs();
     void open(const Endpoint& to);
@@ -45,8 +45,8 @@
     Events events_;
     Subscriber subscriber_;
     metrics::Counter evicted_nodes_;
-    Link* link_ = nullptr;
-    Endpoint linked_to_;   // the connected control node
+    ControlConnection* connection_ = nullptr;
+    Endpoint connected_to_;   // the connected control node
     bool stopped_ = false;
 };
 
--- a/tests/system/subscriber_test.cpp
+++ b/tests/system/subscriber_test.cpp
@@ -42,8 +42,8 @@
     void execute_outputs() {
         for (auto outputs = subscriber.take_outputs(); !outputs.empty(); outputs = subscriber.take_outputs())
             for (const auto& output : outputs) {
-                closed += std::holds_alternative<CloseLink>(output);
-                if (const auto* open = std::get_if<OpenLink>(&output)) {
+                closed += std::holds_alternative<CloseConnection>(output);
+                if (const auto* open = std::get_if<OpenConnection>(&output)) {
                     opened.push_back(open->to);
                     subscriber.opened(0, now);
                 }
@@ -113,7 +113,7 @@
     for (Time now{100}; now < Time{106}; now = now + Span{0.05}) {
         subscriber.tick(now);
         for (const auto& output : subscriber.take_outputs())
-            if (std::holds_alternative<OpenLink>(output)) opened.push_back((now - Time{100}).s);
+            if (std::holds_alternative<OpenConnection>(output)) opened.push_back((now - Time{100}).s);
     }
     REQUIRE(opened.size() >= 5);
     CHECK(opened[1] - opened[0] < 0.3);
