--- a/tests/system/consensus_world.hpp
+++ b/tests/system/consensus_world.hpp
@@ -27,7 +27,7 @@
 public:
     // Machines with a number below `diskless` don't count for the quorum.
     ConsensusWorld(size_t seeds, size_t joiners, uint64_t seed, FaultRates faults, size_t diskless = 0)
-        : diskless_(diskless), chance_(seed), faults_(faults), tolerated_((seeds + joiners - 1) / 2) {
+        : diskless_(diskless), rng_(seed), faults_(faults), tolerated_((seeds + joiners - 1) / 2) {
         consensus::ClusterState first;
         for (size_t i = 0; i < seeds; ++i) first.voters.push_back({address(i), 0});
         for (size_t i = 0; i < seeds + joiners; ++i) {
@@ -167,7 +167,7 @@
     };
 
     static Endpoint address(size_t i) { return {"10.0.0." + std::to_string(i + 1), 7500}; }
-    bool happens(double chance) { return chance_.uniform() < chance; }
+    bool happens(double probability) { return rng_.uniform() < probability; }
 
     void start(Node& node) {
         node.writes.clear();
@@ -176,7 +176,7 @@
         consensus::ReplicaOptions options;
         options.counts_for_quorum = counts_for_quorum(node);
         node.replica = std::make_unique<consensus::Replica>(node.id, node.disk.hard_state, node.disk.entry, options,
-                                                            chance_.next(), now_);
+                                                            rng_.next(), now_);
     }
     bool counts_for_quorum(const Node& node) const {
         for (size_t i = 0; i < diskless_; ++i)
@@ -207,16 +207,16 @@
         for (auto& node : nodes_) {
             if (node->replica && happens(faults_.crash)) {
                 node->replica.reset();   // writes without a completion may be lost, and are lost here
-                node->down_until = now_ + Span{chance_.uniform() * 3};
+                node->down_until = now_ + Span{rng_.uniform() * 3};
             }
-            if (happens(faults_.cut)) node->cut_until = now_ + Span{chance_.uniform() * 4};
-            if (happens(faults_.stall)) node->stalled_until = now_ + Span{chance_.uniform() * 3};
-            if (happens(faults_.freeze)) node->frozen_until = now_ + Span{chance_.uniform() * 3};
+            if (happens(faults_.cut)) node->cut_until = now_ + Span{rng_.uniform() * 4};
+            if (happens(faults_.stall)) node->stalled_until = now_ + Span{rng_.uniform() * 3};
+            if (happens(faults_.freeze)) node->frozen_until = now_ + Span{rng_.uniform() * 3};
         }
         if (faulty_nodes() == 0 && all_vote() && happens(faults_.wipe)) {
             wiped_at_ = now_;
             recovered_ = false;
-            wipe(chance_.next() % nodes_.size());
+            wipe(rng_.next() % nodes_.size());
         }
     }
     void run(Node& node) {
@@ -255,7 +255,7 @@
             if (auto* send = std::get_if<consensus::SendTo>(&output))
                 send_packet(node, *send);
             else if (auto* persist = std::get_if<consensus::Persist>(&output))
-                node.writes.push_back({std::move(*persist), now_ + Span{0.005 + chance_.uniform() * 0.02}});
+                node.writes.push_back({std::move(*persist), now_ + Span{0.005 + rng_.uniform() * 0.02}});
             else if (const auto* committed = std::get_if<consensus::Committed>(&output))
                 record_commit(node, *committed);
         }
@@ -265,7 +265,7 @@
         if (!to || !reaches(from, *to) || happens(faults_.loss)) return;
         const int copies = happens(faults_.duplicate) ? 2 : 1;
         for (int i = 0; i < copies; ++i)
-            packets_.push_back({from.id, send.to, send.message, now_ + Span{0.001 + chance_.uniform() * 0.04}});
+            packets_.push_back({from.id, send.to, send.message, now_ + Span{0.001 + rng_.uniform() * 0.04}});
     }
     void deliver() {
         std::stable_sort(packets_.begin(), packets_.end(), [](const auto& a, const auto& b) { return a.at < b.at; });
@@ -307,7 +307,7 @@
     }
 
     size_t diskless_;
-    Pcg chance_;
+    Pcg rng_;
     FaultRates faults_;
     size_t tolerated_;
     Time now_{100};
--- a/tests/system/leases_test.cpp
+++ b/tests/system/leases_test.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr const char* tenant = "tenant";
-constexpr Span patience{0.1};   // how long requests are queued for units
+constexpr Span timeout{0.1};   // how long requests are queued for units
 
 // The units allowed in a window.
 double allowance(const Limit& limit, const LimitRule& rule) {
@@ -35,7 +35,7 @@
     LeaseTerms terms;
     Span min_delay{0.002}, max_delay{0.01};   // delay of a message
     double loss = 0, duplicated = 0;          // fractions of the messages
-    Pcg chance{5};
+    Pcg rng{5};
     Time now{100};
     double mean_cost = 9000;
 
@@ -98,10 +98,10 @@
     bool reaches(const Proxy& proxy) const { return runs(proxy) && proxy.cut_until <= now; }
 
     void send(std::function<void()> deliver) {
-        const int copies = chance.uniform() < duplicated ? 2 : 1;
+        const int copies = rng.uniform() < duplicated ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
-            if (chance.uniform() < loss) continue;
-            const Span delay = min_delay + (max_delay - min_delay) * chance.uniform();
+            if (rng.uniform() < loss) continue;
+            const Span delay = min_delay + (max_delay - min_delay) * rng.uniform();
             in_transit.push_back({now + delay, deliver});
         }
     }
@@ -156,14 +156,14 @@
     }
     void request(double cost) {
         requested += cost;
-        auto* proxy = &proxies[chance.next() % proxies.size()];
-        while (!runs(*proxy)) proxy = &proxies[chance.next() % proxies.size()];
+        auto* proxy = &proxies[rng.next() % proxies.size()];
+        while (!runs(*proxy)) proxy = &proxies[rng.next() % proxies.size()];
         if (proxy->frozen_until > now) return proxy->delayed_requests.push_back(cost);
         request_at(*proxy, cost);
     }
     void request_at(Proxy& proxy, double cost) {
         const auto ticket = next_ticket++;
-        const auto decision = proxy.holder->acquire(tenant, cost, ticket, patience, now);
+        const auto decision = proxy.holder->acquire(tenant, cost, ticket, timeout, now);
         if (decision.verdict != Verdict::waiting) return record_decision(cost, decision);
         proxy.queued.emplace_back(ticket, cost);
         send_request(proxy);
@@ -199,8 +199,8 @@
                 decide(proxy);
                 if (steps % 10 == 0 || proxy.holder->has_waiting()) send_request(proxy);
             }
-            for (double due = demand * step.s / mean_cost; due > chance.uniform(); due -= 1)
-                request(mean_cost * (0.2 + 1.6 * chance.uniform()));
+            for (double due = demand * step.s / mean_cost; due > rng.uniform(); due -= 1)
+                request(mean_cost * (0.2 + 1.6 * rng.uniform()));
         }
     }
     double allowed() const { return allowance(limit, rule); }
@@ -248,7 +248,7 @@
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
         LeaseFleet fleet;
-        fleet.chance = Pcg(seed);
+        fleet.rng = Pcg(seed);
         fleet.run(Span{10}, fleet.limit.rate / 1.3);
         fleet.run(Span{11}, 6 * fleet.limit.rate / 1.3);
         fleet.run(Span{5}, fleet.limit.rate / 1.3);
@@ -263,7 +263,7 @@
         CAPTURE(seed);
         LeaseFleet fleet(68);
         fleet.limit = {870000, 1100000};
-        fleet.chance = Pcg(seed);
+        fleet.rng = Pcg(seed);
         fleet.run(Span{10}, fleet.limit.rate / 1.3);
         fleet.run(Span{5.5}, 6 * fleet.limit.rate / 1.3);
         fleet.kill_first(28, Span{0.5});
@@ -335,7 +335,7 @@
     for (uint64_t seed = 1; seed <= 60; ++seed) {
         CAPTURE(seed);
         LeaseFleet fleet(6);
-        fleet.chance = Pcg(seed);
+        fleet.rng = Pcg(seed);
         fleet.limit = {30000.0 + 10000 * static_cast<double>(seed % 30), 30000.0 * static_cast<double>(seed % 7)};
         fleet.rule.slack = seed % 3 ? 140000 : 20000;
         fleet.allocator = std::make_unique<Allocator>(fleet.rule, fleet.terms);
@@ -344,12 +344,12 @@
         fleet.duplicated = 0.1;
         fleet.max_delay = Span{seed % 2 ? 0.1 : 1.0};
         const auto inject_faults = [&] {
-            auto& proxy = fleet.proxies[fleet.chance.next() % fleet.proxies.size()];
-            if (fleet.chance.uniform() < 0.003) fleet.kill(fleet.number(proxy), Span{0.5});
-            if (fleet.chance.uniform() < 0.003) proxy.frozen_until = fleet.now + Span{6 * fleet.chance.uniform()};
-            if (fleet.chance.uniform() < 0.003) proxy.cut_until = fleet.now + Span{8 * fleet.chance.uniform()};
-            if (fleet.chance.uniform() >= 0.001) return;
-            fleet.change_allocator(Span{2 * fleet.chance.uniform()});
+            auto& proxy = fleet.proxies[fleet.rng.next() % fleet.proxies.size()];
+            if (fleet.rng.uniform() < 0.003) fleet.kill(fleet.number(proxy), Span{0.5});
+            if (fleet.rng.uniform() < 0.003) proxy.frozen_until = fleet.now + Span{6 * fleet.rng.uniform()};
+            if (fleet.rng.uniform() < 0.003) proxy.cut_until = fleet.now + Span{8 * fleet.rng.uniform()};
+            if (fleet.rng.uniform() >= 0.001) return;
+            fleet.change_allocator(Span{2 * fleet.rng.uniform()});
         };
         for (int phase = 0; phase < 4; ++phase) {
             fleet.run(Span{8}, fleet.limit.rate / 1.3, inject_faults);
@@ -395,7 +395,7 @@
     }
     // Queues a request, which is then granted; afterwards the holder has its usual units.
     void use(double cost) {
-        CHECK(holder.acquire(tenant, cost, 1, patience, now).verdict == Verdict::waiting);
+        CHECK(holder.acquire(tenant, cost, 1, timeout, now).verdict == Verdict::waiting);
         const auto reply = send_request();
         REQUIRE(reply);
         holder.apply(*reply, now);
@@ -424,12 +424,12 @@
     const double held = pair.holder.tenant_status(tenant)->held;
     REQUIRE(held > 100);
     pair.now = pair.now + pair.terms.grant_duration;
-    CHECK(pair.holder.acquire(tenant, 100, 2, patience, pair.now).verdict == Verdict::waiting);
+    CHECK(pair.holder.acquire(tenant, 100, 2, timeout, pair.now).verdict == Verdict::waiting);
 }
 
 TEST_CASE("a reply that arrives after its grant has expired grants nothing") {
     Pair pair;
-    pair.holder.acquire(tenant, 20000, 1, patience, pair.now);
+    pair.holder.acquire(tenant, 20000, 1, timeout, pair.now);
     const auto reply = pair.send_request();
     REQUIRE(reply);
     pair.holder.apply(*reply, pair.now + pair.terms.grant_duration);
@@ -438,7 +438,7 @@
 
 TEST_CASE("a reply is applied once, and a reply to an earlier request never") {
     Pair pair;
-    pair.holder.acquire(tenant, 20000, 1, patience, pair.now);
+    pair.holder.acquire(tenant, 20000, 1, timeout, pair.now);
     const auto first = pair.send_request();
     REQUIRE(first);
     pair.advance(Span{0.5});   // no reply has arrived, so it sends another request
@@ -454,7 +454,7 @@
 
 TEST_CASE("a lease request that arrives twice, or after a later one, is not answered") {
     Pair pair;
-    pair.holder.acquire(tenant, 20000, 1, patience, pair.now);
+    pair.holder.acquire(tenant, 20000, 1, timeout, pair.now);
     const auto first = pair.holder.next_request(pair.now);
     pair.advance(Span{0.5});
     const auto second = pair.holder.next_request(pair.now);
@@ -516,13 +516,13 @@
     REQUIRE(request);
     pair.holder.apply({request->holder, request->number, 1, false, {}}, pair.now);
     pair.now = pair.now + Span{0.2};
-    CHECK(pair.holder.acquire(tenant, 60000, 9, patience, pair.now).verdict != Verdict::granted);
+    CHECK(pair.holder.acquire(tenant, 60000, 9, timeout, pair.now).verdict != Verdict::granted);
 }
 
 TEST_CASE("a grant in a reply that was not applied returns to the pool") {
     Pair pair;
     pair.use(20000);
-    pair.holder.acquire(tenant, 60000, 2, patience, pair.now);
+    pair.holder.acquire(tenant, 60000, 2, timeout, pair.now);
     const auto lost = pair.send_request();
     REQUIRE(lost);
     const auto before = *pair.allocator.amounts(tenant);
@@ -541,7 +541,7 @@
     CHECK(pair.allocator.amounts(tenant)->pooled <= budget.pool());
     for (int i = 0; i < 20; ++i) {
         pair.advance(Span{0.3});
-        pair.holder.acquire(tenant, 1, 3, patience, pair.now);
+        pair.holder.acquire(tenant, 1, 3, timeout, pair.now);
         if (const auto reply = pair.send_request()) pair.holder.apply(*reply, pair.now);
     }
     CHECK(pair.holder.tenant_status(tenant)->held <= budget.max_granted());
@@ -553,7 +553,7 @@
     const auto budget = budget_of(pair.limit, pair.rule);
     pair.use(0.3 * budget.depth);
     const double all = pair.holder.tenant_status(tenant)->held + pair.allocator.amounts(tenant)->pooled;
-    pair.holder.acquire(tenant, all + 0.9 * budget.debt(), 2, patience, pair.now);
+    pair.holder.acquire(tenant, all + 0.9 * budget.debt(), 2, timeout, pair.now);
     const auto reply = pair.send_request();
     REQUIRE(reply);
     pair.holder.apply(*reply, pair.now);
@@ -561,7 +561,7 @@
     pair.allocator.set_limits({{tenant, {60, 0}}}, pair.now);
     CHECK_FALSE(pair.allocator.violated_invariant());
     const double granted = pair.allocator.amounts(tenant)->granted;
-    pair.holder.acquire(tenant, budget.debt(), 1000, patience, pair.now);
+    pair.holder.acquire(tenant, budget.debt(), 1000, timeout, pair.now);
     pair.send_request();
     CHECK(pair.allocator.amounts(tenant)->granted <= granted);
     pair.advance(Span{3});
@@ -570,7 +570,7 @@
 
 TEST_CASE("a request is refused at once if no allocator can be reached") {
     Holder holder{{"edge-1", 1}, {}, Time{5}};
-    const auto decision = holder.acquire(tenant, 10, 1, patience, Time{5});
+    const auto decision = holder.acquire(tenant, 10, 1, timeout, Time{5});
     CHECK(decision.verdict == Verdict::refused);
     CHECK(decision.cause == RefusalCause::out_of_touch);
     CHECK(decision.retry_after > Span{});
@@ -579,7 +579,7 @@
 TEST_CASE("a request is queued for at most a tenth of a second") {
     Holder holder{{"edge-1", 1}, {}, Time{5}};
     holder.connected(true);
-    CHECK(holder.acquire(tenant, 10, 1, patience, Time{5}).verdict == Verdict::waiting);
+    CHECK(holder.acquire(tenant, 10, 1, timeout, Time{5}).verdict == Verdict::waiting);
     CHECK(holder.next_deadline() <= Time{5.1});
     CHECK(holder.next_request(Time{5}));
     holder.tick(Time{5.11});
@@ -592,7 +592,7 @@
 TEST_CASE("a request whose client has disconnected is removed from the queue") {
     Holder holder{{"edge-1", 1}, {}, Time{5}};
     holder.connected(true);
-    holder.acquire(tenant, 10, 1, patience, Time{5});
+    holder.acquire(tenant, 10, 1, timeout, Time{5});
     holder.cancel(1);
     CHECK_FALSE(holder.has_waiting());
     holder.tick(Time{6});
--- a/tests/system/lending_load_test.cpp
+++ b/tests/system/lending_load_test.cpp
@@ -33,7 +33,7 @@
 
 namespace {
 
-constexpr Span patience{0.2};   // how long a request is queued for units
+constexpr Span timeout{0.2};   // how long a request is queued for units
 
 // Holders that send lease requests to one leader, which answers them in order of arrival, one after the other.
 class SlowLeader {
@@ -84,10 +84,10 @@
         int tries = 1;   // including this one
     };
     void request(const Request& request) {
-        auto& holder = holders_[chance_.next() % holders_.size()];
+        auto& holder = holders_[rng_.next() % holders_.size()];
         const auto ticket = ++ticket_;
         waiting_[ticket] = request;
-        decided(ticket, holder.acquire(name(chance_.next() % tenants_), request.cost, ticket, patience, now_));
+        decided(ticket, holder.acquire(name(rng_.next() % tenants_), request.cost, ticket, timeout, now_));
     }
     void decided(uint64_t ticket, const leases::Decision& decision) {
         if (decision.verdict == leases::Verdict::waiting) return;
@@ -116,7 +116,7 @@
     size_t tenants_;
     Span time_per_request_;
     Time now_{100}, free_at_ = long_ago, tick_at_ = long_ago;
-    Pcg chance_{7};
+    Pcg rng_{7};
     double due_requests_ = 0;
     uint64_t ticket_ = 0;
     size_t refused_ = 0;
--- a/tests/system/registry_test.cpp
+++ b/tests/system/registry_test.cpp
@@ -113,19 +113,19 @@
 TEST_CASE("tables with the same updates in any order agree with each other and with the plain model") {
     for (uint64_t seed = 1; seed <= 200; ++seed) {
         CAPTURE(seed);
-        Pcg chance(seed);
+        Pcg rng(seed);
         std::vector<Host> updates;
         for (int i = 0; i < 60; ++i) {
-            const auto id = std::to_string(1 + chance.next() % 6);
-            const auto pick = chance.next() % 12;
+            const auto id = std::to_string(1 + rng.next() % 6);
+            const auto pick = rng.next() % 12;
             const auto state = pick == 0 ? HostState::gone : pick < 3 ? HostState::draining : HostState::ready;
             // A host never announces that it is ready again: its drains have the highest sequence numbers.
-            const uint64_t sequence = chance.next() % 50 + (state == HostState::draining ? 100 : 0);
+            const uint64_t sequence = rng.next() % 50 + (state == HostState::draining ? 100 : 0);
             updates.push_back(host(id, sequence, state));
         }
         HostTable first({}), second({});
         for (const auto& update : updates) first.merge(update, Time{0});
-        for (size_t i = updates.size(); i > 1; --i) std::swap(updates[i - 1], updates[chance.next() % i]);
+        for (size_t i = updates.size(); i > 1; --i) std::swap(updates[i - 1], updates[rng.next() % i]);
         for (const auto& update : updates) second.merge(update, Time{0});
         std::set<std::string> ids;
         for (const auto& update : updates) ids.insert(update.id);
--- a/tests/system/rollout_fleet.hpp
+++ b/tests/system/rollout_fleet.hpp
@@ -43,7 +43,7 @@
         size_t at_candidates = 0, of_all = 0, bad = 0;
     };
 
-    RolloutFleet(Options options, uint64_t seed) : options_(options), chance_(seed) {
+    RolloutFleet(Options options, uint64_t seed) : options_(options), rng_(seed) {
         for (size_t i = 0; i < options_.proxies; ++i) {
             rollout::WatcherOptions own;
             own.node = "edge-" + std::to_string(i);
@@ -93,8 +93,8 @@
     void request(const Hosts& hosts) {
         static const std::vector<std::string> routes{"draft", "query", "query", "summary", "summary"};
         Request request;
-        request.proxy = chance_.next() % watchers_.size();
-        request.route = routes[chance_.next() % routes.size()];
+        request.proxy = rng_.next() % watchers_.size();
+        request.route = routes[rng_.next() % routes.size()];
         request.now = now_;
         auto& watcher = watchers_[request.proxy];
         watcher.confirm_control(now_);
@@ -103,8 +103,8 @@
             request.since_order = (now_ - *ordered_).s;
             request.at_candidate = request.since_order > 1 && watcher.choose_candidate("s", now_);
         }
-        request.host = chance_.next() % (request.at_candidate ? options_.candidates : 60);
-        record(request, hosts(request, chance_), watcher);
+        request.host = rng_.next() % (request.at_candidate ? options_.candidates : 60);
+        record(request, hosts(request, rng_), watcher);
     }
     void record(const Request& request, const Response& response, rollout::Watcher& watcher) {
         const bool reports_failure = request.proxy < options_.biased_proxies && request.at_candidate;
@@ -114,7 +114,7 @@
         result.group = request.at_candidate ? rollout::Group::candidate : rollout::Group::serving;
         result.failed = response.failed || reports_failure;
         const double usual_time = request.route == "summary" ? 0.1 : 0.5;
-        result.duration = Span{usual_time * response.slowdown * std::exp(chance_.uniform() - 0.5)};
+        result.duration = Span{usual_time * response.slowdown * std::exp(rng_.uniform() - 0.5)};
         result.chunks = request.route == "summary" ? 2 : 20;
         result.streaming_time = result.duration * 0.8;
         if (request.at_candidate) {
@@ -134,7 +134,7 @@
     }
 
     Options options_;
-    Pcg chance_;
+    Pcg rng_;
     Time now_{100}, judged_at_ = long_ago;
     std::optional<Time> ordered_;
     std::vector<rollout::Watcher> watchers_;
--- a/tests/system/rollout_judge_test.cpp
+++ b/tests/system/rollout_judge_test.cpp
@@ -35,20 +35,20 @@
     return {
         {"no faults", healthy},
         {"one in fifty of all answers fails",
-         [](const Request&, Pcg& chance) {
-             return failing(chance.uniform() < 0.02);
+         [](const Request&, Pcg& rng) {
+             return failing(rng.uniform() < 0.02);
          }},
         {"a sixth of the serving hosts fails",
-         [](const Request& r, Pcg& chance) {
-             return failing(!r.at_candidate && r.host < 10 && chance.uniform() < 0.4);
+         [](const Request& r, Pcg& rng) {
+             return failing(!r.at_candidate && r.host < 10 && rng.uniform() < 0.4);
          }},
         {"one candidate host fails",
          [](const Request& r, Pcg&) {
              return failing(r.at_candidate && r.host == 2);
          }},
         {"all hosts fail often",
-         [](const Request&, Pcg& chance) {
-             return failing(chance.uniform() < 0.3);
+         [](const Request&, Pcg& rng) {
+             return failing(rng.uniform() < 0.3);
          }},
         {"proxies of one zone fail everywhere",
          [](const Request& r, Pcg&) {
@@ -80,40 +80,40 @@
 };
 
 std::vector<Fault> faults() {
-    const auto half = [](const Request&, Pcg& chance) {
-        return chance.uniform() < 0.44;
+    const auto half = [](const Request&, Pcg& rng) {
+        return rng.uniform() < 0.44;
     };
     return {
         {"errors", half},
         {"few errors",
-         [](const Request&, Pcg& chance) {
-             return chance.uniform() < 0.3;
+         [](const Request&, Pcg& rng) {
+             return rng.uniform() < 0.3;
          }},
         {"slow", half, 8},
         {"late",
-         [](const Request& r, Pcg& chance) {
-             return r.since_order > 4.5 && chance.uniform() < 0.5;
+         [](const Request& r, Pcg& rng) {
+             return r.since_order > 4.5 && rng.uniform() < 0.5;
          }},
         {"very late",
-         [](const Request& r, Pcg& chance) {
-             return r.since_order > 8 && chance.uniform() < 0.5;
+         [](const Request& r, Pcg& rng) {
+             return r.since_order > 8 && rng.uniform() < 0.5;
          }},
         {"one route",
-         [](const Request& r, Pcg& chance) {
-             return r.route == "draft" && chance.uniform() < 0.5;
+         [](const Request& r, Pcg& rng) {
+             return r.route == "draft" && rng.uniform() < 0.5;
          }},
         {"alternating seconds",
-         [](const Request& r, Pcg& chance) {
-             return std::fmod(r.since_order, 2) < 1 && chance.uniform() < 0.5;
+         [](const Request& r, Pcg& rng) {
+             return std::fmod(r.since_order, 2) < 1 && rng.uniform() < 0.5;
          }},
     };
 }
 
 RolloutFleet::Outcome run(const Conditions& scenario, const Fault* fault, uint64_t seed) {
     RolloutFleet fleet(scenario.options, seed);
-    return fleet.observe([&](const Request& request, Pcg& chance) {
-        auto response = scenario.hosts(request, chance);
-        if (!fault || !request.at_candidate || !fault->affects(request, chance)) return response;
+    return fleet.observe([&](const Request& request, Pcg& rng) {
+        auto response = scenario.hosts(request, rng);
+        if (!fault || !request.at_candidate || !fault->affects(request, rng)) return response;
         if (fault->slowdown > 1)
             response.slowdown *= fault->slowdown;
         else
