--- a/tests/system/bounds_test.cpp
+++ b/tests/system/bounds_test.cpp
@@ -229,12 +229,12 @@
     Control control;
     control.disk_works = false;   // the leader's state is not committed, so it does not lend yet
     control.request("PUT", "/config", "0", document(1));
-    constexpr int kept = 4096, asked = kept + 10;
-    for (int n = 0; n < asked; ++n) {
-        leases::LeaseRequest ask;
-        ask.holder = {"edge-" + std::to_string(n), 1};
-        ask.number = 1;
-        control.node->received(100 + static_cast<control::ConnectionId>(n), ask, control.now);
+    constexpr int kept = 4096, sent = kept + 10;
+    for (int n = 0; n < sent; ++n) {
+        leases::LeaseRequest request;
+        request.holder = {"edge-" + std::to_string(n), 1};
+        request.number = 1;
+        control.node->received(100 + static_cast<control::ConnectionId>(n), request, control.now);
     }
     const auto text = rendered_metrics(control);
     CAPTURE(text.substr(0, 600));
@@ -249,16 +249,16 @@
     allocator.set_limits({{"t", {1e6, 1e6}}}, Time{100});
     allocator.begin(1, nodes, Time{100});
     allocator.admit(nodes);
-    const auto ask = [&](int n, uint64_t number) {
-        leases::LeaseRequest asked;
-        asked.holder = {"edge-" + std::to_string(n), 1};
-        asked.number = number;
-        return allocator.handle(asked, Time{100});
+    const auto send_request = [&](int n, uint64_t number) {
+        leases::LeaseRequest request;
+        request.holder = {"edge-" + std::to_string(n), 1};
+        request.number = number;
+        return allocator.handle(request, Time{100});
     };
-    for (int n = 0; n < most; ++n) CHECK(ask(n, 1));
+    for (int n = 0; n < most; ++n) CHECK(send_request(n, 1));
     CHECK(allocator.is_full_for({"edge-" + std::to_string(most), 1}));
-    CHECK_FALSE(ask(most, 1));
-    CHECK(ask(0, 2));
+    CHECK_FALSE(send_request(most, 1));
+    CHECK(send_request(0, 2));
 }
 
 TEST_CASE("the number of pending confirmations to another node is bounded") {
@@ -266,8 +266,8 @@
     control.node->received(other_connection, messages::PeerHello{{other_node.peer, 0}, other_node, true, {}},
                            control.now);
     control.disk_works = false;
-    constexpr uint64_t owed = 1024, asked = owed + 7;
-    for (uint64_t number = 1; number <= asked; ++number) {
+    constexpr uint64_t owed = 1024, sent = owed + 7;
+    for (uint64_t number = 1; number <= sent; ++number) {
         messages::HostsUpdate update;
         update.hosts.push_back(
             {"i-" + std::to_string(number), "s", "10.9.0.1:80", "north", 8, registry::HostState::draining, 1});
--- a/tests/system/control_test.cpp
+++ b/tests/system/control_test.cpp
@@ -280,21 +280,21 @@
             cluster.answer();
             REQUIRE(control.status(first) == 200);
         }
-        const auto asked = kind == "reading"   ? control.request("GET", "/config")
-                           : kind == "refusal" ? control.request("PUT", "/config", "1", document(9))
-                                               : control.request("PUT", "/config", "3", document(4));
-        CHECK(control.status(asked) == 0);
+        const auto request = kind == "reading"   ? control.request("GET", "/config")
+                             : kind == "refusal" ? control.request("PUT", "/config", "1", document(9))
+                                                 : control.request("PUT", "/config", "3", document(4));
+        CHECK(control.status(request) == 0);
         cluster.answer();
-        CHECK(control.status(asked) == (kind == "refusal" ? 412 : 200));
+        CHECK(control.status(request) == (kind == "refusal" ? 412 : 200));
     }
 }
 
 TEST_CASE("a leader without answers from the other voters serves no reads") {
     TwoOfThree cluster;
     cluster.elect();
-    const auto asked = cluster.control.request("GET", "/config");
+    const auto request = cluster.control.request("GET", "/config");
     cluster.control.advance(Span{4});
-    CHECK(cluster.control.status(asked) == 503);
+    CHECK(cluster.control.status(request) == 503);
 }
 
 TEST_CASE("a stopping node may shut down once its leader reports that all answering voters hold its state") {
@@ -353,9 +353,10 @@
             for (; seen_ < control.to_peers.size(); ++seen_)
                 if (const auto* message = std::get_if<messages::ConsensusMessage>(&control.to_peers[seen_]))
                     if (const auto* request = std::get_if<consensus::ReadRequest>(&message->message))
-                        asked_.emplace_back(control.now, *request);
-            for (; !asked_.empty() && control.now - asked_.front().first >= late_; asked_.pop_front())
-                cluster.receive(consensus::ReadReply{append_.term, asked_.front().second.number, append_.last.index});
+                        requests_.emplace_back(control.now, *request);
+            for (; !requests_.empty() && control.now - requests_.front().first >= late_; requests_.pop_front())
+                cluster.receive(
+                    consensus::ReadReply{append_.term, requests_.front().second.number, append_.last.index});
         }
     }
     TwoOfThree cluster;
@@ -364,7 +365,7 @@
     Span late_;
     consensus::Append append_{7, 1, {7, 2}, 2, false, 0, std::nullopt};
     size_t seen_ = 0;
-    std::deque<std::pair<Time, consensus::ReadRequest>> asked_;
+    std::deque<std::pair<Time, consensus::ReadRequest>> requests_;
 };
 
 }   // namespace
@@ -386,9 +387,9 @@
     Control control;
     control.subscribe();
     metrics::Registry registry;
-    NodeMetrics figures(registry);
+    NodeMetrics node_metrics(registry);
     const auto render = [&] {
-        figures.update(control.node->state(control.now));
+        node_metrics.update(control.node->state(control.now));
         return "\n" + registry.render();
     };
     auto text = render();
--- a/tests/system/metrics_answer_test.cpp
+++ b/tests/system/metrics_answer_test.cpp
@@ -92,24 +92,24 @@
 namespace {
 
 // The last lease request that a proxy has sent to its control node.
-std::optional<leases::LeaseRequest> last_ask(const std::string& received) {
+std::optional<leases::LeaseRequest> last_request(const std::string& received) {
     messages::FrameReader reader;
     reader.feed(received);
     std::optional<leases::LeaseRequest> last;
     while (const auto json = reader.next()) {
         const auto message = messages::decode(*json);
         REQUIRE(message);
-        if (const auto* ask = std::get_if<leases::LeaseRequest>(&*message)) last = *ask;
+        if (const auto* request = std::get_if<leases::LeaseRequest>(&*message)) last = *request;
     }
     return last;
 }
 
 // The allocator leases nothing in reply to a proxy's first request.
-void answer_first_ask(ProxyWorld& world) {
-    const auto ask = last_ask(world.control.last().take());
-    REQUIRE(ask);
-    CHECK(ask->tenants.empty());
-    world.send_control(leases::LeaseReply{ask->holder, ask->number, 1, false, {}});
+void answer_first_request(ProxyWorld& world) {
+    const auto request = last_request(world.control.last().take());
+    REQUIRE(request);
+    CHECK(request->tenants.empty());
+    world.send_control(leases::LeaseReply{request->holder, request->number, 1, false, {}});
 }
 
 void tell_tenants(ProxyWorld& world) {
@@ -126,7 +126,7 @@
 
 TEST_CASE("a proxy's metrics show granted and refused quota units and the reported fleet state") {
     ProxyWorld world;
-    answer_first_ask(world);
+    answer_first_request(world);
     tell_tenants(world);
     auto& limited = world.client();
     limited.send(request_with("limited"));
@@ -161,17 +161,17 @@
 
 TEST_CASE("a request of a limited tenant proceeds as soon as units are leased; the next ones don't wait") {
     ProxyWorld world;
-    answer_first_ask(world);
+    answer_first_request(world);
     tell_tenants(world);
     world.control.last().take();
     auto& limited = world.client();
     limited.send(request_with("limited"));
     world.advance(Span{0.02});
-    const auto ask = last_ask(world.control.last().take());
-    REQUIRE(ask);
-    CHECK(ask->holder.node == "edge-1");
-    CHECK(ask->tenants.at("acme").needed == 1);
-    leases::LeaseReply reply{ask->holder, ask->number, 1, false, {}};
+    const auto request = last_request(world.control.last().take());
+    REQUIRE(request);
+    CHECK(request->holder.node == "edge-1");
+    CHECK(request->tenants.at("acme").needed == 1);
+    leases::LeaseReply reply{request->holder, request->number, 1, false, {}};
     reply.tenants["acme"].granted = 2;
     reply.tenants["acme"].target = 2;
     world.send_control(reply);
--- a/tests/system/proxy_idle_test.cpp
+++ b/tests/system/proxy_idle_test.cpp
@@ -66,9 +66,9 @@
         ProxyWorld world;
         world.configure(with_idle_limit(limit_ms));
         auto& client = world.client();
-        const int told = announced_idle(serve(world, client, "r1"));
-        CHECK(told == (limit_ms + 999) / 1000);
-        world.advance(Span{double(told)} + congestion_delay - response_time * 2);
+        const int announced = announced_idle(serve(world, client, "r1"));
+        CHECK(announced == (limit_ms + 999) / 1000);
+        world.advance(Span{double(announced)} + congestion_delay - response_time * 2);
         CHECK_FALSE(client.ended);
         CHECK(contains(serve(world, client, "r2"), "HTTP/1.1 200 OK"));
     }
--- a/tests/system/quota_report_test.cpp
+++ b/tests/system/quota_report_test.cpp
@@ -45,8 +45,8 @@
     void lend(const std::string& tenant, double units, double overload) {
         leases.connected(true);
         leases.acquire(tenant, units + 1, 1, Span{0.1}, now);
-        const auto ask = leases.next_request(now);
-        leases::LeaseReply reply{ask->holder, ask->number, 1, false, {}};
+        const auto request = leases.next_request(now);
+        leases::LeaseReply reply{request->holder, request->number, 1, false, {}};
         reply.tenants[tenant].granted = units;
         reply.tenants[tenant].overload = overload;
         leases.apply(reply, now);
