--- a/src/leases/holder.hpp
+++ b/src/leases/holder.hpp
@@ -42,7 +42,7 @@
 
     // Sets whether a connection to the allocator exists. When it ends, the outstanding request gets no reply.
     void connected(bool is_up);
-    // Makes the next request due at once: there may be a new allocator, or the allocator wants another request.
+    // Makes the next request due at once: there may be a new allocator, or the allocator requires another request.
     void expedite() { expedite_ = true; }
     bool is_expedited() const { return expedite_; }
     // The next request if one is due. It counts as sent; at most one is outstanding.
