--- a/src/roles/proxy/hosts.cpp
+++ b/src/roles/proxy/hosts.cpp
@@ -72,7 +72,7 @@
     return it == hosts_.end() ? nullptr : it->second.get();
 }
 
-void HostConnections::forget_gone() {
+void HostConnections::remove_gone() {
     std::erase_if(hosts_, [this](const auto& known) {
         const auto& host = *known.second;
         return host.host.state == registry::HostState::gone && *host.connections == 0 &&
--- a/src/roles/proxy/hosts.hpp
+++ b/src/roles/proxy/hosts.hpp
@@ -73,7 +73,7 @@
 
     HostRecord& record(const registry::Host& host);   // created if unknown
     HostRecord* find(ServerId id);
-    void forget_gone();   // removes hosts that are gone and have no connection
+    void remove_gone();   // removes hosts that are gone and have no connection
 
     void send(Request& request, ServerId host, Span timeout);
     void cancel(Request& request, int number);   // reported as cancelled
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -208,7 +208,7 @@
     auto* pool = services_.choose(routing::pick_backend(*request.route, context_.rng.uniform()));
     if (!pool) {
         front_.refuse(*std::exchange(request.client, nullptr), 503, retry_delay);
-        return requests_.forget_if_over(request);
+        return requests_.remove_if_over(request);
     }
     request.service = pool->number();
     request.admitted = true;
@@ -224,7 +224,7 @@
     auto* request = requests_.find(call);
     if (!request) return;
     refuse_over_quota(*std::exchange(request->client, nullptr), *request, decision);
-    requests_.forget_if_over(*request);
+    requests_.remove_if_over(*request);
 }
 
 void Proxy::client_left(Request& request) {
@@ -232,11 +232,11 @@
     const auto id = request.id;
     if (!request.admitted) {
         admission_.cancel(request);
-        return requests_.forget_if_over(request);
+        return requests_.remove_if_over(request);
     }
     if (auto* pool = services_.find(request.service)) pool->balancer().client_left(context_.now(), id);
     if (auto* held = requests_.find(id)) hosts_.abandon(*held);
-    if (auto* held = requests_.find(id)) requests_.forget_if_over(*held);
+    if (auto* held = requests_.find(id)) requests_.remove_if_over(*held);
 }
 
 void Proxy::refuse(CallId call, Span retry_after) {
@@ -315,7 +315,7 @@
     const bool answered = !request->client;
     if (auto* pool = services_.find(request->service))
         pool->balancer().attempt_ended(context_.now(), call, number, outcome, answered);
-    if (auto* held = requests_.find(call)) requests_.forget_if_over(*held);
+    if (auto* held = requests_.find(call)) requests_.remove_if_over(*held);
 }
 
 // Attempts that never reached a host say nothing about it, and neither does a refusal by a full host.
@@ -413,7 +413,7 @@
     request_configuration_lease();
     send_rollout_reports();
     context_.loop.schedule(context_.now() + tick_interval * (ready() ? 1 : not_ready_factor), tick_cookie);
-    hosts_.forget_gone();
+    hosts_.remove_gone();
     services_.tick(requests_);
 }
 
--- a/src/roles/proxy/quota_report.cpp
+++ b/src/roles/proxy/quota_report.cpp
@@ -47,7 +47,7 @@
             ++known;
             continue;
         }
-        forget(known->first);
+        remove(known->first);
         known = tenant_metrics_.erase(known);
     }
 }
@@ -109,7 +109,7 @@
     return &tenant_metrics_.emplace(name, make_metrics(name)).first->second;
 }
 
-void QuotaReport::forget(const std::string& tenant) {
+void QuotaReport::remove(const std::string& tenant) {
     for (const char* name : {granted_units, refused_units, held_units, overload_ratio})
         registry_.remove(name, labels_of(tenant));
     for (const auto cause : leases::refusal_causes) registry_.remove(refused_requests, labels_of(tenant, cause));
--- a/src/roles/proxy/quota_report.hpp
+++ b/src/roles/proxy/quota_report.hpp
@@ -54,7 +54,7 @@
     };
     TenantMetrics make_metrics(const std::string& tenant);
     TenantMetrics* metrics_of(std::string_view tenant);   // null if the configuration does not name the tenant
-    void forget(const std::string& tenant);
+    void remove(const std::string& tenant);
     void log_refusal(std::string_view tenant, TenantMetrics& entry, leases::RefusalCause cause,
                      const leases::Holder& leases, Time now);
     static void update_gauges(TenantMetrics& entry, const std::string& tenant, const leases::Holder& leases);
--- a/src/roles/proxy/request_table.cpp
+++ b/src/roles/proxy/request_table.cpp
@@ -29,7 +29,7 @@
     return it == requests_.end() ? nullptr : it->second.get();
 }
 
-void RequestTable::forget_if_over(Request& request) {
+void RequestTable::remove_if_over(Request& request) {
     if (request.client || request.open_attempts > 0) return;
     held_bytes_cover_bodies_.check(held_bytes_ >= request.body.size(), [&] {
         return std::to_string(held_bytes_) + " bytes of bodies counted, but a held body has " +
@@ -42,7 +42,7 @@
 
 void RequestTable::sweep() {
     for (const auto number : std::exchange(answered_, {}))
-        if (auto* request = find(number)) forget_if_over(*request);
+        if (auto* request = find(number)) remove_if_over(*request);
 }
 
 std::vector<Request*> RequestTable::all() const {
--- a/src/roles/proxy/request_table.hpp
+++ b/src/roles/proxy/request_table.hpp
@@ -27,7 +27,7 @@
     Request& hold(std::unique_ptr<Request> request);
     Request* find(CallId number);   // null if finished
     // Removes the request if it is answered or its client has left, and no attempt is open.
-    void forget_if_over(Request& request);
+    void remove_if_over(Request& request);
     // Does the same at the next `sweep`, for callers whose own caller still uses the request.
     void mark_answered(CallId number) { answered_.push_back(number); }
     void sweep();
--- a/tests/system/bounds_test.cpp
+++ b/tests/system/bounds_test.cpp
@@ -63,7 +63,7 @@
     CHECK_FALSE(table.has_room(0));
     CHECK(contains(registry.render(), bound("requests") + " 3\n"));
     held[0]->open_attempts = 0;
-    table.forget_if_over(*held[0]);
+    table.remove_if_over(*held[0]);
     CHECK(table.size() == 2);
     CHECK(table.has_room(600));
 }
