--- a/src/leases/holder.hpp
+++ b/src/leases/holder.hpp
@@ -36,13 +36,13 @@
     Holder(HolderId id, LeaseTerms terms, Time started) : id_(std::move(id)), terms_(terms), started_(started) {}
 
     // Admits, queues or refuses a request that costs `cost` units. `ticket` identifies it in the results of
-    // `take_decided`; it is queued no longer than `patience`.
-    Decision acquire(const std::string& tenant, double cost, uint64_t ticket, Span patience, Time now);
+    // `take_decided`; it is queued no longer than `timeout`.
+    Decision acquire(const std::string& tenant, double cost, uint64_t ticket, Span timeout, Time now);
     void cancel(uint64_t ticket);   // removes a queued request
 
     // Sets whether a connection to the allocator exists. When it ends, the outstanding request gets no reply.
     void connected(bool is_up);
-    // Makes the next request due at once: there may be a new allocator, or the allocator wants another request.
+    // Makes the next request due at once: there may be a new allocator, or the allocator requires another request.
     void expedite() { expedite_ = true; }
     bool is_expedited() const { return expedite_; }
     // The next request if one is due. It counts as sent; at most one is outstanding.
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -229,8 +229,8 @@
     }
     // Seconds of recent latency for each second of declared work; 0 if no work was declared.
     double seconds_per_work() {
-        const double told = work_latency_.total(ctx_.now, declared_s);
-        return told > 0 ? work_latency_.total(ctx_.now, actual_s) / told : 0;
+        const double declared = work_latency_.total(ctx_.now, declared_s);
+        return declared > 0 ? work_latency_.total(ctx_.now, actual_s) / declared : 0;
     }
     // Guards against a tenant's or product's calls that are slow at every server and hold up all others: if
     // three quarters of them miss their SLO and most others don't, one per penalty time is admitted.
@@ -270,9 +270,9 @@
 
     void attempt_sent(Attempt& attempt) {
         const auto& zone = zone_of(*attempt.server);
-        const bool lent = zone.queued_all >= std::max(zone.min_limit, zone.limit) &&
-                          warm_share(*attempt.server) >= 1;
-        for (auto* s : members_) earn_credit(*s, lent);
+        const bool in_stuck_room = zone.queued_all >= std::max(zone.min_limit, zone.limit) &&
+                                   warm_share(*attempt.server) >= 1;
+        for (auto* s : members_) earn_credit(*s, in_stuck_room);
         attempt.server->open.push_back(&attempt);
         round_ = std::max(round_, attempt.server->next_turn);
         ++calls_sent_;
@@ -312,7 +312,7 @@
         }
         switch (attempt.outcome) {
             case Outcome::fulfilled:
-                note_response(s);
+                record_response(s);
                 s.last_seen = ctx_.now;
                 s.answered_sent = std::max(s.answered_sent, attempt.sent);
                 drop_abandoned(s, attempt.sent);
@@ -329,12 +329,12 @@
                 s.stats.add(ctx_.now, answered);
                 s.stats.add(ctx_.now, answered_s, took);
                 return;
-            case Outcome::errored: note_response(s); [[fallthrough]];
+            case Outcome::errored: record_response(s); [[fallthrough]];
             case Outcome::reset: return record_failure(s, is_outlier(s));
             case Outcome::full:
                 // Guards against servers that reject one product only counting as over half of the pool.
                 s.full_until[index_of(*attempt.call)] = ctx_.now + penalty;
-                note_response(s);
+                record_response(s);
                 return record_failure(s, s.stats.total(ctx_.now, answered) == 0);
             case Outcome::connect_failed:
                 drop_abandoned(s, ctx_.now);
@@ -447,7 +447,7 @@
         });
         if (forgotten > 0) update_members();
     }
-    void note_response(Server& s) { s.last_response = s.last_data = last_data_ = ctx_.now; }
+    void record_response(Server& s) { s.last_response = s.last_data = last_data_ = ctx_.now; }
     void record_failure(Server& s, bool penalise = true) {
         s.stats.add(ctx_.now, failed);
         if (penalise) s.penalty_until = ctx_.now + penalty;
@@ -520,12 +520,12 @@
     // Limits calls to a cold server, as hundreds of proxies send to it independently: each call sent anywhere
     // earns it a credit of its warm share times three quarters of tip_multiple. Rejected calls, and calls in
     // the room of stuck ones, earn none. Unused credit expires, else bursts would send many calls at once.
-    void earn_credit(Server& s, bool lent) const {
+    void earn_credit(Server& s, bool in_stuck_room) const {
         const double warm = warm_share(s);
         if (warm >= 1) return;
         if (s.credit >= 1) s.credit -= 1;
-        if (!lent) s.credit += warm * s.capacity / std::max(capacity_sum_, s.capacity) *
-                               ctx_.conf.tip_multiple * 0.75;
+        if (!in_stuck_room) s.credit += warm * s.capacity / std::max(capacity_sum_, s.capacity) *
+                                          ctx_.conf.tip_multiple * 0.75;
     }
     // Little's law: a call is answered after about the queue's length over the server's response rate. It
     // goes elsewhere if that leaves too little of its SLO, and is rate-limited if that is so everywhere. This
@@ -621,8 +621,8 @@
             highest[!first] = drawn, c.preferred[!first] = s;
         }
     }
-    // Guards against slowness that few own calls in flight don't show: what attempts took over 1.5 times the
-    // expected (two means added) counts as load of others, plus 0.25. Less is mostly random: for turns only.
+    // Guards against slowness that few own calls in flight don't show: a slowdown over 0.5, two means added
+    // to the expected time, counts as load of others, less 0.25. Less is mostly random: for turns only.
     double hidden_load(Server& s, const Call& c) const {
         const double over = slowdown(s, 2 * c.product->latency);
         return over > 0.5 ? over - 0.25 : 0;
--- a/src/roles/proxy/front.cpp
+++ b/src/roles/proxy/front.cpp
@@ -79,12 +79,12 @@
       report_(context.metrics, [](const std::string& line) { log_info() << line; }),
       read_requests_are_answered_(context.invariants.named("read_requests_are_answered")) {}
 
-bool Frontend::open(std::string& fault) {
+bool Frontend::open(std::string& error) {
     const auto listen = [&](const char* key, const std::optional<Endpoint>& at, bool probes) -> Listener* {
         const auto address = at ? wire::parse_endpoint(at->text()) : std::nullopt;
         const int fd = address ? context_.system.listen(*address) : -1;
         if (fd >= 0) return &context_.loop.add(std::make_unique<Listener>(*this, fd, probes));
-        fault = std::string(key) + ": " +
+        error = std::string(key) + ": " +
                 (at ? "can't listen at " + at->text() + ": " + std::strerror(errno) : "is missing");
         return nullptr;
     };
--- a/src/roles/proxy/hosts.cpp
+++ b/src/roles/proxy/hosts.cpp
@@ -72,7 +72,7 @@
     return it == hosts_.end() ? nullptr : it->second.get();
 }
 
-void HostConnections::forget_gone() {
+void HostConnections::remove_gone() {
     std::erase_if(hosts_, [this](const auto& known) {
         const auto& host = *known.second;
         return host.host.state == registry::HostState::gone && *host.connections == 0 &&
@@ -173,7 +173,7 @@
            !connection.http.fault()) {
         const bool in_head = !connection.reader.head_done;
         connection.in.drop(connection.http.feed(connection.in.front()));
-        if (in_head && connection.reader.head_done) head_came(connection);
+        if (in_head && connection.reader.head_done) head_received(connection);
         if (connection.http.done() && connection.stale) {   // a surplus response; the expected one may follow
             connection.http.reset();
             connection.reader = {};
@@ -191,7 +191,7 @@
         end_attempt(connection, wrote_all ? Outcome::reset : Outcome::connect_failed, CloseReason::peer_closed);
 }
 
-void HostConnections::head_came(HostConnection& connection) {
+void HostConnections::head_received(HostConnection& connection) {
     const auto& reader = connection.reader;
     if (connection.request && !connection.is_probe) {
         const auto own = field_value(connection.request->fields, "X-Request-Id");
--- a/src/roles/proxy/hosts.hpp
+++ b/src/roles/proxy/hosts.hpp
@@ -73,7 +73,7 @@
 
     HostRecord& record(const registry::Host& host);   // created if unknown
     HostRecord* find(ServerId id);
-    void forget_gone();   // removes hosts that are gone and have no connection
+    void remove_gone();   // removes hosts that are gone and have no connection
 
     void send(Request& request, ServerId host, Span timeout);
     void cancel(Request& request, int number);   // reported as cancelled
@@ -102,7 +102,7 @@
     HostConnection* idle_connection(HostRecord& host);
     void dispatch(HostConnection& connection, Span timeout);
     void write(HostConnection& connection);
-    void head_came(HostConnection& connection);
+    void head_received(HostConnection& connection);
     void take_body(HostConnection& connection);
     void response_complete(HostConnection& connection);
     void release(HostConnection& connection);
--- a/src/roles/proxy/proxy.cpp
+++ b/src/roles/proxy/proxy.cpp
@@ -13,7 +13,7 @@
 constexpr Span tick_interval{0.2};
 constexpr double not_ready_factor = 0.25;      // fraction of the tick interval while not ready
 constexpr uint64_t tick_cookie = 1ULL << 62;   // the pools' cookies are below 2^61
-constexpr int exit_fault = 2;
+constexpr int exit_error = 2;
 constexpr Span retry_delay{0.2};
 constexpr Span typical_startup{1};            // typical time from process start until configuration and hosts are known
 constexpr Span retry_elsewhere_after{0.02};   // Retry-After near the process's end: another proxy may take it at once
@@ -109,11 +109,11 @@
 }
 
 Admission::Events Proxy::admission_events() {
-    return {[this](const leases::LeaseRequest& ask) { subscription_.ask(ask); },
+    return {[this](const leases::LeaseRequest& request) { subscription_.send_if_open(request); },
             [this](CallId call) {
                 auto* request = requests_.find(call);
                 if (!request) return;
-                admission_.note_granted(*request);
+                admission_.record_granted(*request);
                 admit(*request);
             },
             [this](CallId call, const leases::Decision& decision) {
@@ -131,7 +131,7 @@
             [this](bool is_up) {
                 admission_.connected(is_up);
                 configuration_lease_.connected();
-                ask_for_configuration_lease();
+                request_configuration_lease();
             },
             [this] {
                 return context_.table ? context_.table->configuration().version : 0;
@@ -139,15 +139,15 @@
 }
 
 int Proxy::run() {
-    if (!start()) return exit_fault;
+    if (!start()) return exit_error;
     while (!over()) round();
     return 0;
 }
 
 bool Proxy::start() {
-    std::string fault;
-    if (!front_.open(fault)) {
-        log_error() << fault;
+    std::string error;
+    if (!front_.open(error)) {
+        log_error() << error;
         return false;
     }
     signals_ = &context_.loop.add(std::make_unique<Signals>(*this, context_.system.watch_signals()));
@@ -159,7 +159,7 @@
 }
 
 void Proxy::round() {
-    context_.loop.run_once([this](uint64_t cookie) { woke(cookie); }, [this] { settle(); });
+    context_.loop.run_once([this](uint64_t cookie) { timer_fired(cookie); }, [this] { settle(); });
 }
 
 bool Proxy::ready() const {
@@ -208,7 +208,7 @@
     auto* pool = services_.choose(routing::pick_backend(*request.route, context_.rng.uniform()));
     if (!pool) {
         front_.refuse(*std::exchange(request.client, nullptr), 503, retry_delay);
-        return requests_.forget_if_over(request);
+        return requests_.remove_if_over(request);
     }
     request.service = pool->number();
     request.admitted = true;
@@ -216,7 +216,7 @@
 }
 
 void Proxy::refuse_over_quota(Client& client, const Request& request, const leases::Decision& decision) {
-    admission_.note_refused(request, decision);
+    admission_.record_refused(request, decision);
     front_.refuse(client, 429, decision.retry_after);
 }
 
@@ -224,26 +224,26 @@
     auto* request = requests_.find(call);
     if (!request) return;
     refuse_over_quota(*std::exchange(request->client, nullptr), *request, decision);
-    requests_.forget_if_over(*request);
+    requests_.remove_if_over(*request);
 }
 
 void Proxy::client_left(Request& request) {
     request.client = nullptr;
     const auto id = request.id;
     if (!request.admitted) {
-        admission_.withdraw(request);
-        return requests_.forget_if_over(request);
+        admission_.cancel(request);
+        return requests_.remove_if_over(request);
     }
     if (auto* pool = services_.find(request.service)) pool->balancer().client_left(context_.now(), id);
     if (auto* held = requests_.find(id)) hosts_.abandon(*held);
-    if (auto* held = requests_.find(id)) requests_.forget_if_over(*held);
+    if (auto* held = requests_.find(id)) requests_.remove_if_over(*held);
 }
 
 void Proxy::refuse(CallId call, Span retry_after) {
     auto* request = requests_.find(call);
     if (!request || !request->client) return;
     auto& client = *std::exchange(request->client, nullptr);
-    requests_.note_answered(call);
+    requests_.mark_answered(call);
     if (request->answering) return cut(client, *request, CutCause::host_failed);
     if (request->last_failure.status) {
         const auto& reply = request->last_failure;
@@ -256,7 +256,7 @@
     auto* request = requests_.find(call);
     if (!request || !request->client) return;
     auto& client = *std::exchange(request->client, nullptr);
-    requests_.note_answered(call);
+    requests_.mark_answered(call);
     const bool late = context_.now() >= request->deadline;
     if (request->answering) return cut(client, *request, late ? CutCause::out_of_time : CutCause::host_failed);
     const auto& reply = request->last_failure;
@@ -275,7 +275,7 @@
 
 void Proxy::cut(Client& client, const Request& request, CutCause cause) {
     const auto now = context_.now();
-    cut_report_.note(cause, field_value(request.fields, "X-Request-Id"), now - request.arrived, now);
+    cut_report_.record(cause, field_value(request.fields, "X-Request-Id"), now - request.arrived, now);
     front_.abort_response(client);
 }
 
@@ -315,7 +315,7 @@
     const bool answered = !request->client;
     if (auto* pool = services_.find(request->service))
         pool->balancer().attempt_ended(context_.now(), call, number, outcome, answered);
-    if (auto* held = requests_.find(call)) requests_.forget_if_over(*held);
+    if (auto* held = requests_.find(call)) requests_.remove_if_over(*held);
 }
 
 // Attempts that never reached a host say nothing about it, and neither does a refusal by a full host.
@@ -356,7 +356,7 @@
         return open_at_serving(service);
     };
     for (auto& report : rollout_watcher_.take_reports(context_.proxies, open, context_.now()))
-        subscription_.ask(std::move(report));
+        subscription_.send_if_open(std::move(report));
 }
 
 void Proxy::apply_configuration(const messages::ConfigurationUpdate& update) {
@@ -373,9 +373,10 @@
     log_info() << "configuration " << update.version << " is in force";
 }
 
-void Proxy::ask_for_configuration_lease() {
+void Proxy::request_configuration_lease() {
     if (!subscription_.is_open()) return;
-    if (const auto ask = configuration_lease_.next_request(context_.system.now())) subscription_.ask(*ask);
+    if (const auto request = configuration_lease_.next_request(context_.system.now()))
+        subscription_.send_if_open(*request);
 }
 
 void Proxy::update_fleet(const messages::FleetStatus& update) {
@@ -400,7 +401,7 @@
     requests_.sweep();
 }
 
-void Proxy::woke(uint64_t cookie) {
+void Proxy::timer_fired(uint64_t cookie) {
     if (cookie == tick_cookie) return tick();
     if (cookie == Admission::cookie) return admission_.on_timer();
     if (auto* pool = services_.find(ServicePool::pool_of(cookie))) pool->on_timer(cookie);
@@ -408,11 +409,11 @@
 
 void Proxy::tick() {
     subscription_.tick();
-    admission_.ask();
-    ask_for_configuration_lease();
+    admission_.request_units();
+    request_configuration_lease();
     send_rollout_reports();
     context_.loop.schedule(context_.now() + tick_interval * (ready() ? 1 : not_ready_factor), tick_cookie);
-    hosts_.forget_gone();
+    hosts_.remove_gone();
     services_.tick(requests_);
 }
 
--- a/src/roles/proxy/quota_report.cpp
+++ b/src/roles/proxy/quota_report.cpp
@@ -47,7 +47,7 @@
             ++known;
             continue;
         }
-        forget(known->first);
+        remove(known->first);
         known = tenant_metrics_.erase(known);
     }
 }
@@ -58,15 +58,15 @@
     current_.set(update.current ? 1 : 0);
 }
 
-void QuotaReport::note_granted(std::string_view tenant, double units) {
+void QuotaReport::record_granted(std::string_view tenant, double units) {
     auto* entry = metrics_of(tenant);
     if (!entry) return;
     entry->granted_units.add(units);
     entry->granted_since += units;
 }
 
-void QuotaReport::note_refused(std::string_view tenant, double units, RefusalCause cause, const leases::Holder& leases,
-                               Time now) {
+void QuotaReport::record_refused(std::string_view tenant, double units, RefusalCause cause,
+                                 const leases::Holder& leases, Time now) {
     auto* entry = metrics_of(tenant);
     if (!entry) return;
     entry->refused_units.add(units);
@@ -109,7 +109,7 @@
     return &tenant_metrics_.emplace(name, make_metrics(name)).first->second;
 }
 
-void QuotaReport::forget(const std::string& tenant) {
+void QuotaReport::remove(const std::string& tenant) {
     for (const char* name : {granted_units, refused_units, held_units, overload_ratio})
         registry_.remove(name, labels_of(tenant));
     for (const auto cause : leases::refusal_causes) registry_.remove(refused_requests, labels_of(tenant, cause));
