--- a/tests/system/bounds_test.cpp
+++ b/tests/system/bounds_test.cpp
@@ -194,7 +194,7 @@
 
 // Control node.
 
-TEST_CASE("the queue of orders is bounded; a further one gets 503 and all others their responses") {
+TEST_CASE("the queue of orders is bounded, and a further one gets 503 and all others their responses") {
     Control control;
     control.request("PUT", "/config", "0", document(1));
     control.disk_works = false;
--- a/tests/system/metrics_answer_test.cpp
+++ b/tests/system/metrics_answer_test.cpp
@@ -159,7 +159,7 @@
     CHECK(contains(limited.take(), "HTTP/1.1 429 "));
 }
 
-TEST_CASE("a request of a limited tenant proceeds as soon as units are leased; the next ones don't wait") {
+TEST_CASE("a request of a limited tenant proceeds as soon as units are leased, and the next ones don't wait") {
     ProxyWorld world;
     answer_first_request(world);
     tell_tenants(world);
--- a/tests/system/protocol_test.cpp
+++ b/tests/system/protocol_test.cpp
@@ -122,7 +122,7 @@
     CHECK(of_route.find("Priority", of_route.find("Priority") + 1) == std::string::npos);
 }
 
-TEST_CASE("method, path, query and body reach the host unchanged, also from chunks; hop-by-hop fields do not") {
+TEST_CASE("method, path, query and body reach the host unchanged, also from chunks, but hop-by-hop fields do not") {
     Fleet fleet;
     const auto whole = fleet.at_host(
         "PATCH /open/b%20c?d=1&e HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r1\r\nX-Other: "
--- a/tests/system/quota_report_test.cpp
+++ b/tests/system/quota_report_test.cpp
@@ -137,7 +137,7 @@
           "20 refused; held 600, overload 1.5, last reply 0.25 s ago; proxies 12, current 1, told 0.25 s ago");
 }
 
-TEST_CASE("refusals are logged once a second for each cause; the next line covers those in between") {
+TEST_CASE("refusals are logged once a second for each cause, and the next line covers those in between") {
     Reported world;
     world.report.configured(tenants({"acme"}));
     for (int i = 0; i < 50; ++i) {
--- a/tests/system/replica_test.cpp
+++ b/tests/system/replica_test.cpp
@@ -203,7 +203,8 @@
     CHECK(single.self->role() != Role::leader);
 }
 
-TEST_CASE("a voter whose machine returns with another disk is removed at once; the new replica joins once caught up") {
+TEST_CASE(
+    "a voter whose machine returns with another disk is removed at once, and the new replica joins once caught up") {
     SingleReplica single;
     single.elect();
     REQUIRE(single.self->role() == Role::leader);
--- a/tests/system/routing_test.cpp
+++ b/tests/system/routing_test.cpp
@@ -14,7 +14,7 @@
 using namespace myrtleroute;
 using namespace myrtleroute::routing;
 
-TEST_CASE("the longest path prefix wins; the host's case and port are ignored") {
+TEST_CASE("the longest path prefix wins, and the host's case and port are ignored") {
     configuration::Configuration configuration;
     for (const auto* prefix : {"/", "/a/", "/a/b/"}) {
         configuration::Route route;
